--- /dev/null
+++ b/cmd/landingpaddle/forms_test.go
@@ -0,0 +1,86 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+)
+
+// Sub-commands, arguments and flags with their defaults are interfaces.
+func TestCommandsAndFlags(t *testing.T) {
+	parser, err := kong.New(&cli{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var lines []string
+	for _, command := range parser.Model.Leaves(false) {
+		for _, arg := range command.Positional {
+			lines = append(lines, fmt.Sprintf("%s <%s> required=%t", command.Name, arg.Name, arg.Required))
+		}
+		for _, flag := range command.Flags {
+			lines = append(lines, fmt.Sprintf("%s --%s default=%q required=%t", command.Name, flag.Name, flag.Default,
+				flag.Required))
+		}
+		lines = append(lines, command.Name)
+	}
+	slices.Sort(lines)
+	golden(t, "testdata/forms/commands.txt", strings.Join(lines, "\n")+"\n")
+}
+
+// What check prints of the shipped files: every form of the settings with its default.
+func TestSettingsInForce(t *testing.T) {
+	examples, err := filepath.Abs("../../examples")
+	if err != nil {
+		t.Fatal(err)
+	}
+	files, err := filepath.Glob(filepath.Join(examples, "*.lisp"))
+	if err != nil || len(files) == 0 {
+		t.Fatalf("no examples: %v", err)
+	}
+	var all bytes.Buffer
+	for _, file := range files {
+		var out, errs bytes.Buffer
+		code := run([]string{"check", file}, &out, &errs)
+		_, cause, _ := strings.Cut(errs.String(), ": ")
+		fmt.Fprintf(&all, "== %s exit %d\n%s%s", filepath.Base(file), code, out.String(),
+			strings.ReplaceAll(cause, examples+"/", ""))
+	}
+	golden(t, "testdata/forms/settings.txt", all.String())
+}
+
+// The exit code is 0 when all is well, 1 for a failure, 2 for bad use.
+func TestExitCodes(t *testing.T) {
+	for _, c := range []struct {
+		args []string
+		want int
+	}{
+		{[]string{"--help"}, 0},
+		{[]string{"check", "../../examples/list.lisp"}, 0},
+		{[]string{"check", "../../examples/fleet.lisp"}, 1},
+		{[]string{"audit", "."}, 1},
+		{[]string{"fly"}, 2},
+		{[]string{"check", "missing.lisp"}, 2},
+		{nil, 2},
+	} {
+		if got := run(c.args, &bytes.Buffer{}, &bytes.Buffer{}); got != c.want {
+			t.Errorf("%q exits with %d, want %d", c.args, got, c.want)
+		}
+	}
+}
+
+func golden(t *testing.T, path, got string) {
+	t.Helper()
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
+	}
+}
--- a/control/fuzz_test.go
+++ b/control/fuzz_test.go
@@ -34,6 +34,10 @@
 	nextID uint32
 	joined int  // members of operations
 	lead   Send // last sent alone or as one
+
+	record func(Action) // nil: actions are not recorded
+	events func()       // called for each event; nil: events are not counted
+	extra  *rand.Rand   // draws service told of elsewhere; nil: none is told
 }
 
 type chaosTimer struct {
@@ -56,6 +60,11 @@
 }
 
 func newChaos(t *testing.T, seed uint64, shape uint8) *chaos {
+	return newChaosWith(t, seed, shape, func(*Settings) {})
+}
+
+// newChaosWith is newChaos under changed settings.
+func newChaosWith(t *testing.T, seed uint64, shape uint8, change func(*Settings)) *chaos {
 	set := scaleSettings()
 	set.Hosts = 1 + int(shape>>4)
 	set.Ask = shape&1 != 0
@@ -67,6 +76,7 @@
 			InOrder: true, Writes: true, Worth: 1},
 		{Aim: 200 * ms, Deadline: 800 * ms, Repeat: Unsafe, Worth: 1}}
 	set.Plans = []Plan{{Rate: 10, Weight: 1}, {Rate: 10, Weight: 2, Reserve: 5, Limit: 50, Burst: 50}}
+	change(&set)
 	c := &chaos{t: t, rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Hour, h: New(seed, set),
 		reqs: map[uint32]*chaosRequest{}, status: map[Server]Status{}}
 	if shape&8 != 0 {
@@ -109,6 +119,9 @@
 			c.status[e.Server] = e.Status
 		}
 	}
+	if c.events != nil {
+		c.events()
+	}
 	c.h.Handle(c.now, ev)
 }
 
@@ -192,13 +205,20 @@
 			r.mayRun = true
 		}
 		r.answered = r.answered || code == OK
-		c.handle(Outcome{ID: s.ID, Attempt: s.attempt, Server: s.Server, Code: code, Took: 10 * ms,
-			Ended: r.answered})
+		out := Outcome{ID: s.ID, Attempt: s.attempt, Server: s.Server, Code: code, Took: 10 * ms,
+			Ended: r.answered}
+		if c.extra != nil {
+			out.Elsewhere = float64(c.extra.IntN(3))
+		}
+		c.handle(out)
 	}
 }
 
 func (c *chaos) decide() {
 	for _, a := range c.h.Decide(c.now) {
+		if c.record != nil {
+			c.record(a)
+		}
 		switch x := a.(type) {
 		case Send:
 			c.send(x)
--- /dev/null
+++ b/internal/lab/forms_test.go
@@ -0,0 +1,51 @@
+package lab
+
+import (
+	"encoding/json"
+	"os"
+	"strings"
+	"testing"
+
+	"landingpaddle/internal/config"
+	"landingpaddle/internal/proto"
+	"landingpaddle/internal/sexpr"
+)
+
+// A log's lines, the audit's verdicts and the settings of the embedded day are read by other programs.
+func TestWrittenForms(t *testing.T) {
+	var out strings.Builder
+	line := func(v any) {
+		b, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out.Write(append(b, '\n'))
+	}
+	line(Event{T: 1, Kind: KindSent, Inst: 2, Node: 3, Client: 4, Conn: 5, Seq: 6, Token: 7, Try: 8, Attempt: 9,
+		Class: 10, Plan: 11, Volume: 12, Key: 13, Units: 14, Code: proto.OK, Reason: "word", Wait: 17, Status: "ready",
+		Boot: 19, Zone: 20, Cell: 21, Write: true, Op: 23, Piece: 24, Data: 25, Offset: 26, Length: 27, Sum: 28})
+	line(Event{})
+	for _, kind := range []Kind{KindSent, KindAnswer, KindBroken, KindLeft, KindWaited, KindBoot, KindDown, KindArrive,
+		KindFull, KindMoot, KindStart, KindEnd, KindRepeat, KindCancel, KindCalled, KindReplied, KindFell, KindNotice,
+		KindTold, KindUp, KindKill, KindStall, KindStuck, KindPulse} {
+		line(kind)
+	}
+	line(Verdict{})
+	line(Worth{})
+	for _, v := range Audit(&config.Site{}, nil) {
+		line(v.Rule)
+	}
+	day, err := BadDay()
+	if err != nil {
+		t.Fatal(err)
+	}
+	out.WriteString(sexpr.Print("day", &day))
+	const path = "testdata/forms.txt"
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := out.String(); got != string(want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
+	}
+}
--- /dev/null
+++ b/internal/platform/forms_test.go
@@ -0,0 +1,68 @@
+package platform
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"landingpaddle/internal/http1"
+	"landingpaddle/internal/proto"
+	"landingpaddle/internal/sched"
+	"landingpaddle/internal/wire"
+)
+
+// What reaches clients and disk servers is spelt out in testdata/forms.txt: answers by outcome and reason, what
+// the health path says, and the names of header fields.
+func TestWrittenForms(t *testing.T) {
+	var out strings.Builder
+	core := sched.NewCore(sched.CoreConfig{})
+	f := newFront(core, &wire.Site{}, slog.New(slog.DiscardHandler), bounds{clients: 1, lingering: 1, open: 1})
+	// written is what a connection is sent by do.
+	written := func(what string, do func(c *clientConn)) {
+		here, there := net.Pipe()
+		read := make(chan []byte)
+		go func() {
+			b, _ := io.ReadAll(there)
+			read <- b
+		}()
+		c := &clientConn{conn: here, rd: http1.NewReader(here, http1.Limits{Head: clientHead, Body: maxBody})}
+		do(c)
+		here.Close()
+		fmt.Fprintf(&out, "%s: %q\n", what, <-read)
+	}
+	written("health before the list is there", func(c *clientConn) { f.health(c, true) })
+	answer := func(a proto.Answer, last bool) {
+		what := fmt.Sprintf("answer %d %q after %v, last %t", a.Code, a.Reason, a.Advice, last)
+		written(what, func(c *clientConn) {
+			e := &exchange{front: f, c: c, close: last, done: make(chan struct{})}
+			e.write(a, []byte("payload"))
+		})
+	}
+	answer(proto.Answer{Code: proto.OK}, false)
+	answer(proto.Answer{Code: proto.OK}, true)
+	answer(proto.Answer{Code: proto.Refused, Reason: sched.ReasonHeld, Advice: 250 * time.Millisecond}, false)
+	answer(proto.Answer{Code: proto.Refused, Reason: sched.ReasonOverload}, true)
+	for _, reason := range []string{sched.ReasonTimeout, sched.ReasonHeld, sched.ReasonOverdue, sched.ReasonReset,
+		sched.ReasonUnreachable, sched.ReasonError, sched.ReasonFull, sched.ReasonMoot, sched.ReasonStopping} {
+		answer(proto.Answer{Code: proto.Failed, Reason: reason}, false)
+	}
+	core.Stop()
+	written("health while stopping", func(c *clientConn) { f.health(c, true) })
+	for _, name := range []string{fieldID, fieldClass, fieldPlan, fieldBudget, fieldExtent, fieldAgain, fieldKey,
+		queryExtent, pathHealth, fieldMeter, fieldDelta, fieldTurned, pathServers} {
+		fmt.Fprintln(&out, name)
+	}
+	const path = "testdata/forms.txt"
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := out.String(); got != string(want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
+	}
+}
--- /dev/null
+++ b/internal/sched/stored_test.go
@@ -0,0 +1,96 @@
+package sched
+
+import (
+	"bytes"
+	"os"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"landingpaddle/carry"
+	"landingpaddle/control"
+	"landingpaddle/internal/keep"
+)
+
+// The files in testdata were written before any field was renamed; what they hold must stay readable, and what
+// is written must stay the same bytes.
+const (
+	storedFigures = "testdata/learnt.bin"      // storedRecord, written field by field
+	stoppedLearnt = "testdata/learnt-stop.bin" // written by a process at an orderly stop
+)
+
+// storedRecord has a value of its own in every field.
+func storedRecord() carry.Record {
+	return carry.Record{Written: 1_780_000_000_000_000_001,
+		Site: carry.Site{Number: 3, Mean: 2.5, Most: 8.25,
+			Classes: []carry.Class{{Name: "read", Writes: false}, {Name: "write", Writes: true}}},
+		Nodes: []carry.Node{
+			{Server: control.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100}, Boot: 1_779_999_999_000_000_002,
+				Learnt: control.LearntNode{Latency: 11 * time.Millisecond, Deviation: 7 * time.Microsecond}},
+			{Server: control.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101}, Boot: 5,
+				Learnt: control.LearntNode{Latency: 13 * time.Millisecond, Deviation: 17 * time.Nanosecond}}},
+		Classes: []control.LearntClass{
+			{Mean: 1.5, Seen: 40, Fit: control.LearntFit{N: 21, Size: 2.125, Took: 0.5, Square: 6.5, Cross: 0.75}},
+			{Mean: 3.5, Seen: 41, Fit: control.LearntFit{N: 22, Size: 3.125, Took: 1.5, Square: 7.5, Cross: 1.75}}},
+		Usual:  control.LearntFit{N: 23, Size: 4.125, Took: 2.5, Square: 8.5, Cross: 2.75},
+		Median: 19 * time.Millisecond, Lately: 23 * time.Millisecond}
+}
+
+func TestStoredFiguresReadAndWriteAsBefore(t *testing.T) {
+	var got carry.Record
+	if err := keep.Read(storedFigures, learntMagic, &got); err != nil {
+		t.Fatal(err)
+	}
+	if want := storedRecord(); !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v\nwant %+v", got, want)
+	}
+	sameBytes(t, storedFigures, storedRecord())
+}
+
+func TestFiguresOfAStoppedProcessReadAsBefore(t *testing.T) {
+	var got carry.Record
+	if err := keep.Read(stoppedLearnt, learntMagic, &got); err != nil {
+		t.Fatal(err)
+	}
+	facts := carry.Site{Number: 0, Mean: 2, Most: 8,
+		Classes: []carry.Class{{Name: "read"}, {Name: "write", Writes: true}}}
+	if err := got.Check(got.Written, facts); err != nil {
+		t.Error(err)
+	}
+	if !reflect.DeepEqual(got.Site, facts) {
+		t.Errorf("facts of the site are %+v", got.Site)
+	}
+	empty := func(n carry.Node) bool {
+		return n.Server.Addr != [4]byte{127, 0, 0, 1} || n.Server.Port == 0 || n.Boot == 0 ||
+			n.Learnt.Latency == 0 || n.Learnt.Deviation == 0
+	}
+	if len(got.Nodes) != 2 || slices.ContainsFunc(got.Nodes, empty) {
+		t.Errorf("nodes are %+v", got.Nodes)
+	}
+	for _, fit := range []control.LearntFit{got.Usual, got.Classes[0].Fit, got.Classes[1].Fit} {
+		if fit.N == 0 || fit.Size == 0 || fit.Took == 0 || fit.Square == 0 || fit.Cross == 0 {
+			t.Errorf("fit is %+v", fit)
+		}
+	}
+	if got.Classes[0].Mean == 0 || got.Classes[0].Seen == 0 || got.Median == 0 || got.Lately == 0 {
+		t.Errorf("read %+v", got)
+	}
+	sameBytes(t, stoppedLearnt, got)
+}
+
+// sameBytes checks that a record is written as the file that it was read from.
+func sameBytes(t *testing.T, path string, r carry.Record) {
+	t.Helper()
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := keep.Encode(learntMagic, r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(data, want) {
+		t.Errorf("%s: the record is written as %d other bytes:\n%x\nwant\n%x", path, len(data), data, want)
+	}
+}
