--- a/carry/carry.go
+++ b/carry/carry.go
@@ -26,34 +26,34 @@
 
 // Site are the facts of the settings on which the meaning of figures hangs.
 type Site struct {
-	Number  int // of the instance
-	Mean    float64
-	Most    float64 // units
-	Classes []Class
+	Number  int     `cbor:"Number"` // of the instance
+	Mean    float64 `cbor:"Mean"`
+	Most    float64 `cbor:"Most"` // units
+	Classes []Class `cbor:"Classes"`
 }
 
 // Class is a class's name and whether it writes.
 type Class struct {
-	Name   string
-	Writes bool
+	Name   string `cbor:"Name"`
+	Writes bool   `cbor:"Writes"`
 }
 
 // Node is a figure of one start of a node.
 type Node struct {
-	Server control.Server
-	Boot   int64 // Unix nanoseconds of the node's clock
-	Learnt control.LearntNode
+	Server control.Server     `cbor:"Server"`
+	Boot   int64              `cbor:"Boot"` // Unix nanoseconds of the node's clock
+	Learnt control.LearntNode `cbor:"Learnt"`
 }
 
 // Record is what is kept.
 type Record struct {
-	Written int64 // Unix nanoseconds
-	Site    Site
-	Nodes   []Node
-	Classes []control.LearntClass
-	Usual   control.LearntFit
-	Median  time.Duration
-	Lately  time.Duration
+	Written int64                 `cbor:"Written"` // Unix nanoseconds
+	Site    Site                  `cbor:"Site"`
+	Nodes   []Node                `cbor:"Nodes"`
+	Classes []control.LearntClass `cbor:"Classes"`
+	Usual   control.LearntFit     `cbor:"Usual"`
+	Median  time.Duration         `cbor:"Median"`
+	Lately  time.Duration         `cbor:"Lately"`
 }
 
 // Keep makes the record of what was learnt, of the nodes that are listed.
--- a/control/api.go
+++ b/control/api.go
@@ -10,8 +10,8 @@
 
 // Server identifies a storage node's process: an IPv4 address and a port. It tells nothing else of the node.
 type Server struct {
-	Addr [4]byte
-	Port uint16
+	Addr [4]byte `cbor:"Addr"`
+	Port uint16  `cbor:"Port"`
 }
 
 // Compare orders servers by address and port.
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -13,16 +13,26 @@
 }
 
 // LearntNode is how long the usual request takes at a node.
-type LearntNode struct{ Latency, Deviation time.Duration }
+type LearntNode struct {
+	Latency   time.Duration `cbor:"Latency"`
+	Deviation time.Duration `cbor:"Deviation"`
+}
 
 // LearntClass is a class's running mean of sizes, over so many requests, and its times against sizes.
 type LearntClass struct {
-	Mean, Seen float64
-	Fit        LearntFit
+	Mean float64   `cbor:"Mean"`
+	Seen float64   `cbor:"Seen"`
+	Fit  LearntFit `cbor:"Fit"`
 }
 
 // LearntFit are the sums of a line through times in seconds against sizes.
-type LearntFit struct{ N, Size, Took, Square, Cross float64 }
+type LearntFit struct {
+	N      float64 `cbor:"N"`
+	Size   float64 `cbor:"Size"`
+	Took   float64 `cbor:"Took"`
+	Square float64 `cbor:"Square"`
+	Cross  float64 `cbor:"Cross"`
+}
 
 // Learnt tells what the host has learnt. Nodes of which nothing was heard in this life are left out.
 func (h *Host) Learnt() Learnt {
--- a/expect/expect.go
+++ b/expect/expect.go
@@ -59,8 +59,8 @@
 
 // Selector picks things by a name, in which * stands for any text.
 type Selector struct {
-	Kind Kind
-	Name string
+	Kind Kind   `json:"Kind"`
+	Name string `json:"Name"`
 }
 
 func (s Selector) String() string { return fmt.Sprintf("(%s %s)", s.Kind, s.Name) }
@@ -84,19 +84,19 @@
 
 // Gone is a failure that the claim must outlast: any so many of what the selector picks, at once.
 type Gone struct {
-	Count int
-	Of    Selector
+	Count int      `json:"Count"`
+	Of    Selector `json:"Of"`
 }
 
 // Expectation is one claim over one measure of each thing that its selector picks.
 type Expectation struct {
-	Name    string
-	Place   string // file:line:col
-	Measure Measure
-	Of      Selector
-	AtMost  bool // else at least
-	Bound   float64
-	Gone    *Gone // nil: with everything up
+	Name    string   `json:"Name"`
+	Place   string   `json:"Place"` // file:line:col
+	Measure Measure  `json:"Measure"`
+	Of      Selector `json:"Of"`
+	AtMost  bool     `json:"AtMost"` // else at least
+	Bound   float64  `json:"Bound"`
+	Gone    *Gone    `json:"Gone"` // nil: with everything up
 }
 
 // Verdict is what a check says.
@@ -111,13 +111,13 @@
 
 // Finding is what came of one expectation.
 type Finding struct {
-	Expectation Expectation
-	Verdict     Verdict
-	Case        string  // what is gone; "" for nothing
-	Thing       string  // whose measure it is
-	Value       float64 // the worst found
-	Cases       int     // that were looked at
-	Why         string  // undecided: why
+	Expectation Expectation `json:"Expectation"`
+	Verdict     Verdict     `json:"Verdict"`
+	Case        string      `json:"Case"`  // what is gone; "" for nothing
+	Thing       string      `json:"Thing"` // whose measure it is
+	Value       float64     `json:"Value"` // the worst found
+	Cases       int         `json:"Cases"` // that were looked at
+	Why         string      `json:"Why"`   // undecided: why
 }
 
 // mostCases bounds how many combinations of what may be gone at once are looked at.
