--- a/cmd/landingpaddle/forms_test.go
+++ b/cmd/landingpaddle/forms_test.go
@@ -24,8 +24,11 @@
 			lines = append(lines, fmt.Sprintf("%s <%s> required=%t", command.Name, arg.Name, arg.Required))
 		}
 		for _, flag := range command.Flags {
-			lines = append(lines, fmt.Sprintf("%s --%s default=%q required=%t", command.Name, flag.Name, flag.Default,
-				flag.Required))
+			lines = append(
+				lines,
+				fmt.Sprintf("%s --%s default=%q required=%t", command.Name, flag.Name, flag.Default,
+					flag.Required),
+			)
 		}
 		lines = append(lines, command.Name)
 	}
--- a/control/characterization_test.go
+++ b/control/characterization_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// characterization is one run of the random driver with the hash of all actions that the module returned in it,
-// and of what it had learned at the end. The hashes were taken before the module was restructured: a change that
-// is meant to keep behaviour keeps them.
+// characterization is one run of the random driver with the hash of all actions that the module returned in
+// it, and of what it had learned at the end. The hashes were taken before the module was restructured: a
+// change that is meant to keep behaviour keeps them.
 type characterization struct {
 	name      string
 	seed      uint64
@@ -32,16 +32,44 @@
 		{"merged operations", 3, 0x0c, plain, false, "4e0d4c80944b35ec"},
 		{"sixteen instances, merged operations", 4, 0xff, plain, false, "681d35238c53e64e"},
 		{"service elsewhere", 5, 0x27, plain, true, "2d4ea7463ecbd452"},
-		{"slow start in turns", 6, 0x0b, func(s *Settings) { s.Hosts, s.Me, s.ColdUnits = 220, 7, 40 }, false, "0bffd0b8d55a483b"},
-		{"slow start with a share", 7, 0x09, func(s *Settings) { s.Hosts, s.Me, s.ColdShare = 4, 1, 0.25 }, false, "a748d635561db248"},
+		{
+			"slow start in turns",
+			6,
+			0x0b,
+			func(s *Settings) { s.Hosts, s.Me, s.ColdUnits = 220, 7, 40 },
+			false,
+			"0bffd0b8d55a483b",
+		},
+		{
+			"slow start with a share",
+			7,
+			0x09,
+			func(s *Settings) { s.Hosts, s.Me, s.ColdShare = 4, 1, 0.25 },
+			false,
+			"a748d635561db248",
+		},
 		{"unequal worths", 8, 0x42, func(s *Settings) {
 			s.Classes[0].Worth, s.Classes[1].Worth, s.Classes[2].Worth = 3, 2, 1
 			s.Plans[0].Worth, s.Plans[1].Worth = 1, 4
 			s.ShareWorth, s.SpareWorth = 0.35, 0.08
 		}, true, "2d18dd4ba2e20477"},
-		{"marked retries", 9, 0x12, func(s *Settings) { s.RetriesAreKnown = true }, false, "15bec58c607ceb0c"},
+		{
+			"marked retries",
+			9,
+			0x12,
+			func(s *Settings) { s.RetriesAreKnown = true },
+			false,
+			"15bec58c607ceb0c",
+		},
 		{"no Retry-After", 10, 0x06, func(s *Settings) { s.RetryAfter = false }, false, "df4454e482b9daa1"},
-		{"pushed list", 11, 0x01, func(s *Settings) { s.PushGrace, s.AskWithin = 250*ms, 4*time.Second }, false, "77e4c25f5c508200"},
+		{
+			"pushed list",
+			11,
+			0x01,
+			func(s *Settings) { s.PushGrace, s.AskWithin = 250*ms, 4*time.Second },
+			false,
+			"77e4c25f5c508200",
+		},
 		{"fifty-seven instances", 12, 0x8a, func(s *Settings) { s.Hosts = 57 }, true, "d5f886cdbf1822a2"},
 	}
 }
@@ -125,8 +153,17 @@
 // writeState spells what the module believes of the nodes and what it has learned.
 func writeState(sum hash.Hash, h *Host) {
 	for _, b := range h.Beliefs() {
-		fmt.Fprintf(sum, "node %s status=%d out=%d used=%s depth=%s latency=%d fails=%d\n", spellServer(b.Server),
-			uint8(b.Status), b.Out, spellFloat(b.Used), spellFloat(b.Depth), int64(b.Latency), b.Fails)
+		fmt.Fprintf(
+			sum,
+			"node %s status=%d out=%d used=%s depth=%s latency=%d fails=%d\n",
+			spellServer(b.Server),
+			uint8(b.Status),
+			b.Out,
+			spellFloat(b.Used),
+			spellFloat(b.Depth),
+			int64(b.Latency),
+			b.Fails,
+		)
 	}
 	learned := h.Learnt()
 	for _, server := range slices.SortedFunc(maps.Keys(learned.Nodes), Server.Compare) {
--- a/internal/lab/forms_test.go
+++ b/internal/lab/forms_test.go
@@ -21,12 +21,44 @@
 		}
 		out.Write(append(b, '\n'))
 	}
-	line(Event{T: 1, Kind: KindSent, Inst: 2, Node: 3, Client: 4, Conn: 5, Seq: 6, Token: 7, Try: 8, Attempt: 9,
-		Class: 10, Plan: 11, Volume: 12, Key: 13, Units: 14, Code: proto.OK, Reason: "word", Wait: 17, Status: "ready",
-		Boot: 19, Zone: 20, Cell: 21, Write: true, Op: 23, Piece: 24, Data: 25, Offset: 26, Length: 27, Sum: 28})
+	line(
+		Event{
+			T:       1,
+			Kind:    KindSent,
+			Inst:    2,
+			Node:    3,
+			Client:  4,
+			Conn:    5,
+			Seq:     6,
+			Token:   7,
+			Try:     8,
+			Attempt: 9,
+			Class:   10,
+			Plan:    11,
+			Volume:  12,
+			Key:     13,
+			Units:   14,
+			Code:    proto.OK,
+			Reason:  "word",
+			Wait:    17,
+			Status:  "ready",
+			Boot:    19,
+			Zone:    20,
+			Cell:    21,
+			Write:   true,
+			Op:      23,
+			Piece:   24,
+			Data:    25,
+			Offset:  26,
+			Length:  27,
+			Sum:     28,
+		},
+	)
 	line(Event{})
-	for _, kind := range []Kind{KindSent, KindAnswer, KindBroken, KindLeft, KindWaited, KindBoot, KindDown, KindArrive,
-		KindFull, KindMoot, KindStart, KindEnd, KindRepeat, KindCancel, KindCalled, KindReplied, KindFell, KindNotice,
+	for _, kind := range []Kind{KindSent, KindAnswer, KindBroken, KindLeft, KindWaited, KindBoot, KindDown,
+		KindArrive,
+		KindFull, KindMoot, KindStart, KindEnd, KindRepeat, KindCancel, KindCalled, KindReplied, KindFell,
+			KindNotice,
 		KindTold, KindUp, KindKill, KindStall, KindStuck, KindPulse} {
 		line(kind)
 	}
--- a/internal/nodelist/stored_test.go
+++ b/internal/nodelist/stored_test.go
@@ -18,10 +18,24 @@
 
 func storedKept() roster.Kept {
 	return roster.Kept{Epoch: 1_780_000_000_000_000_001, Version: 12, Entries: []roster.Entry{
-		{Server: control.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100}, Status: control.Ready, Cell: 4, Zone: 2,
-			Kind: 3, Boot: 1_779_999_999_000_000_002, Nominal: 1.25},
-		{Server: control.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101}, Status: control.Draining, Cell: 5, Zone: 1,
-			Kind: 1, Boot: 7, Nominal: 0.5},
+		{
+			Server:  control.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
+			Status:  control.Ready,
+			Cell:    4,
+			Zone:    2,
+			Kind:    3,
+			Boot:    1_779_999_999_000_000_002,
+			Nominal: 1.25,
+		},
+		{
+			Server:  control.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101},
+			Status:  control.Draining,
+			Cell:    5,
+			Zone:    1,
+			Kind:    1,
+			Boot:    7,
+			Nominal: 0.5,
+		},
 		{Server: control.Server{Addr: [4]byte{10, 1, 2, 5}, Port: 7102}, Status: control.Gone}}}
 }
 
@@ -45,7 +59,8 @@
 		t.Errorf("read %+v", got)
 	}
 	for _, e := range got.Entries {
-		if e.Server.Addr != [4]byte{127, 0, 0, 1} || e.Server.Port == 0 || e.Status != control.Ready || e.Boot == 0 {
+		if e.Server.Addr != [4]byte{127, 0, 0, 1} || e.Server.Port == 0 || e.Status != control.Ready ||
+			e.Boot == 0 {
 			t.Errorf("read %+v", e)
 		}
 	}
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -16,12 +16,17 @@
 	"landingpaddle/internal/wire"
 )
 
-// What reaches clients and disk servers is spelt out in testdata/forms.txt: answers by outcome and reason, what
-// the health path says, and the names of header fields.
+// What reaches clients and disk servers is spelt out in testdata/forms.txt: answers by outcome and reason,
+// what the health path says, and the names of header fields.
 func TestWrittenForms(t *testing.T) {
 	var out strings.Builder
 	core := sched.NewCore(sched.CoreConfig{})
-	f := newFront(core, &wire.Site{}, slog.New(slog.DiscardHandler), bounds{clients: 1, lingering: 1, open: 1})
+	f := newFront(
+		core,
+		&wire.Site{},
+		slog.New(slog.DiscardHandler),
+		bounds{clients: 1, lingering: 1, open: 1},
+	)
 	// written is what a connection is sent by do.
 	written := func(what string, do func(c *clientConn)) {
 		here, there := net.Pipe()
@@ -47,13 +52,16 @@
 	answer(proto.Answer{Code: proto.OK}, true)
 	answer(proto.Answer{Code: proto.Refused, Reason: sched.ReasonHeld, Advice: 250 * time.Millisecond}, false)
 	answer(proto.Answer{Code: proto.Refused, Reason: sched.ReasonOverload}, true)
-	for _, reason := range []string{sched.ReasonTimeout, sched.ReasonHeld, sched.ReasonOverdue, sched.ReasonReset,
-		sched.ReasonUnreachable, sched.ReasonError, sched.ReasonFull, sched.ReasonMoot, sched.ReasonStopping} {
+	for _, reason := range []string{sched.ReasonTimeout, sched.ReasonHeld, sched.ReasonOverdue,
+		sched.ReasonReset,
+		sched.ReasonUnreachable, sched.ReasonError, sched.ReasonFull, sched.ReasonMoot,
+			sched.ReasonStopping} {
 		answer(proto.Answer{Code: proto.Failed, Reason: reason}, false)
 	}
 	core.Stop()
 	written("health while stopping", func(c *clientConn) { f.health(c, true) })
-	for _, name := range []string{fieldID, fieldClass, fieldPlan, fieldBudget, fieldExtent, fieldAgain, fieldKey,
+	for _, name := range []string{fieldID, fieldClass, fieldPlan, fieldBudget, fieldExtent, fieldAgain,
+		fieldKey,
 		queryExtent, pathHealth, fieldMeter, fieldDelta, fieldTurned, pathServers} {
 		fmt.Fprintln(&out, name)
 	}
--- a/internal/sched/stored_test.go
+++ b/internal/sched/stored_test.go
@@ -13,8 +13,8 @@
 	"landingpaddle/internal/keep"
 )
 
-// The files in testdata were written before any field was renamed; what they hold must stay readable, and what
-// is written must stay the same bytes.
+// The files in testdata were written before any field was renamed; what they hold must stay readable, and
+// what is written must stay the same bytes.
 const (
 	storedFigures = "testdata/learnt.bin"      // storedRecord, written field by field
 	stoppedLearnt = "testdata/learnt-stop.bin" // written by a process at an orderly stop
@@ -31,8 +31,16 @@
 			{Server: control.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101}, Boot: 5,
 				Learnt: control.LearntNode{Latency: 13 * time.Millisecond, Deviation: 17 * time.Nanosecond}}},
 		Classes: []control.LearntClass{
-			{Mean: 1.5, Seen: 40, Fit: control.LearntFit{N: 21, Size: 2.125, Took: 0.5, Square: 6.5, Cross: 0.75}},
-			{Mean: 3.5, Seen: 41, Fit: control.LearntFit{N: 22, Size: 3.125, Took: 1.5, Square: 7.5, Cross: 1.75}}},
+			{
+				Mean: 1.5,
+				Seen: 40,
+				Fit:  control.LearntFit{N: 21, Size: 2.125, Took: 0.5, Square: 6.5, Cross: 0.75},
+			},
+			{
+				Mean: 3.5,
+				Seen: 41,
+				Fit:  control.LearntFit{N: 22, Size: 3.125, Took: 1.5, Square: 7.5, Cross: 1.75},
+			}},
 		Usual:  control.LearntFit{N: 23, Size: 4.125, Took: 2.5, Square: 8.5, Cross: 2.75},
 		Median: 19 * time.Millisecond, Lately: 23 * time.Millisecond}
 }
