--- a/internal/lab/forms_test.go
+++ b/internal/lab/forms_test.go
@@ -58,7 +58,7 @@
 	for _, kind := range []Kind{KindSent, KindAnswer, KindBroken, KindLeft, KindWaited, KindBoot, KindDown,
 		KindArrive,
 		KindFull, KindMoot, KindStart, KindEnd, KindRepeat, KindCancel, KindCalled, KindReplied, KindFell,
-			KindNotice,
+		KindNotice,
 		KindTold, KindUp, KindKill, KindStall, KindStuck, KindPulse} {
 		line(kind)
 	}
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -55,7 +55,7 @@
 	for _, reason := range []string{sched.ReasonTimeout, sched.ReasonHeld, sched.ReasonOverdue,
 		sched.ReasonReset,
 		sched.ReasonUnreachable, sched.ReasonError, sched.ReasonFull, sched.ReasonMoot,
-			sched.ReasonStopping} {
+		sched.ReasonStopping} {
 		answer(proto.Answer{Code: proto.Failed, Reason: reason}, false)
 	}
 	core.Stop()
