--- a/carry/carry.go
+++ b/carry/carry.go
@@ -14,8 +14,8 @@
 	"slices"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // Oldest is the age from which on a record tells nothing any more.
@@ -40,24 +40,24 @@
 
 // Node is a figure of one start of a node.
 type Node struct {
-	Server control.Server     `cbor:"Server"`
-	Boot   int64              `cbor:"Boot"` // Unix nanoseconds of the node's clock
-	Learnt control.LearntNode `cbor:"Learnt"`
+	Server scheduler.Server     `cbor:"Server"`
+	Boot   int64                `cbor:"Boot"` // Unix nanoseconds of the node's clock
+	Learnt scheduler.LearntNode `cbor:"Learnt"`
 }
 
 // Record is what is kept.
 type Record struct {
-	Written int64                 `cbor:"Written"` // Unix nanoseconds
-	Site    Site                  `cbor:"Site"`
-	Nodes   []Node                `cbor:"Nodes"`
-	Classes []control.LearntClass `cbor:"Classes"`
-	Usual   control.LearntFit     `cbor:"Usual"`
-	Median  time.Duration         `cbor:"Median"`
-	Lately  time.Duration         `cbor:"Lately"`
+	Written int64                   `cbor:"Written"` // Unix nanoseconds
+	Site    Site                    `cbor:"Site"`
+	Nodes   []Node                  `cbor:"Nodes"`
+	Classes []scheduler.LearntClass `cbor:"Classes"`
+	Usual   scheduler.LearntFit     `cbor:"Usual"`
+	Median  time.Duration           `cbor:"Median"`
+	Lately  time.Duration           `cbor:"Lately"`
 }
 
 // Keep makes the record of what was learnt, of the nodes that are listed.
-func Keep(wall int64, site Site, l control.Learnt, listed []roster.Entry) Record {
+func Keep(wall int64, site Site, l scheduler.Learnt, listed []roster.Entry) Record {
 	r := Record{Written: wall, Site: site, Classes: l.Classes, Usual: l.Usual, Median: l.Median,
 		Lately: l.Lately}
 	for _, e := range listed {
@@ -101,7 +101,7 @@
 
 func good(v, most float64) bool { return v >= 0 && v <= most } // false for what is no number
 
-func goodFit(f control.LearntFit) bool {
+func goodFit(f scheduler.LearntFit) bool {
 	for _, v := range []float64{f.N, f.Size, f.Took, f.Square, f.Cross} {
 		if !good(v, 1e12) {
 			return false
@@ -111,14 +111,14 @@
 }
 
 // Over is what of a checked record still means the same under these settings and this list.
-func (r Record) Over(now Site, listed []roster.Entry) control.Learnt {
-	out := control.Learnt{Nodes: map[control.Server]control.LearntNode{}}
+func (r Record) Over(now Site, listed []roster.Entry) scheduler.Learnt {
+	out := scheduler.Learnt{Nodes: map[scheduler.Server]scheduler.LearntNode{}}
 	if r.Site.Mean != now.Mean || r.Site.Most != now.Most {
 		return out // a unit means something else: so does every size, and every time reckoned by sizes
 	}
-	starts := map[control.Server]int64{}
+	starts := map[scheduler.Server]int64{}
 	for _, e := range listed {
-		if e.Status == control.Ready {
+		if e.Status == scheduler.Ready {
 			starts[e.Server] = e.Boot
 		}
 	}
@@ -128,7 +128,7 @@
 		}
 	}
 	for _, c := range now.Classes {
-		was := control.LearntClass{}
+		was := scheduler.LearntClass{}
 		if i := slices.Index(r.Site.Classes, c); i >= 0 {
 			was = r.Classes[i]
 		}
--- a/carry/carry_test.go
+++ b/carry/carry_test.go
@@ -6,32 +6,32 @@
 	"testing"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
-func server(i byte) control.Server { return control.Server{Addr: [4]byte{127, 0, 0, i}, Port: 1} }
+func server(i byte) scheduler.Server { return scheduler.Server{Addr: [4]byte{127, 0, 0, i}, Port: 1} }
 
 func site() Site {
 	return Site{Mean: 2, Most: 8, Classes: []Class{{"read", false}, {"write", true}}}
 }
 
 func listed() []roster.Entry {
-	return []roster.Entry{{Server: server(1), Status: control.Ready, Boot: 10},
-		{Server: server(2), Status: control.Ready, Boot: 20},
-		{Server: server(3), Status: control.Ready, Boot: 30}}
+	return []roster.Entry{{Server: server(1), Status: scheduler.Ready, Boot: 10},
+		{Server: server(2), Status: scheduler.Ready, Boot: 20},
+		{Server: server(3), Status: scheduler.Ready, Boot: 30}}
 }
 
 const wall = int64(time.Hour) * 1000
 
 func record() Record {
-	fit := control.LearntFit{N: 20, Size: 2, Took: 0.01, Square: 5, Cross: 0.03}
-	l := control.Learnt{Nodes: map[control.Server]control.LearntNode{}, Usual: fit,
+	fit := scheduler.LearntFit{N: 20, Size: 2, Took: 0.01, Square: 5, Cross: 0.03}
+	l := scheduler.Learnt{Nodes: map[scheduler.Server]scheduler.LearntNode{}, Usual: fit,
 		Median: 9 * time.Millisecond, Lately: 12 * time.Millisecond,
-		Classes: []control.LearntClass{{Mean: 2, Seen: 30, Fit: fit},
+		Classes: []scheduler.LearntClass{{Mean: 2, Seen: 30, Fit: fit},
 			{Mean: 3, Seen: 40, Fit: fit}}}
 	for i := byte(1); i <= 3; i++ {
-		l.Nodes[server(i)] = control.LearntNode{Latency: time.Duration(i) * time.Millisecond}
+		l.Nodes[server(i)] = scheduler.LearntNode{Latency: time.Duration(i) * time.Millisecond}
 	}
 	return Keep(wall, site(), l, listed())
 }
@@ -51,7 +51,7 @@
 func TestOnlyTheSameStartOfANodeCarriesOver(t *testing.T) {
 	list := listed()
 	list[0].Boot++
-	list[1].Status = control.Draining
+	list[1].Status = scheduler.Draining
 	l := record().Over(site(), list)
 	if _, same := l.Nodes[server(3)]; len(l.Nodes) != 1 || !same {
 		t.Errorf("got %v, want node 3 alone", l.Nodes)
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/wire"
+	"landingpaddle/scheduler"
 )
 
 func TestEndOfInputIsNoError(t *testing.T) {
@@ -33,11 +33,11 @@
 	}
 }
 
-func ask() *wire.Begin { return &wire.Begin{Settings: control.Settings{Ask: true}} }
+func ask() *wire.Begin { return &wire.Begin{Settings: scheduler.Settings{Ask: true}} }
 
 func TestKillAndFreshStartInOneBatch(t *testing.T) {
-	hosts := map[uint16]*control.Host{}
-	list := control.Members{Form: control.ListCached}
+	hosts := map[uint16]*scheduler.Host{}
+	list := scheduler.Members{Form: scheduler.ListCached}
 	start := []wire.Record{{Instance: 1, Begin: ask()}, {Instance: 1, Event: list}}
 	if _, err := answer(hosts, wire.Batch{Records: start}); err != nil {
 		t.Fatal(err)
@@ -54,8 +54,8 @@
 }
 
 func TestEventsForADeadInstanceAreDropped(t *testing.T) {
-	hosts := map[uint16]*control.Host{}
-	batch := wire.Batch{Records: []wire.Record{{Instance: 4, Event: control.Timer{Token: 1}}, {Instance: 4,
+	hosts := map[uint16]*scheduler.Host{}
+	batch := wire.Batch{Records: []wire.Record{{Instance: 4, Event: scheduler.Timer{Token: 1}}, {Instance: 4,
 		Stop: true}}}
 	if reply, err := answer(hosts, batch); err != nil || len(reply) != 4 {
 		t.Fatalf("got % x, %v", reply, err)
--- a/extent/joint_test.go
+++ b/extent/joint_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"landingpaddle/control"
 	"landingpaddle/extent"
+	"landingpaddle/scheduler"
 )
 
 const (
@@ -19,7 +19,7 @@
 // joint is a planner and a real control.Host in simulated time, driven as the scheduler drives them.
 type joint struct {
 	t      *rapid.T
-	host   *control.Host
+	host   *scheduler.Host
 	plan   *extent.Planner
 	set    extent.Settings
 	now    time.Duration
@@ -52,7 +52,7 @@
 	done  bool
 	sends int
 	op    *op // where it is out
-	at    control.Server
+	at    scheduler.Server
 	sent  time.Duration
 }
 
@@ -62,7 +62,9 @@
 	lost  bool
 }
 
-func at(cell int) control.Server { return control.Server{Addr: [4]byte{10, 0, 0, byte(cell)}, Port: 1} }
+func at(cell int) scheduler.Server {
+	return scheduler.Server{Addr: [4]byte{10, 0, 0, byte(cell)}, Port: 1}
+}
 
 func (j *joint) take(class int) {
 	j.seq++
@@ -83,7 +85,7 @@
 		a.parts, j.pieces[c.ID] = append(a.parts, p), p
 	}
 	for n, c := range cut {
-		j.host.Handle(j.now, control.Request{ID: c.ID, Class: class, Cell: c.Cell,
+		j.host.Handle(j.now, scheduler.Request{ID: c.ID, Class: class, Cell: c.Cell,
 			Key: a.key, Write: q.Write, Writers: 1, Volume: a.id % 3, Units: float64(c.Units),
 			Expires: a.expires, Further: n > 0})
 	}
@@ -95,7 +97,7 @@
 	var leaving []*op
 	for _, act := range j.host.Decide(j.now) {
 		switch x := act.(type) {
-		case control.Send:
+		case scheduler.Send:
 			p := j.pieces[x.ID]
 			j.plan.Sent(x.ID)
 			p.sends++
@@ -106,11 +108,11 @@
 			}
 			last.parts = append(last.parts, p)
 			p.op = last
-		case control.Refuse:
+		case scheduler.Refuse:
 			j.over(x.ID, extent.Refused)
-		case control.Fail:
+		case scheduler.Fail:
 			j.over(x.ID, extent.Failed)
-		case control.SetTimer:
+		case scheduler.SetTimer:
 			j.timers = append(j.timers, timer{j.now + x.After, x.Token})
 		}
 	}
@@ -172,22 +174,22 @@
 	}
 	for _, w := range withdraw {
 		j.pieces[w].done = true
-		j.host.Handle(j.now, control.Left{ID: w})
+		j.host.Handle(j.now, scheduler.Left{ID: w})
 	}
 }
 
 // outcome ends one member's attempt.
-func (j *joint) outcome(p *part, code control.Code) {
+func (j *joint) outcome(p *part, code scheduler.Code) {
 	p.op = nil
-	j.plan.Ended(p.id, code != control.Full)
-	if code == control.OK {
+	j.plan.Ended(p.id, code != scheduler.Full)
+	if code == scheduler.OK {
 		j.over(p.id, extent.Served)
 	}
-	j.host.Handle(j.now, control.Outcome{ID: p.id, Attempt: p.sends - 1, Server: p.at, Code: code,
+	j.host.Handle(j.now, scheduler.Outcome{ID: p.id, Attempt: p.sends - 1, Server: p.at, Code: code,
 		Took: j.now - p.sent, Ended: p.done})
 }
 
-var codes = []control.Code{control.OK, control.OK, control.OK, control.Reset, control.Full}
+var codes = []scheduler.Code{scheduler.OK, scheduler.OK, scheduler.OK, scheduler.Reset, scheduler.Full}
 
 // step lets time pass: operations end, members whose time is up are called off one by one, timers come due.
 func (j *joint) step(d time.Duration) {
@@ -196,7 +198,7 @@
 	j.ops = nil
 	for _, o := range ops {
 		ended := o.end <= j.now && !o.lost
-		code := control.OK
+		code := scheduler.OK
 		if ended {
 			code = rapid.SampledFrom(codes).Draw(j.t, "code")
 		}
@@ -205,7 +207,7 @@
 			case ended:
 				j.outcome(p, code)
 			case p.ask.expires <= j.now:
-				j.outcome(p, control.TimedOut)
+				j.outcome(p, scheduler.TimedOut)
 			default:
 				return false
 			}
@@ -219,7 +221,7 @@
 	j.timers = slices.DeleteFunc(j.timers, func(t timer) bool { return t.at <= j.now })
 	for _, t := range due {
 		if t.at <= j.now {
-			j.host.Handle(j.now, control.Timer{Token: t.token})
+			j.host.Handle(j.now, scheduler.Timer{Token: t.token})
 		}
 	}
 	j.decide()
@@ -234,17 +236,20 @@
 			set: extent.Settings{Extent: 32, Largest: 32, Pieces: 16, Cells: 2,
 				Members: rapid.SampledFrom([]int{8, 1}).Draw(t, "members")}}
 		j.plan = extent.New(j.set)
-		j.host = control.New(1, control.Settings{Hosts: 1, MaxAttempts: 3, RetryAfter: true, MeanUnits: 1,
-			MaxRetryAfter: time.Second, MostUnits: 64, OrderPause: 20 * ms, Classes: []control.Class{
+		j.host = scheduler.New(1, scheduler.Settings{Hosts: 1, MaxAttempts: 3, RetryAfter: true, MeanUnits: 1,
+			MaxRetryAfter: time.Second, MostUnits: 64, OrderPause: 20 * ms, Classes: []scheduler.Class{
 				{Aim: 400 * ms, Deadline: 900 * ms, Worth: 1}, {Aim: 400 * ms, Deadline: 900 * ms, Worth: 1,
-					Repeat: control.Keyed, Window: time.Second, InOrder: true, Writes: true}},
-			Plans: []control.Plan{{Rate: 10, Weight: 1}}})
+					Repeat: scheduler.Keyed, Window: time.Second, InOrder: true, Writes: true}},
+			Plans: []scheduler.Plan{{Rate: 10, Weight: 1}}})
 		j.host.Accompany(j.plan)
-		var list []control.Entry
+		var list []scheduler.Entry
 		for cell := range 2 {
-			list = append(list, control.Entry{Server: at(cell), Status: control.Ready, Cell: uint16(cell)})
+			list = append(
+				list,
+				scheduler.Entry{Server: at(cell), Status: scheduler.Ready, Cell: uint16(cell)},
+			)
 		}
-		j.host.Handle(j.now, control.Members{Form: control.ListFull, Entries: list})
+		j.host.Handle(j.now, scheduler.Members{Form: scheduler.ListFull, Entries: list})
 		for range rapid.SampledFrom([]int{10, 40}).Draw(t, "steps") {
 			for range rapid.SampledFrom([]int{6, 2, 0, 30}).Draw(t, "asks") {
 				j.take(rapid.IntRange(0, 1).Draw(t, "class"))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/sexpr"
+	"landingpaddle/scheduler"
 )
 
 const site = `(site (zones a b) (ask) (mean-units 3) (most-units 9) (load lat_ms)
@@ -52,8 +52,10 @@
 		!s.RetriesAreKnown || !s.TellsElsewhere || p.Worth != 1.5 {
 		t.Errorf("settings of the newer build %+v", s)
 	}
-	if w.Repeat != control.Keyed || w.Group != control.GroupZone || w.Window != 5*time.Second || !w.InOrder ||
-		!w.Writes || w.Worth != 3 || w.Late != 0.2 || w.Aim != 200*time.Millisecond {
+	if w.Repeat != scheduler.Keyed || w.Group != scheduler.GroupZone || w.Window != 5*time.Second ||
+		!w.InOrder ||
+		!w.Writes || w.Worth != 3 || w.Late != 0.2 ||
+		w.Aim != 200*time.Millisecond {
 		t.Errorf("class %+v", w)
 	}
 	if p.Rate != 5 || p.Reserve != 2 || p.Weight != 2 || p.Limit != 10 || p.Burst != 20 || p.LimitSlack != 3 {
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -7,13 +7,13 @@
 	"slices"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/extent"
 	"landingpaddle/internal/sexpr"
+	"landingpaddle/scheduler"
 )
 
 // Repeat is control.Repeat in settings.
-type Repeat control.Repeat
+type Repeat scheduler.Repeat
 
 var repeatNames = []string{"safe", "keyed", "unsafe"}
 
@@ -23,7 +23,7 @@
 func (r Repeat) String() string { return repeatNames[r] }
 
 // Group is control.Group in settings.
-type Group control.Group
+type Group scheduler.Group
 
 var groupNames = []string{"all", "zone", "cell"}
 
@@ -60,9 +60,9 @@
 	switch {
 	case c.Aim > c.Deadline:
 		return fmt.Errorf("class %s: aim %v is after its deadline %v", c.Name, c.Aim, c.Deadline)
-	case c.Repeat == Repeat(control.Keyed) && c.Window == 0:
+	case c.Repeat == Repeat(scheduler.Keyed) && c.Window == 0:
 		return fmt.Errorf("class %s is keyed; want (window …), in which its group drops repeats", c.Name)
-	case c.Repeat != Repeat(control.Keyed) && c.Window > 0:
+	case c.Repeat != Repeat(scheduler.Keyed) && c.Window > 0:
 		return fmt.Errorf("class %s is %v; only a keyed class has a (window …)", c.Name, c.Repeat)
 	}
 	return nil
@@ -258,8 +258,8 @@
 }
 
 // Control turns the site's settings into those of one instance's module.
-func (s *Site) Control(me, hosts int, zone uint8, peers bool) control.Settings {
-	set := control.Settings{Me: me, Hosts: hosts, Ask: s.Ask, MaxAttempts: s.Limits.Attempts,
+func (s *Site) Control(me, hosts int, zone uint8, peers bool) scheduler.Settings {
+	set := scheduler.Settings{Me: me, Hosts: hosts, Ask: s.Ask, MaxAttempts: s.Limits.Attempts,
 		Probes: s.Limits.Probes, Peers: peers, Cancel: s.Limits.Cancel, SecondCopies: s.Limits.SecondCopies,
 		RetryAfter: s.Limits.RetryAfter, MaxRetryAfter: s.Limits.MaxRetryAfter,
 		ConnectTimeout: s.Limits.ConnectTimeout, Tick: s.Limits.Tick, MeanUnits: s.MeanUnits,
@@ -272,12 +272,12 @@
 		set.Budget, set.BudgetFloor, set.BudgetRatio, set.BudgetWindow = true, b.Floor, b.Ratio, b.Window
 	}
 	for _, c := range s.Classes {
-		set.Classes = append(set.Classes, control.Class{Aim: c.Aim, Deadline: c.Deadline,
-			Repeat: control.Repeat(c.Repeat), Group: control.Group(c.Group), Window: c.Window,
+		set.Classes = append(set.Classes, scheduler.Class{Aim: c.Aim, Deadline: c.Deadline,
+			Repeat: scheduler.Repeat(c.Repeat), Group: scheduler.Group(c.Group), Window: c.Window,
 			InOrder: c.InOrder, Writes: c.Writes, Worth: c.Worth, Late: c.Late})
 	}
 	for _, p := range s.Plans {
-		set.Plans = append(set.Plans, control.Plan{Rate: p.Rate, Reserve: p.Reserve, Weight: p.Weight,
+		set.Plans = append(set.Plans, scheduler.Plan{Rate: p.Rate, Reserve: p.Reserve, Weight: p.Weight,
 			Limit: p.Limit, Burst: p.Burst, LimitSlack: p.Slack, Worth: p.Worth})
 	}
 	return set
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -8,9 +8,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
 )
 
 // Verdict is what the audit says of one rule.
@@ -277,8 +277,8 @@
 	done := map[piece]int{}
 	for _, t := range a.sent {
 		class := a.site.Classes[t.sent.Class]
-		repeat := control.Repeat(class.Repeat)
-		if repeat == control.Safe {
+		repeat := scheduler.Repeat(class.Repeat)
+		if repeat == scheduler.Safe {
 			continue
 		}
 		if len(t.attempts) > 0 {
@@ -305,7 +305,7 @@
 			}
 		}
 		e, ok := t.answered()
-		truthful := repeat == control.Keyed && control.Group(class.Group) == control.GroupAll
+		truthful := repeat == scheduler.Keyed && scheduler.Group(class.Group) == scheduler.GroupAll
 		if ok && e.Code == proto.Refused && ran != nil && ran.arrive.T < e.T && !truthful {
 			a.broke(RuleEffects, e, "refused while it may have run on node %d", ran.arrive.Node)
 		}
@@ -314,15 +314,15 @@
 
 // repeat judges an attempt after one that may have run.
 func (a *audit) repeat(class config.Class, ran, at *attemptLog) {
-	if control.Repeat(class.Repeat) == control.Unsafe {
+	if scheduler.Repeat(class.Repeat) == scheduler.Unsafe {
 		a.broke(RuleEffects, at.arrive, "sent again while it may have run on node %d", ran.arrive.Node)
 		return
 	}
 	same := true
-	switch control.Group(class.Group) {
-	case control.GroupZone:
+	switch scheduler.Group(class.Group) {
+	case scheduler.GroupZone:
 		same = a.zones[ran.arrive.Node] == a.zones[at.arrive.Node]
-	case control.GroupCell:
+	case scheduler.GroupCell:
 		same = ran.arrive.Cell == at.arrive.Cell
 	}
 	if !same {
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -5,19 +5,19 @@
 	"slices"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/sched"
+	"landingpaddle/scheduler"
 )
 
 // Greedy sends everything at once to the node that the list names. It is the baseline against which a day's
 // worth is told, and, with one of its habits set, the mutant of a rule: a scheduler that the audit must
 // catch.
 type Greedy struct {
-	set   control.Settings
-	nodes map[control.Server]control.Entry
+	set   scheduler.Settings
+	nodes map[scheduler.Server]scheduler.Entry
 	reqs  map[uint32]*greedyRequest
-	acts  []control.Action
+	acts  []scheduler.Action
 	turn  int
 	asked bool // a watch was opened
 
@@ -27,106 +27,106 @@
 }
 
 type greedyRequest struct {
-	control.Request
+	scheduler.Request
 	sends int
-	at    control.Server
+	at    scheduler.Server
 	ran   bool
 }
 
 // NewGreedy makes one for an instance with those settings.
-func NewGreedy(set control.Settings) *Greedy {
-	return &Greedy{set: set, nodes: map[control.Server]control.Entry{}, reqs: map[uint32]*greedyRequest{}}
+func NewGreedy(set scheduler.Settings) *Greedy {
+	return &Greedy{set: set, nodes: map[scheduler.Server]scheduler.Entry{}, reqs: map[uint32]*greedyRequest{}}
 }
 
 // Handle takes an event in.
-func (g *Greedy) Handle(_ time.Duration, ev control.Event) {
+func (g *Greedy) Handle(_ time.Duration, ev scheduler.Event) {
 	if g.set.Ask && !g.asked {
 		g.asked = true
-		g.acts = append(g.acts, control.Watch{On: true})
+		g.acts = append(g.acts, scheduler.Watch{On: true})
 	}
 	switch x := ev.(type) {
-	case control.Timer:
+	case scheduler.Timer:
 		g.asked = false // a watch failed a while ago: the next event opens it again
-	case control.Members:
-		if x.Form == control.ListFailed {
-			g.acts = append(g.acts, control.SetTimer{After: time.Second})
+	case scheduler.Members:
+		if x.Form == scheduler.ListFailed {
+			g.acts = append(g.acts, scheduler.SetTimer{After: time.Second})
 			return
 		}
-		if x.Form == control.ListFull {
+		if x.Form == scheduler.ListFull {
 			for s, e := range g.nodes {
-				e.Status = control.Gone
+				e.Status = scheduler.Gone
 				g.nodes[s] = e
 			}
 		}
 		for _, e := range x.Entries {
 			g.nodes[e.Server] = e
 		}
-	case control.Request:
+	case scheduler.Request:
 		r := &greedyRequest{Request: x}
 		g.reqs[x.ID] = r
 		g.send(r, g.pick(r, false))
-	case control.Left:
+	case scheduler.Left:
 		delete(g.reqs, x.ID)
-	case control.Outcome:
+	case scheduler.Outcome:
 		if r := g.reqs[x.ID]; r != nil {
 			g.outcome(r, x)
 		}
 	}
 }
 
-func (g *Greedy) outcome(r *greedyRequest, o control.Outcome) {
+func (g *Greedy) outcome(r *greedyRequest, o scheduler.Outcome) {
 	if o.Ended {
 		delete(g.reqs, r.ID)
 		return
 	}
-	proven := o.Code == control.Full || o.Code == control.ConnectFailed || o.Code == control.Moot
+	proven := o.Code == scheduler.Full || o.Code == scheduler.ConnectFailed || o.Code == scheduler.Moot
 	r.ran = r.ran || !proven
 	class := g.set.Classes[r.Class]
 	switch {
-	case g.Again && r.sends < g.set.MaxAttempts && (class.Repeat == control.Safe || !r.ran):
+	case g.Again && r.sends < g.set.MaxAttempts && (class.Repeat == scheduler.Safe || !r.ran):
 		g.send(r, g.pick(r, false))
-	case g.Astray && r.sends < g.set.MaxAttempts && class.Repeat == control.Keyed:
+	case g.Astray && r.sends < g.set.MaxAttempts && class.Repeat == scheduler.Keyed:
 		g.send(r, g.pick(r, true))
-	case !r.ran || class.Repeat == control.Safe:
-		g.acts = append(g.acts, control.Refuse{ID: r.ID})
+	case !r.ran || class.Repeat == scheduler.Safe:
+		g.acts = append(g.acts, scheduler.Refuse{ID: r.ID})
 		delete(g.reqs, r.ID)
 	default:
-		g.acts = append(g.acts, control.Fail{ID: r.ID})
+		g.acts = append(g.acts, scheduler.Fail{ID: r.ID})
 		delete(g.reqs, r.ID)
 	}
 }
 
-func (g *Greedy) send(r *greedyRequest, e control.Entry) {
-	if e.Server == (control.Server{}) {
-		g.acts = append(g.acts, control.Refuse{ID: r.ID})
+func (g *Greedy) send(r *greedyRequest, e scheduler.Entry) {
+	if e.Server == (scheduler.Server{}) {
+		g.acts = append(g.acts, scheduler.Refuse{ID: r.ID})
 		delete(g.reqs, r.ID)
 		return
 	}
 	r.sends++
 	r.at = e.Server
-	g.acts = append(g.acts, control.Send{ID: r.ID, Server: e.Server})
+	g.acts = append(g.acts, scheduler.Send{ID: r.ID, Server: e.Server})
 }
 
 // pick is the node that holds the cell, or for a new object the next in turn; other: one elsewhere than
 // before.
-func (g *Greedy) pick(r *greedyRequest, other bool) control.Entry {
-	var fit []control.Entry
+func (g *Greedy) pick(r *greedyRequest, other bool) scheduler.Entry {
+	var fit []scheduler.Entry
 	for _, e := range g.nodes {
-		ready := e.Status == control.Ready || g.Draining
+		ready := e.Status == scheduler.Ready || g.Draining
 		if ready && (r.Cell < 0 || int(e.Cell) == r.Cell) && (!other || e.Zone != g.nodes[r.at].Zone) {
 			fit = append(fit, e)
 		}
 	}
 	if len(fit) == 0 {
-		return control.Entry{}
+		return scheduler.Entry{}
 	}
-	slices.SortFunc(fit, func(a, b control.Entry) int { return cmp.Compare(a.Cell, b.Cell) })
+	slices.SortFunc(fit, func(a, b scheduler.Entry) int { return cmp.Compare(a.Cell, b.Cell) })
 	g.turn++
 	return fit[g.turn%len(fit)]
 }
 
 // Decide returns what is to be done.
-func (g *Greedy) Decide(time.Duration) []control.Action {
+func (g *Greedy) Decide(time.Duration) []scheduler.Action {
 	acts := g.acts
 	g.acts = nil
 	return acts
@@ -134,7 +134,7 @@
 
 // Baseline are the hooks that put the greedy baseline in the module's place.
 func Baseline(change func(*Greedy)) sched.Hooks {
-	return sched.Hooks{Decider: func(set control.Settings, _ sched.Decider) sched.Decider {
+	return sched.Hooks{Decider: func(set scheduler.Settings, _ sched.Decider) sched.Decider {
 		g := NewGreedy(set)
 		if change != nil {
 			change(g)
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -17,11 +17,11 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/sched"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // Options are how a day is played.
@@ -229,13 +229,13 @@
 
 func newGroups() *groups { return &groups{by: map[[2]int]*Group{}} }
 
-func (g *groups) of(zone uint8, cell uint16) func(control.Group) *Group {
-	return func(kind control.Group) *Group {
+func (g *groups) of(zone uint8, cell uint16) func(scheduler.Group) *Group {
+	return func(kind scheduler.Group) *Group {
 		id := [2]int{int(kind), 0}
 		switch kind {
-		case control.GroupZone:
+		case scheduler.GroupZone:
 			id[1] = int(zone)
-		case control.GroupCell:
+		case scheduler.GroupCell:
 			id[1] = int(cell)
 		}
 		g.mu.Lock()
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -13,11 +13,11 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // Group remembers keyed operations for the nodes that drop each other's repeats.
@@ -93,7 +93,7 @@
 	Addr   netip.AddrPort
 	Seed   uint64
 	Log    *Log
-	Groups func(g control.Group) *Group // which group drops repeats with it
+	Groups func(g scheduler.Group) *Group // which group drops repeats with it
 	Meter  *Meter
 	Cold   bool          // its first start counts as just now, not long ago
 	Ahead  time.Duration // its clock is ahead of ours by so much
@@ -225,7 +225,7 @@
 	}
 	g.Go(func() error { return l.housekeeping(ctx) })
 	g.Go(func() error { return nodelist.Register(ctx, n.cfg.List, cfg, l.status) })
-	l.status <- l.entry(control.Ready)
+	l.status <- l.entry(scheduler.Ready)
 	return g.Wait()
 }
 
@@ -246,7 +246,7 @@
 	return nil, err
 }
 
-func (l *life) entry(s control.Status) roster.Entry {
+func (l *life) entry(s scheduler.Status) roster.Entry {
 	server, err := nodelist.ServerOf(l.n.cfg.Addr)
 	if err != nil {
 		panic(err) // bound as IPv4
@@ -313,7 +313,7 @@
 	}
 	l.mu.Unlock()
 	select {
-	case l.status <- l.entry(control.Draining):
+	case l.status <- l.entry(scheduler.Draining):
 	default:
 	}
 }
@@ -443,7 +443,7 @@
 }
 
 func (l *life) forget(o *op) {
-	if class := l.n.cfg.Site.Classes[o.req.Class]; class.Repeat == config.Repeat(control.Keyed) {
+	if class := l.n.cfg.Site.Classes[o.req.Class]; class.Repeat == config.Repeat(scheduler.Keyed) {
 		for _, m := range o.members {
 			if !m.repeat {
 				l.group(class).forget(m.effect())
@@ -485,7 +485,7 @@
 	fell, draining := l.press(float64(o.req.Units)), l.draining
 	l.mu.Unlock()
 	class := l.n.cfg.Site.Classes[o.req.Class]
-	keyed := class.Repeat == config.Repeat(control.Keyed)
+	keyed := class.Repeat == config.Repeat(scheduler.Keyed)
 	switch {
 	case fell:
 		l.log(Event{Kind: KindFell, Inst: o.inst, Token: o.req.Token, Boot: l.told})
@@ -506,7 +506,7 @@
 	}
 }
 
-func (l *life) group(c config.Class) *Group { return l.n.cfg.Groups(control.Group(c.Group)) }
+func (l *life) group(c config.Class) *Group { return l.n.cfg.Groups(scheduler.Group(c.Group)) }
 
 // capacity is the part of its work that the node can do now: it warms over the ramp.
 func (l *life) capacity() float64 {
--- a/internal/lab/throughput_test.go
+++ b/internal/lab/throughput_test.go
@@ -12,11 +12,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/sched"
+	"landingpaddle/scheduler"
 )
 
 // throughputSite has aims so long that nothing is given up: what is measured is the path, not the decisions
@@ -138,7 +138,7 @@
 			for i := range nodesOfThroughput {
 				node, err := NewNode(NodeConfig{Number: i, Cell: uint16(i), Kind: kind, Site: &site,
 					List: lists.Addr().String(), Seed: 1, Meter: NewMeter(0),
-					Groups: func(control.Group) *Group { return group }})
+					Groups: func(scheduler.Group) *Group { return group }})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -7,9 +7,9 @@
 	"fmt"
 	"net/netip"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/proto"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // MostEntries bounds a list read from outside.
@@ -40,15 +40,15 @@
 }
 
 // ServerOf turns an address such as 127.0.0.1:7100 into the module's form.
-func ServerOf(addr netip.AddrPort) (control.Server, error) {
+func ServerOf(addr netip.AddrPort) (scheduler.Server, error) {
 	if !addr.Addr().Unmap().Is4() {
-		return control.Server{}, fmt.Errorf("%v is no IPv4 address", addr)
+		return scheduler.Server{}, fmt.Errorf("%v is no IPv4 address", addr)
 	}
-	return control.Server{Addr: addr.Addr().Unmap().As4(), Port: addr.Port()}, nil
+	return scheduler.Server{Addr: addr.Addr().Unmap().As4(), Port: addr.Port()}, nil
 }
 
 // AddrOf turns it back.
-func AddrOf(s control.Server) netip.AddrPort {
+func AddrOf(s scheduler.Server) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(s.Addr), s.Port)
 }
 
@@ -59,15 +59,22 @@
 }
 
 func (i Item) entry() (roster.Entry, error) {
-	if i.Status > uint8(control.Draining) {
+	if i.Status > uint8(scheduler.Draining) {
 		return roster.Entry{}, fmt.Errorf("status %d is not known", i.Status)
 	}
 	if i.Port == 0 {
 		return roster.Entry{}, fmt.Errorf("port 0")
 	}
 	addr := [4]byte{byte(i.Addr >> 24), byte(i.Addr >> 16), byte(i.Addr >> 8), byte(i.Addr)}
-	return roster.Entry{Server: control.Server{Addr: addr, Port: i.Port}, Status: control.Status(i.Status),
-		Cell: i.Cell, Zone: i.Zone, Kind: i.Kind, Boot: i.Boot, Nominal: i.Nominal}, nil
+	return roster.Entry{
+		Server:  scheduler.Server{Addr: addr, Port: i.Port},
+		Status:  scheduler.Status(i.Status),
+		Cell:    i.Cell,
+		Zone:    i.Zone,
+		Kind:    i.Kind,
+		Boot:    i.Boot,
+		Nominal: i.Nominal,
+	}, nil
 }
 
 func itemsOf(entries []roster.Entry) []Item {
--- a/internal/nodelist/nodelist_test.go
+++ b/internal/nodelist/nodelist_test.go
@@ -15,15 +15,15 @@
 
 	"go.uber.org/goleak"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/keep"
 	"landingpaddle/internal/proto"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func entry(port int, s control.Status) roster.Entry {
+func entry(port int, s scheduler.Status) roster.Entry {
 	server, _ := ServerOf(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)))
 	return roster.Entry{Server: server, Status: s, Cell: uint16(port), Boot: 7, Nominal: 1}
 }
@@ -72,7 +72,7 @@
 
 func TestWatchTellsTheWholeThenChanges(t *testing.T) {
 	r := start(t, ServerConfig{MaxWait: time.Second}, false, nil)
-	r.s.Put(entry(1, control.Ready))
+	r.s.Put(entry(1, scheduler.Ready))
 	time.Sleep(50 * time.Millisecond)
 	r.c.Watch(true)
 	if n := next(t, r.news); !n.Whole || len(n.Entries) != 1 || n.Epoch != 9 {
@@ -81,14 +81,14 @@
 	if e := next(t, r.told); e.Server.Port != 1 {
 		t.Errorf("told %+v", e)
 	}
-	r.s.Put(entry(2, control.Draining))
+	r.s.Put(entry(2, scheduler.Draining))
 	n := next(t, r.news)
-	if n.Whole || n.Since+1 != n.Version || n.Entries[0].Status != control.Draining {
+	if n.Whole || n.Since+1 != n.Version || n.Entries[0].Status != scheduler.Draining {
 		t.Errorf("change %+v", n)
 	}
 	r.c.Watch(false)
 	time.Sleep(50 * time.Millisecond)
-	r.s.Put(entry(3, control.Ready))
+	r.s.Put(entry(3, scheduler.Ready))
 	// The service takes a change in on a queue of its own: a fetch may overtake it.
 	for tries := 1; ; tries++ {
 		r.c.Fetch()
@@ -105,8 +105,8 @@
 
 func TestFetchOfWhatIsHeldTellsChangesOnly(t *testing.T) {
 	r := start(t, ServerConfig{MaxWait: time.Second}, false, func() (uint64, uint64) { return 9, 1 })
-	r.s.Put(entry(1, control.Ready))
-	r.s.Put(entry(2, control.Ready))
+	r.s.Put(entry(1, scheduler.Ready))
+	r.s.Put(entry(2, scheduler.Ready))
 	time.Sleep(50 * time.Millisecond)
 	r.c.Fetch()
 	if n := next(t, r.news); n.Whole || n.Since != 1 || len(n.Entries) != 1 || n.Entries[0].Server.Port != 2 {
@@ -129,15 +129,16 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = Register(ctx, r.addr, proto.Config{}, changes) })
 	began := time.Now()
-	changes <- entry(5, control.Ready)
+	changes <- entry(5, scheduler.Ready)
 	if n := next(t,
-		r.news); n.Entries[0].Status != control.Ready || time.Since(began) < 150*time.Millisecond {
+		r.news); n.Entries[0].Status != scheduler.Ready || time.Since(began) < 150*time.Millisecond {
 		t.Errorf("after %v: %+v", time.Since(began), n)
 	}
 	began = time.Now()
 	cancel()
 	wg.Wait()
-	if n := next(t, r.news); n.Entries[0].Status != control.Gone || time.Since(began) < 140*time.Millisecond {
+	if n := next(t, r.news); n.Entries[0].Status != scheduler.Gone ||
+		time.Since(began) < 140*time.Millisecond {
 		t.Errorf("after %v: %+v", time.Since(began), n)
 	}
 }
@@ -202,8 +203,8 @@
 	if k, err := f.Load(); err != nil || k.Version != 0 {
 		t.Fatalf("no file: %+v, %v", k, err)
 	}
-	want := roster.Kept{Epoch: 3, Version: 4, Entries: []roster.Entry{entry(1, control.Ready), entry(2,
-		control.Draining)}}
+	want := roster.Kept{Epoch: 3, Version: 4, Entries: []roster.Entry{entry(1, scheduler.Ready), entry(2,
+		scheduler.Draining)}}
 	if err := f.Save(want); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nodelist/server.go
+++ b/internal/nodelist/server.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/proto"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // ServerConfig is a stand-in list service.
@@ -36,8 +36,8 @@
 	delay    time.Duration
 	down     bool
 	version  uint64
-	listed   map[control.Server]roster.Entry // as told; gone ones stay with that status
-	changed  map[control.Server]uint64       // version of the last change
+	listed   map[scheduler.Server]roster.Entry // as told; gone ones stay with that status
+	changed  map[scheduler.Server]uint64       // version of the last change
 	watchers map[*session]struct{}
 	free     []time.Time // when each worker is free
 	pending  map[*time.Timer]struct{}
@@ -65,8 +65,8 @@
 	cfg.Conn.Limits = Limits
 	cfg.Conn.Idle = 24 * time.Hour
 	cfg.Conn.Hello.Role = "list"
-	return &Server{cfg: cfg, delay: cfg.Delay, listed: map[control.Server]roster.Entry{},
-		changed: map[control.Server]uint64{}, watchers: map[*session]struct{}{},
+	return &Server{cfg: cfg, delay: cfg.Delay, listed: map[scheduler.Server]roster.Entry{},
+		changed: map[scheduler.Server]uint64{}, watchers: map[*session]struct{}{},
 		free: make([]time.Time, cfg.Workers), pending: map[*time.Timer]struct{}{}}
 }
 
@@ -190,7 +190,7 @@
 				continue
 			}
 			c.entry = now
-			c.entry.Status = control.Gone
+			c.entry.Status = scheduler.Gone
 		}
 		s.apply(c.entry)
 	}
@@ -242,7 +242,7 @@
 	n := roster.News{Epoch: s.cfg.Epoch, Version: s.version, Since: ask.Version,
 		Whole: ask.Epoch != s.cfg.Epoch || ask.Version == 0 || ask.Version > s.version}
 	for _, e := range s.listed {
-		if n.Whole && e.Status != control.Gone || !n.Whole && s.changed[e.Server] > ask.Version {
+		if n.Whole && e.Status != scheduler.Gone || !n.Whole && s.changed[e.Server] > ask.Version {
 			n.Entries = append(n.Entries, e)
 		}
 	}
--- a/internal/nodelist/stored_test.go
+++ b/internal/nodelist/stored_test.go
@@ -6,8 +6,8 @@
 	"reflect"
 	"testing"
 
-	"landingpaddle/control"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // The files in testdata were written before any field was renamed.
@@ -19,8 +19,8 @@
 func storedKept() roster.Kept {
 	return roster.Kept{Epoch: 1_780_000_000_000_000_001, Version: 12, Entries: []roster.Entry{
 		{
-			Server:  control.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
-			Status:  control.Ready,
+			Server:  scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
+			Status:  scheduler.Ready,
 			Cell:    4,
 			Zone:    2,
 			Kind:    3,
@@ -28,15 +28,15 @@
 			Nominal: 1.25,
 		},
 		{
-			Server:  control.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101},
-			Status:  control.Draining,
+			Server:  scheduler.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101},
+			Status:  scheduler.Draining,
 			Cell:    5,
 			Zone:    1,
 			Kind:    1,
 			Boot:    7,
 			Nominal: 0.5,
 		},
-		{Server: control.Server{Addr: [4]byte{10, 1, 2, 5}, Port: 7102}, Status: control.Gone}}}
+		{Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 5}, Port: 7102}, Status: scheduler.Gone}}}
 }
 
 func TestStoredListReadsAndWritesAsBefore(t *testing.T) {
@@ -59,7 +59,7 @@
 		t.Errorf("read %+v", got)
 	}
 	for _, e := range got.Entries {
-		if e.Server.Addr != [4]byte{127, 0, 0, 1} || e.Server.Port == 0 || e.Status != control.Ready ||
+		if e.Server.Addr != [4]byte{127, 0, 0, 1} || e.Server.Port == 0 || e.Status != scheduler.Ready ||
 			e.Boot == 0 {
 			t.Errorf("read %+v", e)
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -13,7 +13,7 @@
 	"net/netip"
 	"sync/atomic"
 
-	"landingpaddle/control"
+	"landingpaddle/scheduler"
 )
 
 const (
@@ -82,7 +82,7 @@
 func (l *Link) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Run hands messages on until ctx ends; hear must not block.
-func (l *Link) Run(ctx context.Context, hear func(control.Peer)) error {
+func (l *Link) Run(ctx context.Context, hear func(scheduler.Peer)) error {
 	stop := context.AfterFunc(ctx, func() { l.conn.Close() })
 	defer stop()
 	buf := make([]byte, fixed+MaxBody+1)
@@ -105,7 +105,7 @@
 			l.Bad.Add(1)
 			continue
 		}
-		hear(control.Peer{From: from, Body: append([]byte(nil), body...)})
+		hear(scheduler.Peer{From: from, Body: append([]byte(nil), body...)})
 	}
 }
 
@@ -116,7 +116,7 @@
 		return err
 	}
 	for number, addr := range l.peers {
-		if number != l.me && (to == control.AllPeers || to == number) {
+		if number != l.me && (to == scheduler.AllPeers || to == number) {
 			_, err = l.conn.WriteToUDPAddrPort(b, addr)
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/goleak"
 
-	"landingpaddle/control"
+	"landingpaddle/scheduler"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -29,10 +29,10 @@
 	}
 	peers[0], peers[1] = a.Addr(), b.Addr()
 	ctx, cancel := context.WithCancel(context.Background())
-	got := make(chan control.Peer, 8)
+	got := make(chan scheduler.Peer, 8)
 	var wg sync.WaitGroup
-	wg.Go(func() { _ = a.Run(ctx, func(control.Peer) {}) })
-	wg.Go(func() { _ = b.Run(ctx, func(p control.Peer) { got <- p }) })
+	wg.Go(func() { _ = a.Run(ctx, func(scheduler.Peer) {}) })
+	wg.Go(func() { _ = b.Run(ctx, func(p scheduler.Peer) { got <- p }) })
 	defer wg.Wait()
 	defer cancel()
 	out, err := net.Dial("udp4", b.Addr().String())
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := a.Send(control.AllPeers, []byte("hello")); err != nil {
+	if err := a.Send(scheduler.AllPeers, []byte("hello")); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/internal/platform/book.go
+++ b/internal/platform/book.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/wire"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // List is a list of disk servers in discovery's form: the whole of it, or what changed.
@@ -39,7 +39,7 @@
 // alike at every scheduler; its address may differ from one to the next.
 type book struct {
 	mu    sync.Mutex
-	pages map[control.Server]page
+	pages map[scheduler.Server]page
 }
 
 type page struct {
@@ -48,10 +48,10 @@
 	goneAt   time.Time // zero: it is listed
 }
 
-func newBook() *book { return &book{pages: map[control.Server]page{}} }
+func newBook() *book { return &book{pages: map[scheduler.Server]page{}} }
 
 // serverOf is the module's name for a disk server: its id's hash, the same wherever it is worked out.
-func serverOf(id string) (s control.Server) {
+func serverOf(id string) (s scheduler.Server) {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	sum := h.Sum64()
@@ -63,7 +63,7 @@
 	return s
 }
 
-func (b *book) find(s control.Server) (page, bool) {
+func (b *book) find(s scheduler.Server) (page, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p, ok := b.pages[s]
@@ -71,7 +71,7 @@
 }
 
 // name is how logs call a disk server.
-func (b *book) name(s control.Server) string {
+func (b *book) name(s scheduler.Server) string {
 	if p, ok := b.find(s); ok {
 		return p.id
 	}
@@ -94,10 +94,10 @@
 		}
 		n.Entries = append(n.Entries, e)
 	}
-	now, listed := time.Now(), map[control.Server]bool{}
+	now, listed := time.Now(), map[scheduler.Server]bool{}
 	for i, e := range n.Entries {
 		p := page{id: l.Instances[i].ID, addr: l.Instances[i].HostPort, cell: e.Cell}
-		if e.Status == control.Gone {
+		if e.Status == scheduler.Gone {
 			if was, ok := b.pages[e.Server]; ok {
 				p = was
 			}
@@ -123,18 +123,18 @@
 		Kind: site.Kind(l.Kind), Nominal: l.Weight}
 	switch l.Lifecycle {
 	case "ready":
-		e.Status = control.Ready
+		e.Status = scheduler.Ready
 	case "draining":
-		e.Status = control.Draining
+		e.Status = scheduler.Draining
 	case "gone":
-		e.Status = control.Gone
+		e.Status = scheduler.Gone
 	default:
 		return e, fmt.Errorf("lifecycle %q is not known", l.Lifecycle)
 	}
 	switch {
 	case l.ID == "":
 		return e, fmt.Errorf("instanceId is missing")
-	case l.HostPort == "" && e.Status != control.Gone:
+	case l.HostPort == "" && e.Status != scheduler.Gone:
 		return e, fmt.Errorf("%s: hostPort is missing", l.ID)
 	case l.Cell < 0 || l.Cell > math.MaxUint16:
 		return e, fmt.Errorf("%s: cell %d is out of range", l.ID, l.Cell)
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/http1"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/sched"
 	"landingpaddle/internal/wire"
+	"landingpaddle/scheduler"
 )
 
 // Names of the header fields that clients and disk servers use.
@@ -179,7 +179,7 @@
 	switch {
 	case keys > 1 || (keys == 1 && key == ""):
 		return bad(fieldKey + " stands twice or is empty")
-	case keys == 0 && class.Repeat == control.Keyed:
+	case keys == 0 && class.Repeat == scheduler.Keyed:
 		return bad("a keyed class carries " + fieldKey)
 	}
 	again, tries := q.Header.Get(fieldAgain)
@@ -226,7 +226,7 @@
 }
 
 // extent reads the field that tells of the data: volume, units, shard and hosts, each once.
-func (f *front) extent(ask *control.Request, text string) error {
+func (f *front) extent(ask *scheduler.Request, text string) error {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.Trim(part, " "), "=")
@@ -251,7 +251,7 @@
 			if f.site.Shards > 0 {
 				most = f.site.Shards - 1
 			}
-			if ask.Cell, err = strconv.Atoi(value); err != nil || ask.Cell < control.NewObject ||
+			if ask.Cell, err = strconv.Atoi(value); err != nil || ask.Cell < scheduler.NewObject ||
 				ask.Cell > most {
 				return bad(fieldExtent + ": shard out of range")
 			}
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/http1"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/sched"
+	"landingpaddle/scheduler"
 )
 
 const (
@@ -41,9 +41,9 @@
 	connect func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle map[control.Server][]*nodeConn // longest idle first
-	held int                            // connections open or being made
-	work map[control.Server]int         // attempts on their way
+	idle map[scheduler.Server][]*nodeConn // longest idle first
+	held int                              // connections open or being made
+	work map[scheduler.Server]int         // attempts on their way
 
 	counts nodeCounts
 }
@@ -74,8 +74,8 @@
 func newNodes(ctx context.Context, core *sched.Core, cfg *Config, book *book, log *slog.Logger,
 	most int) *nodes {
 	return &nodes{ctx: ctx, core: core, cfg: cfg, book: book, log: log, most: most,
-		connect: (&net.Dialer{}).DialContext, idle: map[control.Server][]*nodeConn{},
-		work: map[control.Server]int{}}
+		connect: (&net.Dialer{}).DialContext, idle: map[scheduler.Server][]*nodeConn{},
+		work: map[scheduler.Server]int{}}
 }
 
 // Send starts an attempt.
@@ -118,7 +118,7 @@
 }
 
 // works counts the attempts that are on their way to a disk server.
-func (n *nodes) works(s control.Server, by int) {
+func (n *nodes) works(s scheduler.Server, by int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.work[s] += by; n.work[s] == 0 {
@@ -128,24 +128,24 @@
 
 // try sends the request once and reads what comes back. What it returns follows the protocol's table:
 // until the last byte of the request is written it has never run, after that it may have.
-func (a *attempt) try() (control.Code, proto.Answer, []byte) {
+func (a *attempt) try() (scheduler.Code, proto.Answer, []byte) {
 	n, none := a.n, proto.Answer{}
 	at, ok := n.book.find(a.op.Server())
 	if !ok {
-		return control.ConnectFailed, none, nil
+		return scheduler.ConnectFailed, none, nil
 	}
 	if cell := a.e.call.Ask.Cell; cell >= 0 && int(at.cell) != cell {
-		return control.Moot, none, nil
+		return scheduler.Moot, none, nil
 	}
 	c := n.take(a.op.Server())
 	if c == nil {
 		var err error
 		if c, err = n.dial(a.ctx, at.addr); err != nil {
 			n.log.Debug("disk server out of reach", "node", at.id, "error", err)
-			return control.ConnectFailed, none, nil
+			return scheduler.ConnectFailed, none, nil
 		}
 	}
-	if code := a.begin(c); code != control.OK {
+	if code := a.begin(c); code != scheduler.OK {
 		n.rest(a.op.Server(), c) // nothing was written: it serves the next
 		return code, none, nil
 	}
@@ -155,7 +155,7 @@
 	b := http1.AppendRequest(nil, a.e.method, a.e.target, h, a.e.body)
 	if _, err := c.conn.Write(b); err != nil {
 		n.drop(c)
-		return control.ConnectFailed, none, nil // its last byte was not written
+		return scheduler.ConnectFailed, none, nil // its last byte was not written
 	}
 	c.conn.SetReadDeadline(time.Now().Add(max(2*left, longestRead)))
 	p, err := c.rd.Response()
@@ -166,7 +166,7 @@
 			n.counts.spoilt.Add(1)
 			n.log.Debug("spoilt answer", "node", at.id, "cause", spoilt.What)
 		}
-		return control.Reset, none, nil
+		return scheduler.Reset, none, nil
 	}
 	if p.Close || c.rd.Buffered() > 0 {
 		if c.rd.Buffered() > 0 {
@@ -181,21 +181,21 @@
 
 // begin ties an attempt to its connection, unless what it rested on no longer holds: finding a connection may
 // have taken long. It is the one check before the first byte.
-func (a *attempt) begin(c *nodeConn) control.Code {
+func (a *attempt) begin(c *nodeConn) scheduler.Code {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.over {
-		return control.Moot
+		return scheduler.Moot
 	}
 	code := a.n.core.Stands(a.op)
-	if code == control.OK {
+	if code == scheduler.OK {
 		a.conn = c.conn
 	}
 	return code
 }
 
 // outcome reads an answer by the protocol's table.
-func outcome(p *http1.Response) (control.Code, proto.Answer, []byte) {
+func outcome(p *http1.Response) (scheduler.Code, proto.Answer, []byte) {
 	a := proto.Answer{}
 	if v, ok := figure(p.Header, fieldMeter); ok {
 		a.Metered = 1 + v
@@ -206,11 +206,11 @@
 	turned, _ := p.Header.Get(fieldTurned)
 	switch {
 	case p.Status == 200:
-		return control.OK, a, p.Body
+		return scheduler.OK, a, p.Body
 	case (p.Status == 503 || p.Status == 504) && turned == "1":
-		return control.Full, a, nil
+		return scheduler.Full, a, nil
 	}
-	return control.Error, a, nil
+	return scheduler.Error, a, nil
 }
 
 // figure reads a figure on use. One that cannot be read is no news.
@@ -228,7 +228,7 @@
 
 // take finds an idle connection on which nothing came unasked: the last one used of those that have settled.
 // One that has not may still bring what belongs to nobody, which would be taken for the next answer.
-func (n *nodes) take(s control.Server) *nodeConn {
+func (n *nodes) take(s scheduler.Server) *nodeConn {
 	for {
 		n.mu.Lock()
 		row := n.idle[s]
@@ -254,7 +254,7 @@
 	}
 }
 
-func (n *nodes) keep(s control.Server, row []*nodeConn) {
+func (n *nodes) keep(s scheduler.Server, row []*nodeConn) {
 	if len(row) == 0 {
 		delete(n.idle, s)
 		return
@@ -285,7 +285,7 @@
 
 // rest lets a connection idle until the next attempt. One that was not written to has idled for longer in
 // the eyes of its disk server, so its time runs on.
-func (n *nodes) rest(s control.Server, c *nodeConn) {
+func (n *nodes) rest(s scheduler.Server, c *nodeConn) {
 	if n.ctx.Err() != nil {
 		n.drop(c)
 		return
@@ -339,7 +339,7 @@
 
 // evict closes the connection that idles for the longest. The lock is held.
 func (n *nodes) evict() bool {
-	var from control.Server
+	var from scheduler.Server
 	var oldest *nodeConn
 	for s, row := range n.idle {
 		if oldest == nil || row[0].since.Before(oldest.since) {
@@ -358,15 +358,15 @@
 // sweep closes connections ahead of the time after which disk servers do, until ctx ends.
 func (n *nodes) sweep(ctx context.Context) {
 	every(ctx, time.Second, func() {
-		n.closeWhere(func(s control.Server, c *nodeConn) bool {
+		n.closeWhere(func(s scheduler.Server, c *nodeConn) bool {
 			at, listed := n.book.find(s)
 			return time.Since(c.since) >= n.idleFor() || !listed || !at.goneAt.IsZero()
 		})
 	})
-	n.closeWhere(func(control.Server, *nodeConn) bool { return true })
+	n.closeWhere(func(scheduler.Server, *nodeConn) bool { return true })
 }
 
-func (n *nodes) closeWhere(old func(control.Server, *nodeConn) bool) {
+func (n *nodes) closeWhere(old func(scheduler.Server, *nodeConn) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for s, row := range n.idle {
@@ -382,41 +382,41 @@
 }
 
 // CloseIdle closes the idle connections to a disk server.
-func (n *nodes) CloseIdle(s control.Server) {
-	n.closeWhere(func(of control.Server, _ *nodeConn) bool { return of == s })
+func (n *nodes) CloseIdle(s scheduler.Server) {
+	n.closeWhere(func(of scheduler.Server, _ *nodeConn) bool { return of == s })
 }
 
 // Probe asks a disk server on a connection of its own whether it lives.
-func (n *nodes) Probe(s control.Server) {
+func (n *nodes) Probe(s scheduler.Server) {
 	at := n.core.Now()
 	go func() {
-		n.core.Probed(control.Probed{Server: s, Code: n.probe(s), Took: n.core.Now() - at})
+		n.core.Probed(scheduler.Probed{Server: s, Code: n.probe(s), Took: n.core.Now() - at})
 	}()
 }
 
-func (n *nodes) probe(s control.Server) control.Code {
+func (n *nodes) probe(s scheduler.Server) scheduler.Code {
 	page, ok := n.book.find(s)
 	if !ok {
-		return control.ConnectFailed
+		return scheduler.ConnectFailed
 	}
 	c, err := n.dial(n.ctx, page.addr)
 	if err != nil {
-		return control.ConnectFailed
+		return scheduler.ConnectFailed
 	}
 	defer n.drop(c)
 	c.conn.SetDeadline(time.Now().Add(n.connectTimeout()))
 	h := http1.Header{{Name: "Host", Value: page.addr}, {Name: "Connection", Value: "close"}}
 	if _, err := c.conn.Write(http1.AppendRequest(nil, "GET", pathHealth, h, nil)); err != nil {
-		return control.ConnectFailed
+		return scheduler.ConnectFailed
 	}
 	p, err := c.rd.Response()
 	switch {
 	case timedOut(err):
-		return control.TimedOut
+		return scheduler.TimedOut
 	case err != nil:
-		return control.Reset
+		return scheduler.Reset
 	case p.Status == 200:
-		return control.OK
+		return scheduler.OK
 	}
-	return control.Error
+	return scheduler.Error
 }
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -8,8 +8,8 @@
 	"net/netip"
 	"slices"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/sched"
+	"landingpaddle/scheduler"
 )
 
 // maxDatagram bounds a datagram between schedulers, by the protocol.
@@ -48,7 +48,7 @@
 		if number < 0 || number == p.cfg.Site.Control.Me || n > maxDatagram {
 			continue
 		}
-		core.Heard(control.Peer{From: uint32(number), Body: slices.Clone(buf[:n])})
+		core.Heard(scheduler.Peer{From: uint32(number), Body: slices.Clone(buf[:n])})
 	}
 }
 
@@ -58,9 +58,9 @@
 	switch {
 	case len(body) > maxDatagram:
 		return fmt.Errorf("a message holds %d bytes at most", maxDatagram)
-	case to != control.AllPeers && int64(to) >= int64(len(p.cfg.Peers)):
+	case to != scheduler.AllPeers && int64(to) >= int64(len(p.cfg.Peers)):
 		return fmt.Errorf("there is no scheduler %d", to)
-	case to != control.AllPeers:
+	case to != scheduler.AllPeers:
 		at = p.cfg.Peers[to]
 	case !at.IsValid():
 		return errors.New("no address for all schedulers is known")
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/sched"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // bounds are what the machine's limits leave for each use.
@@ -76,7 +76,7 @@
 
 // stopTimes is when a scheduler that is stopping takes nothing new any more, and when all that is still open
 // is answered: ahead of the kill.
-func stopTimes(set *control.Settings) (last, end time.Duration) {
+func stopTimes(set *scheduler.Settings) (last, end time.Duration) {
 	var deadline, aim time.Duration
 	for _, c := range set.Classes {
 		deadline, aim = max(deadline, c.Deadline), max(aim, c.Aim)
@@ -274,7 +274,7 @@
 }
 
 // compare logs what the module believes of each disk server beside what is on its way there.
-func (s *Scheduler) compare(beliefs []control.Belief) {
+func (s *Scheduler) compare(beliefs []scheduler.Belief) {
 	s.nodes.mu.Lock()
 	work := maps.Clone(s.nodes.work)
 	s.nodes.mu.Unlock()
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/http1"
+	"landingpaddle/scheduler"
 )
 
 func TestServedUnchanged(t *testing.T) {
@@ -495,7 +495,7 @@
 			t.Errorf("%+v was taken", bad)
 		}
 	}
-	if serverOf("s-1") == serverOf("s-2") || serverOf("s-1") == (control.Server{}) {
+	if serverOf("s-1") == serverOf("s-2") || serverOf("s-1") == (scheduler.Server{}) {
 		t.Error("ids are not told apart")
 	}
 }
--- a/internal/sched/edges.go
+++ b/internal/sched/edges.go
@@ -4,10 +4,10 @@
 	"sync/atomic"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/extent"
 	"landingpaddle/internal/proto"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // Edges are what the loop carries the module's actions out with. The native protocol is one implementation,
@@ -30,8 +30,8 @@
 	// Cancel ends an operation that nobody waits for any more.
 	Cancel(op *Operation)
 	CancelMember(op *Operation, place int)
-	Probe(s control.Server) // answered by Probed
-	CloseIdle(s control.Server)
+	Probe(s scheduler.Server) // answered by Probed
+	CloseIdle(s scheduler.Server)
 }
 
 // List watches and fetches the list of nodes. What it hears goes to Hear, what fails to ListFailed.
@@ -49,12 +49,12 @@
 // Call is one client's request on its way through the scheduler.
 type Call struct {
 	Caller Caller
-	Ask    control.Request // all but ID and Expires
-	At     time.Duration   // when it was read,
-	Wait   time.Duration   // and how long its client waits from then on
-	Token  uint64          // by which logs name it
-	Range  *extent.Range   // of a ranged request;
-	Data   uint64          // and the volume whose bytes are meant
+	Ask    scheduler.Request // all but ID and Expires
+	At     time.Duration     // when it was read,
+	Wait   time.Duration     // and how long its client waits from then on
+	Token  uint64            // by which logs name it
+	Range  *extent.Range     // of a ranged request;
+	Data   uint64            // and the volume whose bytes are meant
 
 	// The rest is the loop's.
 	id      uint64     // of a ranged request, by which the planner knows it; 0: another
@@ -91,7 +91,7 @@
 }
 
 // Ended tells how an operation ended.
-func (c *Core) Ended(op *Operation, code control.Code, a proto.Answer, payload []byte) {
+func (c *Core) Ended(op *Operation, code scheduler.Code, a proto.Answer, payload []byte) {
 	c.in.put(result{op, code, a, payload})
 }
 
@@ -102,12 +102,12 @@
 func (c *Core) ListFailed(err error) { c.in.put(listFailed{err}) }
 
 // Probed tells the result of a probe.
-func (c *Core) Probed(p control.Probed) { c.in.put(p) }
+func (c *Core) Probed(p scheduler.Probed) { c.in.put(p) }
 
 // Heard takes a message of another instance in.
-func (c *Core) Heard(p control.Peer) { c.in.putPeer(p) }
+func (c *Core) Heard(p scheduler.Peer) { c.in.putPeer(p) }
 
 // Beliefs hands what the module believes of the nodes to tell, on the loop's goroutine.
-func (c *Core) Beliefs(tell func([]control.Belief)) {
+func (c *Core) Beliefs(tell func([]scheduler.Belief)) {
 	c.in.put(func(l *loop) { tell(l.module.Beliefs()) })
 }
--- a/internal/sched/edges_test.go
+++ b/internal/sched/edges_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/proto"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // noEdges carries nothing out and notes what it was asked for.
@@ -20,8 +20,8 @@
 func (e *noEdges) Send(op *Operation)                    { e.sent = append(e.sent, op) }
 func (e *noEdges) Cancel(*Operation)                     { e.off++ }
 func (e *noEdges) CancelMember(*Operation, int)          {}
-func (e *noEdges) Probe(control.Server)                  {}
-func (e *noEdges) CloseIdle(control.Server)              {}
+func (e *noEdges) Probe(scheduler.Server)                {}
+func (e *noEdges) CloseIdle(scheduler.Server)            {}
 func (e *noEdges) Watch(bool)                            {}
 func (e *noEdges) Fetch()                                {}
 func (e *noEdges) FetchWhole()                           {}
@@ -31,19 +31,19 @@
 // module, told of the end, must have its word before the net answers in its place.
 func TestModuleSpeaksBeforeTheNet(t *testing.T) {
 	edges := &noEdges{}
-	server := control.Server{Addr: [4]byte{1}, Port: 1}
+	server := scheduler.Server{Addr: [4]byte{1}, Port: 1}
 	c := NewCore(CoreConfig{AnswerSlack: 8 * time.Millisecond, OneList: true,
-		Known: roster.Kept{Version: 3, Entries: []roster.Entry{{Server: server, Status: control.Ready}}},
-		Settings: control.Settings{Hosts: 1, MaxAttempts: 1, MeanUnits: 1, MostUnits: 1,
-			Classes: []control.Class{{Aim: time.Second, Deadline: time.Second, Repeat: control.Unsafe}},
-			Plans:   []control.Plan{{Weight: 1}}}})
+		Known: roster.Kept{Version: 3, Entries: []roster.Entry{{Server: server, Status: scheduler.Ready}}},
+		Settings: scheduler.Settings{Hosts: 1, MaxAttempts: 1, MeanUnits: 1, MostUnits: 1,
+			Classes: []scheduler.Class{{Aim: time.Second, Deadline: time.Second, Repeat: scheduler.Unsafe}},
+			Plans:   []scheduler.Plan{{Weight: 1}}}})
 	l := newLoop(c, Edges{Nodes: edges, List: edges})
 	l.now = c.Now()
 	l.members(l.view.Restore(c.clock(), c.cfg.Known))
 	if why := c.Admit(1); why != "" {
 		t.Fatal(why)
 	}
-	l.take(&Call{Caller: edges, At: l.now, Wait: time.Second, Ask: control.Request{Units: 1, Writers: 1,
+	l.take(&Call{Caller: edges, At: l.now, Wait: time.Second, Ask: scheduler.Request{Units: 1, Writers: 1,
 		Volume: 1}})
 	l.decide()
 	if len(edges.sent) != 1 || edges.sent[0].Server() != server || edges.sent[0].Caller() != Caller(edges) {
@@ -58,7 +58,7 @@
 			c.Stats.TimedOut.Load(), edges.off, c.open.Load())
 	}
 	if b := l.module.Beliefs(); len(b) != 1 || b[0].Server != server || b[0].Out != 0 ||
-		b[0].Status != control.Ready {
+		b[0].Status != scheduler.Ready {
 		t.Errorf("the module believes %+v", b)
 	}
 }
@@ -84,16 +84,21 @@
 func TestCallsThatCrossTheEndOfAStop(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		edges := &noEdges{}
-		c := NewCore(CoreConfig{Settings: control.Settings{Hosts: 1,
-			Classes: []control.Class{{Aim: time.Second, Deadline: time.Second}},
-			Plans:   []control.Plan{{Weight: 1}}}})
+		c := NewCore(CoreConfig{Settings: scheduler.Settings{Hosts: 1,
+			Classes: []scheduler.Class{{Aim: time.Second, Deadline: time.Second}},
+			Plans:   []scheduler.Plan{{Weight: 1}}}})
 		l := newLoop(c, Edges{Nodes: edges, List: edges})
 		l.now = c.Now()
 		if why := c.Admit(1); why != "" {
 			t.Fatal(why)
 		}
 		c.Stop()
-		call := &Call{Caller: edges, At: l.now, Wait: time.Second, Ask: control.Request{Units: 1, Writers: 1}}
+		call := &Call{
+			Caller: edges,
+			At:     l.now,
+			Wait:   time.Second,
+			Ask:    scheduler.Request{Units: 1, Writers: 1},
+		}
 		var wg sync.WaitGroup
 		if first {
 			c.Take(call)
--- a/internal/sched/extents_test.go
+++ b/internal/sched/extents_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
 )
 
 // disk is a fake node that holds bytes and notes every operation in the order in which it is carried out.
@@ -121,7 +121,7 @@
 		cfg.Site.Limits.Tick = 200 * time.Millisecond
 		cfg.Site.MostUnits = 1000
 		cfg.Site.Classes = append(cfg.Site.Classes, config.Class{Name: "put", Aim: 2 * time.Second,
-			Writes: true, Deadline: 4 * time.Second, Worth: 1, Repeat: config.Repeat(control.Unsafe)})
+			Writes: true, Deadline: 4 * time.Second, Worth: 1, Repeat: config.Repeat(scheduler.Unsafe)})
 		if change != nil {
 			change(cfg)
 		}
@@ -516,7 +516,7 @@
 	v := x.volumeAt(0, 0)
 	slow := &disk{bytes: map[uint64][]byte{}}
 	slow.fakeNode = &fakeNode{ln: x.listen(), conns: make(chan *proto.Conn, 64)}
-	e := slow.entry(0, control.Ready)
+	e := slow.entry(0, scheduler.Ready)
 	e.Boot = time.Now().UnixNano()
 	x.list.Put(e)
 	x.logged("node=" + slow.ln.Addr().String())
--- a/internal/sched/front.go
+++ b/internal/sched/front.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/extent"
 	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
 )
 
 // stream is one client's request as it came on its connection.
@@ -155,7 +155,7 @@
 func (k *stream) asCall(at time.Duration) *Call {
 	q := &k.req
 	call := &Call{Caller: k, At: at, Wait: q.Wait, Token: q.Token, Data: q.Of(),
-		Ask: control.Request{Class: int(q.Class), Cell: int(q.Cell), Repeat: q.Try > 0, Write: k.write,
+		Ask: scheduler.Request{Class: int(q.Class), Cell: int(q.Cell), Repeat: q.Try > 0, Write: k.write,
 			Writers: int(q.Writers), Plan: int(q.Plan), Key: q.Key, Volume: q.Volume,
 			Units: float64(q.Units)}}
 	if q.Ranged {
@@ -170,7 +170,7 @@
 	q, site := &k.req, &f.i.cfg.Site
 	if int(q.Class) >= len(site.Classes) || int(q.Plan) >= len(site.Plans) || q.Units == 0 ||
 		float64(q.Units) > site.MostUnits || q.Wait <= 0 || q.Wait > time.Hour ||
-		q.Cell < control.NewObject || q.Cell > 1<<16-1 {
+		q.Cell < scheduler.NewObject || q.Cell > 1<<16-1 {
 		return ReasonBad
 	}
 	k.write = q.Write || site.Classes[q.Class].Writes
--- a/internal/sched/inbox.go
+++ b/internal/sched/inbox.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"landingpaddle/control"
+	"landingpaddle/scheduler"
 )
 
 // mostPeers bounds messages from other instances that wait for the loop; more are lost, as datagrams may be.
@@ -27,7 +27,7 @@
 	b.ring()
 }
 
-func (b *inbox) putPeer(p control.Peer) {
+func (b *inbox) putPeer(p scheduler.Peer) {
 	b.mu.Lock()
 	if b.peers < mostPeers {
 		b.peers++
--- a/internal/sched/learnt.go
+++ b/internal/sched/learnt.go
@@ -6,9 +6,9 @@
 	"slices"
 
 	"landingpaddle/carry"
-	"landingpaddle/control"
 	"landingpaddle/internal/keep"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // learntMagic begins a file of what was learnt; another number in it is another form.
@@ -54,7 +54,7 @@
 	}
 	learnt := l.before.Over(l.c.cfg.Facts, listed)
 	nodes := l.module.Recall(learnt)
-	classes := slices.DeleteFunc(learnt.Classes, func(c control.LearntClass) bool { return c.Seen == 0 })
+	classes := slices.DeleteFunc(learnt.Classes, func(c scheduler.LearntClass) bool { return c.Seen == 0 })
 	l.c.log.Info("learnt figures taken over", "nodes", nodes, "of", len(l.before.Nodes),
 		"classes", len(classes), "usual", learnt.Usual.N > 0)
 }
--- a/internal/sched/loop.go
+++ b/internal/sched/loop.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"landingpaddle/carry"
-	"landingpaddle/control"
 	"landingpaddle/extent"
 	"landingpaddle/internal/proto"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // What reaches the loop beside *Call, control.Peer, control.Probed, roster.News and what an edge wants done
@@ -19,13 +19,13 @@
 	clientGone struct{ call *Call } // the client left or cancelled
 	listFailed struct{ err error }
 	notice     struct { // a node told on its connection that it drains
-		server control.Server
+		server scheduler.Server
 		boot   int64
 	}
 	greeted notice   // a node's greeting told of this start
 	result  struct { // an operation ended
 		op      *Operation
-		code    control.Code
+		code    scheduler.Code
 		answer  proto.Answer
 		payload []byte
 	}
@@ -43,8 +43,8 @@
 	out     []*attempt
 	done    bool
 	served  bool
-	server  control.Server // of the last attempt
-	why     string         // reason word of the last attempt's end
+	server  scheduler.Server // of the last attempt
+	why     string           // reason word of the last attempt's end
 }
 
 // attempt is one send of one request.
@@ -52,7 +52,7 @@
 	req      *request
 	op       *Operation
 	n        int
-	server   control.Server
+	server   scheduler.Server
 	boot     time.Duration // of the process that it was decided to send to
 	before   time.Duration // it must have begun by then; 0: any time
 	at       time.Duration
@@ -66,9 +66,9 @@
 	c       *Core
 	edges   Edges
 	host    Decider
-	module  *control.Host // the one behind host
-	before  *carry.Record // what an earlier life learnt; nil: nothing to believe
-	set     control.Settings
+	module  *scheduler.Host // the one behind host
+	before  *carry.Record   // what an earlier life learnt; nil: nothing to believe
+	set     scheduler.Settings
 	plan    *extent.Planner // nil: no ranged requests
 	view    *roster.Roster
 	timers  timers
@@ -91,7 +91,7 @@
 
 func newLoop(c *Core, edges Edges) *loop {
 	set := c.cfg.Settings
-	module := control.New(c.cfg.Seed, set)
+	module := scheduler.New(c.cfg.Seed, set)
 	l := &loop{c: c, edges: edges, host: module, module: module, set: set, view: roster.New(c.cfg.ClockSkew),
 		reqs: map[uint32]*request{}}
 	if e := c.cfg.Extents; e != nil {
@@ -187,13 +187,13 @@
 	l.last = l.c.Now()
 }
 
-func (l *loop) tell(ev control.Event) {
+func (l *loop) tell(ev scheduler.Event) {
 	l.fresh = true
 	l.host.Handle(l.now, ev)
 }
 
 // members tells the module, and whoever is about to write a first byte, of the nodes.
-func (l *loop) members(m control.Members) {
+func (l *loop) members(m scheduler.Members) {
 	l.c.standings.told(m)
 	l.tell(m)
 }
@@ -218,14 +218,14 @@
 	case begun:
 		for _, a := range x.op.members {
 			if !a.over {
-				l.tell(control.First{ID: a.req.id, Attempt: a.n, Server: a.server, Took: l.now - a.at})
+				l.tell(scheduler.First{ID: a.req.id, Attempt: a.n, Server: a.server, Took: l.now - a.at})
 			}
 		}
 	case roster.News:
 		l.news(x)
 	case listFailed:
 		l.c.log.Warn("list call failed", "error", x.err)
-		l.members(control.Members{Form: control.ListFailed})
+		l.members(scheduler.Members{Form: scheduler.ListFailed})
 	case notice:
 		if m, ok := l.view.Notice(l.c.clock(), x.server, x.boot); ok {
 			l.c.log.Info("node drains", "node", l.c.cfg.Name(x.server), "told by", "node")
@@ -236,11 +236,11 @@
 			l.c.log.Info("node restarted", "node", l.c.cfg.Name(x.server), "told by", "node")
 			l.members(m)
 		}
-	case control.Peer:
+	case scheduler.Peer:
 		l.tell(x)
 	case func(*loop):
 		x(l)
-	case control.Probed:
+	case scheduler.Probed:
 		l.tell(x)
 	}
 }
@@ -254,7 +254,7 @@
 		l.edges.List.FetchWhole()
 	case roster.Believed:
 		l.members(m)
-		if m.Form == control.ListFull { // the first whole list of a life ends what is taken over
+		if m.Form == scheduler.ListFull { // the first whole list of a life ends what is taken over
 			l.recall(l.view.Keep().Entries)
 			l.before = nil
 		}
@@ -372,7 +372,7 @@
 	for _, id := range ids {
 		if r := l.reqs[id]; r != nil {
 			r.done = true
-			l.tell(control.Left{ID: id})
+			l.tell(scheduler.Left{ID: id})
 			l.settle(r)
 		}
 	}
@@ -470,7 +470,7 @@
 // opEnded takes in how an operation ended: each member has its own part of that.
 func (l *loop) opEnded(x result) {
 	var parts []extent.Part
-	if x.code == control.OK && x.op.ranged() {
+	if x.code == scheduler.OK && x.op.ranged() {
 		var bad []extent.Range
 		for _, b := range x.answer.Bad {
 			bad = append(bad, extent.Range{Offset: b.Offset, Length: b.Length})
@@ -482,7 +482,7 @@
 		if parts != nil {
 			payload = parts[n].Data
 			if !parts[n].OK {
-				code = control.Error
+				code = scheduler.Error
 			}
 		}
 		l.ended(a, code, x.answer, payload, n == 0)
@@ -491,7 +491,7 @@
 
 // ended takes in how an attempt ended. The first that was served reaches the client at once. What a node
 // tells of volumes concerns that of the operation's lead.
-func (l *loop) ended(a *attempt, code control.Code, answer proto.Answer, payload []byte, lead bool) {
+func (l *loop) ended(a *attempt, code scheduler.Code, answer proto.Answer, payload []byte, lead bool) {
 	if a.over {
 		l.c.Stats.Late.Add(1)
 		return // its time-out came first, and was its one outcome
@@ -514,12 +514,12 @@
 				"offset", at.Offset, "length", at.Length, "node", l.c.cfg.Name(a.server), "code", code)
 		}
 	}
-	out := control.Outcome{ID: r.id, Attempt: a.n, Server: a.server, Code: code, Took: l.now - a.at,
+	out := scheduler.Outcome{ID: r.id, Attempt: a.n, Server: a.server, Code: code, Took: l.now - a.at,
 		Load: answer.Load}
 	if lead {
 		out.Metered, out.Elsewhere = int(answer.Metered), float64(answer.Elsewhere)
 	}
-	if code == control.OK {
+	if code == scheduler.OK {
 		answer.Code, answer.Metered, answer.Elsewhere, answer.Load = proto.OK, 0, 0, nil
 		l.over(r, answer, payload)
 	}
@@ -531,7 +531,7 @@
 // giveUp ends an attempt on this side: its time is up or it was cancelled. An operation is cancelled at
 // its node once no member waits for it, and one of several members for itself: a write that was given up on
 // here but still stood in an operation at its node was done after a later one of its key.
-func (l *loop) giveUp(a *attempt, code control.Code) {
+func (l *loop) giveUp(a *attempt, code scheduler.Code) {
 	if a.over {
 		return
 	}
@@ -543,45 +543,45 @@
 	l.edges.Nodes.Cancel(a.op)
 }
 
-func (l *loop) act(action control.Action) {
+func (l *loop) act(action scheduler.Action) {
 	switch x := action.(type) {
-	case control.Send:
+	case scheduler.Send:
 		l.send(x)
-	case control.Refuse:
+	case scheduler.Refuse:
 		if r := l.reqs[x.ID]; r != nil {
 			l.over(r, proto.Answer{Code: proto.Refused, Reason: r.reason(), Advice: x.Backoff}, nil)
 			l.settle(r)
 		}
-	case control.Fail:
+	case scheduler.Fail:
 		if r := l.reqs[x.ID]; r != nil {
 			l.over(r, proto.Answer{Code: proto.Failed, Reason: r.reason()}, nil)
 			l.settle(r)
 		}
-	case control.Cancel:
+	case scheduler.Cancel:
 		if r := l.reqs[x.ID]; r != nil {
 			for _, a := range slices.Clone(r.out) {
 				if a.n == x.Attempt {
-					l.giveUp(a, control.Cancelled)
+					l.giveUp(a, scheduler.Cancelled)
 				}
 			}
 		}
-	case control.SetTimer:
-		l.timers.set(l.now+x.After, func() { l.tell(control.Timer{Token: x.Token}) })
-	case control.Probe:
+	case scheduler.SetTimer:
+		l.timers.set(l.now+x.After, func() { l.tell(scheduler.Timer{Token: x.Token}) })
+	case scheduler.Probe:
 		l.edges.Nodes.Probe(x.Server)
-	case control.Close:
+	case scheduler.Close:
 		l.edges.Nodes.CloseIdle(x.Server)
-	case control.Tell:
+	case scheduler.Tell:
 		if l.edges.Peers != nil {
 			if err := l.edges.Peers.Send(x.To, x.Body); err != nil {
 				l.c.log.Debug("message lost", "error", err)
 			}
 		}
-	case control.Log:
+	case scheduler.Log:
 		l.c.log.Info("module", "text", x.Text)
-	case control.Watch:
+	case scheduler.Watch:
 		l.edges.List.Watch(x.On)
-	case control.Fetch:
+	case scheduler.Fetch:
 		l.edges.List.Fetch()
 	}
 }
@@ -595,7 +595,7 @@
 
 // send starts an attempt, for as long as it may take and never longer than the client waits. What leaves
 // with it as one operation follows at once, by With; depart then hands them to the pool.
-func (l *loop) send(x control.Send) {
+func (l *loop) send(x scheduler.Send) {
 	r := l.reqs[x.ID]
 	if r == nil {
 		return
@@ -618,7 +618,7 @@
 		a.op = alone(a)
 		l.leaving = append(l.leaving, a.op)
 	}
-	a.timeout = l.timers.set(a.deadline, func() { l.giveUp(a, control.TimedOut) })
+	a.timeout = l.timers.set(a.deadline, func() { l.giveUp(a, scheduler.TimedOut) })
 }
 
 // depart hands this batch's operations to the pool.
@@ -646,7 +646,7 @@
 		case a.over:
 		case a.req.done || a.deadline <= l.now:
 			l.c.Stats.Moot.Add(1)
-			l.c.in.put(result{op: alone(a), code: control.Moot})
+			l.c.in.put(result{op: alone(a), code: scheduler.Moot})
 		default:
 			keep = append(keep, a)
 		}
@@ -660,7 +660,7 @@
 	for _, a := range keep {
 		if q := &a.req.call.Ask; q.Key != 0 && l.set.Classes[q.Class].InOrder {
 			if keys[q.Key] {
-				l.c.in.put(result{op: alone(a), code: control.ConnectFailed})
+				l.c.in.put(result{op: alone(a), code: scheduler.ConnectFailed})
 				continue
 			}
 			keys[q.Key] = true
--- a/internal/sched/operation.go
+++ b/internal/sched/operation.go
@@ -3,21 +3,21 @@
 import (
 	"time"
 
-	"landingpaddle/control"
 	"landingpaddle/extent"
+	"landingpaddle/scheduler"
 )
 
 // Operation is what goes to a node as one request: an attempt of one request, or the first attempts of
 // several that the module let leave together.
 type Operation struct {
-	server  control.Server
+	server  scheduler.Server
 	members []*attempt       // the lead first
 	plan    extent.Operation // of a ranged one, once it is sealed
 	Edge    any              // of whoever carries it out
 }
 
 // Server is where it goes to.
-func (o *Operation) Server() control.Server { return o.server }
+func (o *Operation) Server() scheduler.Server { return o.server }
 
 // Caller is who waits for the answer; of several members the lead's.
 func (o *Operation) Caller() Caller { return o.members[0].req.call.Caller }
--- a/internal/sched/pool.go
+++ b/internal/sched/pool.go
@@ -8,9 +8,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
 )
 
 // pool holds the connections to nodes. It belongs to the loop; connections report to its inbox.
@@ -19,12 +19,12 @@
 	g     *errgroup.Group
 	i     *Instance
 	cfg   proto.Config
-	nodes map[control.Server]*nodeLink
+	nodes map[scheduler.Server]*nodeLink
 }
 
 // nodeLink is what the pool holds of one node.
 type nodeLink struct {
-	server  control.Server
+	server  scheduler.Server
 	conns   []*nodeConn
 	dialing int
 	waiting []*Operation
@@ -32,7 +32,7 @@
 
 // nodeConn is one connection to a node.
 type nodeConn struct {
-	server control.Server
+	server scheduler.Server
 	conn   *proto.Conn
 
 	mu    sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 type dialed struct {
-	server control.Server
+	server scheduler.Server
 	conn   *nodeConn
 	err    error
 }
@@ -58,12 +58,12 @@
 	cfg := proto.Config{Hello: i.hello(), Gate: i.cfg.Hooks.Gate, Handshake: lim.ConnectTimeout,
 		Idle: lim.IdleClose, Silence: lim.Silence}
 	cfg.Limits = proto.LimitsFor(int(lim.Payload), lim.Streams)
-	return &pool{ctx: ctx, g: g, i: i, cfg: cfg, nodes: map[control.Server]*nodeLink{}}
+	return &pool{ctx: ctx, g: g, i: i, cfg: cfg, nodes: map[scheduler.Server]*nodeLink{}}
 }
 
-func addrText(s control.Server) string { return nodelist.AddrOf(s).String() }
+func addrText(s scheduler.Server) string { return nodelist.AddrOf(s).String() }
 
-func (p *pool) link(s control.Server) *nodeLink {
+func (p *pool) link(s scheduler.Server) *nodeLink {
 	n := p.nodes[s]
 	if n == nil {
 		n = &nodeLink{server: s}
@@ -89,7 +89,7 @@
 	lim := p.i.cfg.Site.Limits
 	if len(n.waiting) >= n.dialing*lim.Streams {
 		if len(n.conns)+n.dialing >= lim.NodeConns {
-			p.i.in.put(result{op: op, code: control.ConnectFailed})
+			p.i.in.put(result{op: op, code: scheduler.ConnectFailed})
 			return
 		}
 		p.dial(n)
@@ -130,7 +130,7 @@
 			return
 		}
 		for _, op := range n.waiting {
-			l.opEnded(result{op: op, code: control.ConnectFailed})
+			l.opEnded(result{op: op, code: scheduler.ConnectFailed})
 		}
 		n.waiting = nil
 		p.forget(n)
@@ -142,7 +142,7 @@
 	for _, op := range waiting {
 		for _, live := range l.live(op) {
 			// A node that drains or was restarted while the connection came up is not what was decided on.
-			if code := p.i.Stands(live); code != control.OK {
+			if code := p.i.Stands(live); code != scheduler.OK {
 				l.opEnded(result{op: live, code: code})
 				continue
 			}
@@ -173,7 +173,7 @@
 		c.conn.Done(stream) // no answer will come that would end it
 	}
 	if c.take(stream) != nil || ended {
-		p.i.in.put(result{op: op, code: control.ConnectFailed})
+		p.i.in.put(result{op: op, code: scheduler.ConnectFailed})
 	}
 }
 
@@ -250,7 +250,7 @@
 		p.i.log.Info("node connection ended", "node", addrText(c.server), "out", len(out), "error", cause)
 	}
 	for _, op := range out {
-		p.i.in.put(result{op: op, code: control.Reset})
+		p.i.in.put(result{op: op, code: scheduler.Reset})
 	}
 	p.i.in.put(func(*loop) { p.dropped(c) })
 }
@@ -274,7 +274,7 @@
 }
 
 // CloseIdle closes the connections to a node on which nothing is in flight.
-func (p *pool) CloseIdle(s control.Server) {
+func (p *pool) CloseIdle(s scheduler.Server) {
 	if n := p.nodes[s]; n != nil {
 		for _, c := range n.conns {
 			if c.conn.InFlight() == 0 {
@@ -285,22 +285,22 @@
 }
 
 // Probe asks a node on a connection of its own whether it lives.
-func (p *pool) Probe(s control.Server) {
+func (p *pool) Probe(s scheduler.Server) {
 	at := p.i.Now()
 	p.g.Go(func() error {
-		code := control.ConnectFailed
+		code := scheduler.ConnectFailed
 		var load []float64
 		ctx, cancel := context.WithTimeout(p.ctx, p.i.cfg.Site.Limits.ConnectTimeout)
 		defer cancel()
 		if conn, err := proto.Dial(ctx, addrText(s), p.cfg); err == nil {
-			code = control.TimedOut
+			code = scheduler.TimedOut
 			_ = conn.Open(1)
 			_ = conn.Post(proto.TypeProbe, 1, nil, nil)
 			_ = conn.Run(ctx, func(f proto.Frame) error { // its end is the result
 				if f.Type == proto.TypeProbed {
 					var a proto.Answer
 					if f.Decode(&a) == nil {
-						code, load = control.OK, a.Load
+						code, load = scheduler.OK, a.Load
 					}
 					return proto.ErrClosed
 				}
@@ -308,7 +308,7 @@
 			})
 		}
 		if p.ctx.Err() == nil {
-			p.i.in.put(control.Probed{Server: s, Code: code, Took: p.i.Now() - at, Load: load})
+			p.i.in.put(scheduler.Probed{Server: s, Code: code, Took: p.i.Now() - at, Load: load})
 		}
 		return nil
 	})
@@ -356,10 +356,10 @@
 }
 
 // codeOf is a node's code as the module's; they are the same numbers.
-func codeOf(c proto.Code) (control.Code, error) {
+func codeOf(c proto.Code) (scheduler.Code, error) {
 	switch c {
 	case proto.OK, proto.Error, proto.Full, proto.Dropped, proto.Moot:
-		return control.Code(c), nil
+		return scheduler.Code(c), nil
 	}
 	return 0, fmt.Errorf("code %d is none of a node's", c)
 }
--- a/internal/sched/reasons.go
+++ b/internal/sched/reasons.go
@@ -1,8 +1,8 @@
 package sched
 
 import (
-	"landingpaddle/control"
 	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
 )
 
 // Reasons of refusals and failures: the same words in answers and logs. docs/ops/running.md says what to do.
@@ -25,21 +25,21 @@
 )
 
 // reasonOf is the word for an attempt's end.
-func reasonOf(c control.Code) string {
+func reasonOf(c scheduler.Code) string {
 	switch c {
-	case control.Full:
+	case scheduler.Full:
 		return ReasonFull
-	case control.TimedOut:
+	case scheduler.TimedOut:
 		return ReasonTimeout
-	case control.ConnectFailed:
+	case scheduler.ConnectFailed:
 		return ReasonUnreachable
-	case control.Reset:
+	case scheduler.Reset:
 		return ReasonReset
-	case control.Error:
+	case scheduler.Error:
 		return ReasonError
-	case control.Cancelled:
+	case scheduler.Cancelled:
 		return ReasonCancelled
-	case control.Moot:
+	case scheduler.Moot:
 		return ReasonMoot
 	}
 	return ReasonHeld
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -18,26 +18,26 @@
 	"golang.org/x/sync/errgroup"
 
 	"landingpaddle/carry"
-	"landingpaddle/control"
 	"landingpaddle/extent"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/peer"
 	"landingpaddle/internal/proto"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 // Decider is a decision module as the scheduler drives it; control.Host is one.
 type Decider interface {
-	Handle(now time.Duration, ev control.Event)
-	Decide(now time.Duration) []control.Action
+	Handle(now time.Duration, ev scheduler.Event)
+	Decide(now time.Duration) []scheduler.Action
 }
 
 // Hooks let a laboratory stand between the parts of an instance. All are nil in service.
 type Hooks struct {
 	// Passed before all reads, writes and batches.
 	Gate     func()
-	Decider  func(set control.Settings, host Decider) Decider             // takes the module's place
+	Decider  func(set scheduler.Settings, host Decider) Decider           // takes the module's place
 	Answered func(c *proto.Conn, stream uint64, a proto.Answer, p []byte) // after each final answer
 }
 
@@ -65,7 +65,7 @@
 // CoreConfig is what the loop needs to know, whatever the edges speak.
 type CoreConfig struct {
 	Seed        uint64
-	Settings    control.Settings
+	Settings    scheduler.Settings
 	Tick        time.Duration    // batches begin at most this often
 	Transit     time.Duration    // what of a client's wait is left for the way back
 	AnswerSlack time.Duration    // so long after a call's time the net under the module answers it
@@ -77,7 +77,7 @@
 	Learnt      string           // file of what was learnt; "": nothing is kept
 	Facts       carry.Site       // on which the meaning of that hangs
 	StopWithin  time.Duration
-	Name        func(control.Server) string // how logs call a node; nil: by its address
+	Name        func(scheduler.Server) string // how logs call a node; nil: by its address
 	Log         *slog.Logger
 	Hooks       Hooks
 }
@@ -294,18 +294,18 @@
 
 // ends are the codes by which attempts end, as they are counted and logged.
 var ends = []struct {
-	code control.Code
+	code scheduler.Code
 	name string
 	of   func(*Stats) *atomic.Uint64
 }{
-	{control.OK, "ok", func(s *Stats) *atomic.Uint64 { return &s.OK }},
-	{control.Error, "error", func(s *Stats) *atomic.Uint64 { return &s.Error }},
-	{control.Full, "turned_away", func(s *Stats) *atomic.Uint64 { return &s.Full }},
-	{control.TimedOut, "timed_out", func(s *Stats) *atomic.Uint64 { return &s.TimedOut }},
-	{control.ConnectFailed, "connect_failed", func(s *Stats) *atomic.Uint64 { return &s.ConnectFailed }},
-	{control.Reset, "reset", func(s *Stats) *atomic.Uint64 { return &s.Reset }},
-	{control.Cancelled, "cancelled", func(s *Stats) *atomic.Uint64 { return &s.Cancelled }},
-	{control.Moot, "moot", func(s *Stats) *atomic.Uint64 { return &s.MootEnd }},
+	{scheduler.OK, "ok", func(s *Stats) *atomic.Uint64 { return &s.OK }},
+	{scheduler.Error, "error", func(s *Stats) *atomic.Uint64 { return &s.Error }},
+	{scheduler.Full, "turned_away", func(s *Stats) *atomic.Uint64 { return &s.Full }},
+	{scheduler.TimedOut, "timed_out", func(s *Stats) *atomic.Uint64 { return &s.TimedOut }},
+	{scheduler.ConnectFailed, "connect_failed", func(s *Stats) *atomic.Uint64 { return &s.ConnectFailed }},
+	{scheduler.Reset, "reset", func(s *Stats) *atomic.Uint64 { return &s.Reset }},
+	{scheduler.Cancelled, "cancelled", func(s *Stats) *atomic.Uint64 { return &s.Cancelled }},
+	{scheduler.Moot, "moot", func(s *Stats) *atomic.Uint64 { return &s.MootEnd }},
 }
 
 // LogValue lists the counters for the log, those of ranged requests only where there were some.
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -19,12 +19,12 @@
 
 	"go.uber.org/goleak"
 
-	"landingpaddle/control"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/peer"
 	"landingpaddle/internal/proto"
 	"landingpaddle/roster"
+	"landingpaddle/scheduler"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -33,9 +33,17 @@
 	s := config.DefaultSite()
 	s.Classes = []config.Class{
 		{Name: "read", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1},
-		{Name: "write", Aim: 2 * time.Second, Deadline: 4 * time.Second, Repeat: config.Repeat(control.Keyed),
-			Group: config.Group(control.GroupCell), Window: 5 * time.Second, InOrder: true, Writes: true,
-			Worth: 1}}
+		{
+			Name:     "write",
+			Aim:      2 * time.Second,
+			Deadline: 4 * time.Second,
+			Repeat:   config.Repeat(scheduler.Keyed),
+			Group:    config.Group(scheduler.GroupCell),
+			Window:   5 * time.Second,
+			InOrder:  true,
+			Writes:   true,
+			Worth:    1,
+		}}
 	s.Plans = []config.Plan{{Name: "p", Rate: 100, Weight: 1, Worth: 1}}
 	s.Rules.OrderPause = 50 * time.Millisecond
 	return s
@@ -107,7 +115,7 @@
 	serve func(c *proto.Conn, f proto.Frame, q proto.Request) error) *fakeNode {
 	n := &fakeNode{ln: r.listen(), conns: make(chan *proto.Conn, 64)}
 	r.serve(n, cfg, serve)
-	r.list.Put(n.entry(cell, control.Ready))
+	r.list.Put(n.entry(cell, scheduler.Ready))
 	return n
 }
 
@@ -134,7 +142,7 @@
 	})
 }
 
-func (n *fakeNode) entry(cell uint16, s control.Status) roster.Entry {
+func (n *fakeNode) entry(cell uint16, s scheduler.Status) roster.Entry {
 	server, _ := nodelist.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
 	return roster.Entry{Server: server, Status: s, Cell: cell, Nominal: 1}
 }
@@ -304,7 +312,7 @@
 		return nil
 	})
 	var outcomes atomic.Int64
-	r.start(func(cfg *Config) { cfg.Hooks.Decider = counting(&outcomes, control.Reset) })
+	r.start(func(cfg *Config) { cfg.Hooks.Decider = counting(&outcomes, scheduler.Reset) })
 	r.logged("node listed")
 	c := r.client()
 	for range 30 {
@@ -324,38 +332,38 @@
 // sendAll is a decider that sends every request at once to the node of its cell, and fails it when that
 // fails.
 type sendAll struct {
-	nodes map[uint16]control.Server
-	acts  []control.Action
+	nodes map[uint16]scheduler.Server
+	acts  []scheduler.Action
 	count *atomic.Int64
-	code  control.Code
+	code  scheduler.Code
 	allow time.Duration
 }
 
-func counting(n *atomic.Int64, code control.Code) func(control.Settings, Decider) Decider {
-	return func(control.Settings, Decider) Decider {
-		return &sendAll{nodes: map[uint16]control.Server{}, count: n, code: code}
+func counting(n *atomic.Int64, code scheduler.Code) func(scheduler.Settings, Decider) Decider {
+	return func(scheduler.Settings, Decider) Decider {
+		return &sendAll{nodes: map[uint16]scheduler.Server{}, count: n, code: code}
 	}
 }
 
-func (s *sendAll) Handle(_ time.Duration, ev control.Event) {
+func (s *sendAll) Handle(_ time.Duration, ev scheduler.Event) {
 	switch x := ev.(type) {
-	case control.Members:
+	case scheduler.Members:
 		for _, e := range x.Entries {
 			s.nodes[e.Cell] = e.Server
 		}
-	case control.Request:
-		s.acts = append(s.acts, control.Send{ID: x.ID, Server: s.nodes[uint16(x.Cell)], Allow: s.allow})
-	case control.Outcome:
+	case scheduler.Request:
+		s.acts = append(s.acts, scheduler.Send{ID: x.ID, Server: s.nodes[uint16(x.Cell)], Allow: s.allow})
+	case scheduler.Outcome:
 		if x.Code == s.code {
 			s.count.Add(1)
 		}
 		if !x.Ended {
-			s.acts = append(s.acts, control.Refuse{ID: x.ID})
+			s.acts = append(s.acts, scheduler.Refuse{ID: x.ID})
 		}
 	}
 }
 
-func (s *sendAll) Decide(time.Duration) []control.Action {
+func (s *sendAll) Decide(time.Duration) []scheduler.Action {
 	acts := s.acts
 	s.acts = nil
 	return acts
@@ -420,7 +428,7 @@
 	dead.Close()
 	t.Cleanup(func() { mute.Close() })
 	for cell, ln := range []net.Listener{mute, dead} {
-		r.list.Put((&fakeNode{ln: ln}).entry(uint16(cell), control.Ready))
+		r.list.Put((&fakeNode{ln: ln}).entry(uint16(cell), scheduler.Ready))
 	}
 	r.start(nil)
 	r.logged("cell=1")
@@ -453,7 +461,7 @@
 		return nil
 	})
 	var n atomic.Int64
-	inst := r.start(func(cfg *Config) { cfg.Hooks.Decider = counting(&n, control.TimedOut) })
+	inst := r.start(func(cfg *Config) { cfg.Hooks.Decider = counting(&n, scheduler.TimedOut) })
 	r.logged("node listed")
 	c := r.client()
 	for range 300 {
@@ -632,7 +640,7 @@
 	r := newRig(t)
 	r.node(0, echo)
 	inst := r.start(func(cfg *Config) {
-		cfg.Hooks.Decider = func(control.Settings, Decider) Decider { return mute{} }
+		cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return mute{} }
 	})
 	c := r.client()
 	a := c.wait(c.ask(func(q *proto.Request) { q.Wait = 100 * time.Millisecond }))
@@ -645,8 +653,8 @@
 
 type mute struct{}
 
-func (mute) Handle(time.Duration, control.Event)   {}
-func (mute) Decide(time.Duration) []control.Action { return nil }
+func (mute) Handle(time.Duration, scheduler.Event)   {}
+func (mute) Decide(time.Duration) []scheduler.Action { return nil }
 
 // The kept list: used after a restart while the list service is away; a damaged one is left out and told
 // of; a full disk costs nothing but the list.
@@ -701,7 +709,10 @@
 	var heard atomic.Int64
 	inst := r.start(func(cfg *Config) {
 		cfg.Of, cfg.PeerListen, cfg.Peers = 2, "127.0.0.1:0", peers
-		cfg.Hooks.Decider = func(_ control.Settings, host Decider) Decider { return peerCount{host, &heard} }
+		cfg.Hooks.Decider = func(_ scheduler.Settings, host Decider) Decider {
+			return peerCount{host,
+				&heard}
+		}
 	})
 	r.logged("node listed")
 	out, err := net.Dial("udp4", inst.PeerAddr().String())
@@ -731,7 +742,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = other.Run(ctx, func(control.Peer) {})
+	_ = other.Run(ctx, func(scheduler.Peer) {})
 }
 
 type peerCount struct {
@@ -739,8 +750,8 @@
 	n *atomic.Int64
 }
 
-func (p peerCount) Handle(now time.Duration, ev control.Event) {
-	if _, ok := ev.(control.Peer); ok {
+func (p peerCount) Handle(now time.Duration, ev scheduler.Event) {
+	if _, ok := ev.(scheduler.Peer); ok {
 		p.n.Add(1)
 	}
 	p.Decider.Handle(now, ev)
@@ -762,13 +773,13 @@
 		return nil
 	})
 	server, _ := nodelist.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
-	s := &script{server: server, seen: make(chan control.Event, 64)}
-	r.start(func(cfg *Config) { cfg.Hooks.Decider = func(control.Settings, Decider) Decider { return s } })
+	s := &script{server: server, seen: make(chan scheduler.Event, 64)}
+	r.start(func(cfg *Config) { cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return s } })
 	got := map[string]int{}
 	for got["list"] < 1 { // a node that no list names is not sent to
 		select {
 		case ev := <-s.seen:
-			if x, ok := ev.(control.Members); ok && x.Form != control.ListCached {
+			if x, ok := ev.(scheduler.Members); ok && x.Form != scheduler.ListCached {
 				got["list"]++
 			}
 		case <-time.After(5 * time.Second):
@@ -781,12 +792,12 @@
 		select {
 		case ev := <-s.seen:
 			switch x := ev.(type) {
-			case control.Probed:
+			case scheduler.Probed:
 				got[fmt.Sprintf("probed %d %v", x.Code, x.Load)]++
-			case control.Outcome:
+			case scheduler.Outcome:
 				got[fmt.Sprintf("outcome %d", x.Code)]++
-			case control.Members:
-				if x.Form != control.ListCached {
+			case scheduler.Members:
+				if x.Form != scheduler.ListCached {
 					got["list"]++
 				}
 			}
@@ -802,29 +813,29 @@
 
 // script sends, cancels, probes, logs and fetches once.
 type script struct {
-	server control.Server
-	seen   chan control.Event
-	acts   []control.Action
+	server scheduler.Server
+	seen   chan scheduler.Event
+	acts   []scheduler.Action
 }
 
-func (s *script) Handle(_ time.Duration, ev control.Event) {
+func (s *script) Handle(_ time.Duration, ev scheduler.Event) {
 	select {
 	case s.seen <- ev:
 	default:
 	}
 	switch x := ev.(type) {
-	case control.Request:
-		s.acts = append(s.acts, control.Send{ID: x.ID, Server: s.server}, control.Probe{Server: s.server},
-			control.Log{Text: "hello operators"}, control.Fetch{}, control.SetTimer{Token: 5,
-				After: 100 * time.Millisecond}, control.Close{Server: s.server})
-	case control.Timer:
-		s.acts = append(s.acts, control.Cancel{ID: 1, Attempt: 0})
-	case control.Outcome:
-		s.acts = append(s.acts, control.Fail{ID: x.ID})
+	case scheduler.Request:
+		s.acts = append(s.acts, scheduler.Send{ID: x.ID, Server: s.server}, scheduler.Probe{Server: s.server},
+			scheduler.Log{Text: "hello operators"}, scheduler.Fetch{}, scheduler.SetTimer{Token: 5,
+				After: 100 * time.Millisecond}, scheduler.Close{Server: s.server})
+	case scheduler.Timer:
+		s.acts = append(s.acts, scheduler.Cancel{ID: 1, Attempt: 0})
+	case scheduler.Outcome:
+		s.acts = append(s.acts, scheduler.Fail{ID: x.ID})
 	}
 }
 
-func (s *script) Decide(time.Duration) []control.Action {
+func (s *script) Decide(time.Duration) []scheduler.Action {
 	acts := s.acts
 	s.acts = nil
 	return acts
@@ -838,7 +849,7 @@
 	boot := time.Now().Add(-2 * time.Minute).UnixNano()
 	n := &fakeNode{ln: r.listen(), conns: make(chan *proto.Conn, 64)}
 	r.serve(n, proto.Config{Hello: proto.Hello{Role: "node", Boot: boot + int64(time.Minute)}}, echo)
-	e := n.entry(0, control.Ready)
+	e := n.entry(0, scheduler.Ready)
 	e.Boot = boot
 	r.list.Put(e)
 	r.start(nil)
--- a/internal/sched/stored_test.go
+++ b/internal/sched/stored_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"landingpaddle/carry"
-	"landingpaddle/control"
 	"landingpaddle/internal/keep"
+	"landingpaddle/scheduler"
 )
 
 // The files in testdata were written before any field was renamed; what they hold must stay readable, and
@@ -26,22 +26,31 @@
 		Site: carry.Site{Number: 3, Mean: 2.5, Most: 8.25,
 			Classes: []carry.Class{{Name: "read", Writes: false}, {Name: "write", Writes: true}}},
 		Nodes: []carry.Node{
-			{Server: control.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100}, Boot: 1_779_999_999_000_000_002,
-				Learnt: control.LearntNode{Latency: 11 * time.Millisecond, Deviation: 7 * time.Microsecond}},
-			{Server: control.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101}, Boot: 5,
-				Learnt: control.LearntNode{Latency: 13 * time.Millisecond, Deviation: 17 * time.Nanosecond}}},
-		Classes: []control.LearntClass{
+			{
+				Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
+				Boot:   1_779_999_999_000_000_002,
+				Learnt: scheduler.LearntNode{
+					Latency:   11 * time.Millisecond,
+					Deviation: 7 * time.Microsecond,
+				},
+			},
+			{Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101}, Boot: 5,
+				Learnt: scheduler.LearntNode{
+					Latency:   13 * time.Millisecond,
+					Deviation: 17 * time.Nanosecond,
+				}}},
+		Classes: []scheduler.LearntClass{
 			{
 				Mean: 1.5,
 				Seen: 40,
-				Fit:  control.LearntFit{N: 21, Size: 2.125, Took: 0.5, Square: 6.5, Cross: 0.75},
+				Fit:  scheduler.LearntFit{N: 21, Size: 2.125, Took: 0.5, Square: 6.5, Cross: 0.75},
 			},
 			{
 				Mean: 3.5,
 				Seen: 41,
-				Fit:  control.LearntFit{N: 22, Size: 3.125, Took: 1.5, Square: 7.5, Cross: 1.75},
+				Fit:  scheduler.LearntFit{N: 22, Size: 3.125, Took: 1.5, Square: 7.5, Cross: 1.75},
 			}},
-		Usual:  control.LearntFit{N: 23, Size: 4.125, Took: 2.5, Square: 8.5, Cross: 2.75},
+		Usual:  scheduler.LearntFit{N: 23, Size: 4.125, Took: 2.5, Square: 8.5, Cross: 2.75},
 		Median: 19 * time.Millisecond, Lately: 23 * time.Millisecond}
 }
 
@@ -76,7 +85,7 @@
 	if len(got.Nodes) != 2 || slices.ContainsFunc(got.Nodes, empty) {
 		t.Errorf("nodes are %+v", got.Nodes)
 	}
-	for _, fit := range []control.LearntFit{got.Usual, got.Classes[0].Fit, got.Classes[1].Fit} {
+	for _, fit := range []scheduler.LearntFit{got.Usual, got.Classes[0].Fit, got.Classes[1].Fit} {
 		if fit.N == 0 || fit.Size == 0 || fit.Took == 0 || fit.Square == 0 || fit.Cross == 0 {
 			t.Errorf("fit is %+v", fit)
 		}
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"landingpaddle/control"
+	"landingpaddle/scheduler"
 )
 
 const (
@@ -54,7 +54,7 @@
 // Begin starts an instance anew.
 type Begin struct {
 	Seed     uint64
-	Settings control.Settings
+	Settings scheduler.Settings
 }
 
 // Record is one event for one instance: a start, a stop, or an event for the decision module.
@@ -62,7 +62,7 @@
 	Instance uint16
 	Begin    *Begin
 	Stop     bool
-	Event    control.Event
+	Event    scheduler.Event
 }
 
 // Batch is all that came in at one time of the clock.
@@ -137,18 +137,18 @@
 	case codeRequest:
 		rec.Event = d.request()
 	case codeFirst:
-		rec.Event = control.First{ID: d.u32(), Attempt: int(d.u8()), Server: d.server(), Took: d.span()}
+		rec.Event = scheduler.First{ID: d.u32(), Attempt: int(d.u8()), Server: d.server(), Took: d.span()}
 	case codeOutcome:
 		rec.Event = d.outcome()
 	case codeLeft:
-		rec.Event = control.Left{ID: d.u32()}
+		rec.Event = scheduler.Left{ID: d.u32()}
 	case codeTimer:
-		rec.Event = control.Timer{Token: d.u32()}
+		rec.Event = scheduler.Timer{Token: d.u32()}
 	case codeProbed:
-		rec.Event = control.Probed{Server: d.server(), Code: control.Code(d.u16()), Took: d.span(),
+		rec.Event = scheduler.Probed{Server: d.server(), Code: scheduler.Code(d.u16()), Took: d.span(),
 			Load: d.load()}
 	case codePeer:
-		rec.Event = control.Peer{From: d.u32(), Body: d.take(int64(d.u16()))}
+		rec.Event = scheduler.Peer{From: d.u32(), Body: d.take(int64(d.u16()))}
 	case codeStop:
 		rec.Stop = true
 	default:
@@ -206,7 +206,7 @@
 	return v
 }
 
-func (d *decoder) server() (s control.Server) {
+func (d *decoder) server() (s scheduler.Server) {
 	copy(s.Addr[:], d.take(int64(len(s.Addr))))
 	s.Port = d.u16()
 	return s
@@ -224,9 +224,9 @@
 	return out
 }
 
-func (d *decoder) members() control.Members {
-	m := control.Members{Version: d.u64(), Form: control.ListForm(d.u8())}
-	if m.Form > control.ListFailed && d.err == nil {
+func (d *decoder) members() scheduler.Members {
+	m := scheduler.Members{Version: d.u64(), Form: scheduler.ListForm(d.u8())}
+	if m.Form > scheduler.ListFailed && d.err == nil {
 		d.err = fmt.Errorf("unknown list form %d", m.Form)
 	}
 	n := int64(d.u32())
@@ -242,17 +242,17 @@
 	return m
 }
 
-func (d *decoder) entry() control.Entry {
-	e := control.Entry{Status: control.Status(d.u8()), Server: d.server(), Cell: d.u16(), Kind: d.u8(),
+func (d *decoder) entry() scheduler.Entry {
+	e := scheduler.Entry{Status: scheduler.Status(d.u8()), Server: d.server(), Cell: d.u16(), Kind: d.u8(),
 		Boot: d.span(), Zone: d.u8(), Nominal: d.f32()}
-	if e.Status > control.Draining && d.err == nil {
+	if e.Status > scheduler.Draining && d.err == nil {
 		d.err = fmt.Errorf("unknown status %d", e.Status)
 	}
 	return e
 }
 
-func (d *decoder) request() control.Request {
-	r := control.Request{ID: d.u32(), Class: int(d.u8()), Cell: int(d.f32())}
+func (d *decoder) request() scheduler.Request {
+	r := scheduler.Request{ID: d.u32(), Class: int(d.u8()), Cell: int(d.f32())}
 	opts := d.u8()
 	r.Repeat, r.Write = opts&2 != 0, opts&4 != 0
 	r.Writers, r.Plan, r.Key = int(d.f32()), int(d.u32()), d.u64()
@@ -260,10 +260,18 @@
 	return r
 }
 
-func (d *decoder) outcome() control.Outcome {
-	return control.Outcome{ID: d.u32(), Attempt: int(d.u8()), Server: d.server(), Code: control.Code(d.u16()),
-		Took: d.span(), Ended: d.u8() != 0, Metered: int(d.u16()), Elsewhere: float64(d.u16()),
-		Load: d.load()}
+func (d *decoder) outcome() scheduler.Outcome {
+	return scheduler.Outcome{
+		ID:        d.u32(),
+		Attempt:   int(d.u8()),
+		Server:    d.server(),
+		Code:      scheduler.Code(d.u16()),
+		Took:      d.span(),
+		Ended:     d.u8() != 0,
+		Metered:   int(d.u16()),
+		Elsewhere: float64(d.u16()),
+		Load:      d.load(),
+	}
 }
 
 // Reply gathers the actions of one batch into a frame.
@@ -279,36 +287,36 @@
 }
 
 // Add appends an instance's action.
-func (r *Reply) Add(instance uint16, a control.Action) error {
+func (r *Reply) Add(instance uint16, a scheduler.Action) error {
 	le := binary.LittleEndian
 	b, code := le.AppendUint16(nil, instance), uint8(0)
 	switch a := a.(type) {
-	case control.Send:
+	case scheduler.Send:
 		code, b = codeSend, appendServer(le.AppendUint32(b, a.ID), a.Server)
 		b = appendSpan(b, a.Allow)
-	case control.Refuse:
+	case scheduler.Refuse:
 		code, b = codeRefuse, appendSpan(le.AppendUint32(b, a.ID), a.Backoff)
-	case control.Fail:
+	case scheduler.Fail:
 		code, b = codeFail, le.AppendUint32(b, a.ID)
-	case control.Cancel:
+	case scheduler.Cancel:
 		code, b = codeCancel, append(le.AppendUint32(b, a.ID), uint8(a.Attempt))
-	case control.SetTimer:
+	case scheduler.SetTimer:
 		code, b = codeSetTimer, appendSpan(le.AppendUint32(b, a.Token), a.After)
-	case control.Probe:
+	case scheduler.Probe:
 		code, b = codeProbe, appendServer(b, a.Server)
-	case control.Close:
+	case scheduler.Close:
 		code, b = codeClose, appendServer(b, a.Server)
-	case control.Tell:
+	case scheduler.Tell:
 		code, b = codeTell, appendText(le.AppendUint32(b, a.To), a.Body)
-	case control.Log:
+	case scheduler.Log:
 		code, b = codeLog, appendText(b, []byte(a.Text))
-	case control.Watch:
+	case scheduler.Watch:
 		on := uint8(0)
 		if a.On {
 			on = 1
 		}
 		code, b = codeWatch, append(b, on)
-	case control.Fetch:
+	case scheduler.Fetch:
 		code = codeFetch
 	default:
 		return fmt.Errorf("action %T has no wire form", a)
@@ -327,7 +335,7 @@
 	r.buf = append(r.buf, body...)
 }
 
-func appendServer(b []byte, s control.Server) []byte {
+func appendServer(b []byte, s scheduler.Server) []byte {
 	return binary.LittleEndian.AppendUint16(append(b, s.Addr[:]...), s.Port)
 }
 
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"landingpaddle/control"
+	"landingpaddle/scheduler"
 )
 
 // mostDepth bounds how deep nested settings may go.
@@ -21,7 +21,7 @@
 // Site is an instance's settings with what a running program needs of them beside the module's: names as
 // clients and the list use them, and the figures of connections.
 type Site struct {
-	Control        control.Settings
+	Control        scheduler.Settings
 	Classes, Plans []string
 	Zones, Kinds   []string
 	Shards         int
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,14 +7,14 @@
 	"strings"
 	"time"
 
-	"landingpaddle/control"
+	"landingpaddle/scheduler"
 )
 
 // maxList bounds a list in the settings: a class's or a plan's number must fit in a byte or so on the wire.
 const maxList = 4096
 
 // ParseSettings reads the path=value lines of a first message. Keys that it does not know are skipped.
-func ParseSettings(info string) (control.Settings, error) {
+func ParseSettings(info string) (scheduler.Settings, error) {
 	p := &parser{vals: map[string]string{}}
 	for line := range strings.Lines(info) {
 		line = strings.TrimRight(line, "\r\n")
@@ -23,7 +23,7 @@
 		}
 		key, val, ok := strings.Cut(line, "=")
 		if !ok {
-			return control.Settings{}, fmt.Errorf("settings line %q has no '='", line)
+			return scheduler.Settings{}, fmt.Errorf("settings line %q has no '='", line)
 		}
 		p.vals[key] = val
 	}
@@ -116,9 +116,9 @@
 	return strings.Split(p.vals[key], ",")
 }
 
-func (p *parser) settings() control.Settings {
+func (p *parser) settings() scheduler.Settings {
 	_, budget := p.vals["rules.look_back_ns"]
-	s := control.Settings{
+	s := scheduler.Settings{
 		Me:              p.whole("me"),
 		Hosts:           p.whole("peers_total"),
 		Ask:             p.word("registry_mode", "push", "ask") == 1,
@@ -165,12 +165,12 @@
 	return s
 }
 
-func (p *parser) class(at string) control.Class {
-	return control.Class{
+func (p *parser) class(at string) scheduler.Class {
+	return scheduler.Class{
 		Aim:      p.span(at + "on_time_ns"),
 		Deadline: p.span(at + "deadline_ns"),
-		Repeat:   control.Repeat(p.word(at+"repeat", "read_like", "idempotency_key", "non_idempotent")),
-		Group:    control.Group(p.word(at+"group", "all", "zone", "cell")),
+		Repeat:   scheduler.Repeat(p.word(at+"repeat", "read_like", "idempotency_key", "non_idempotent")),
+		Group:    scheduler.Group(p.word(at+"group", "all", "zone", "cell")),
 		Window:   p.span(at + "window_ns"),
 		InOrder:  p.flag(at + "fifo_by_key"),
 		Worth:    p.num(at + "worth"),
@@ -178,8 +178,8 @@
 	}
 }
 
-func (p *parser) plan(at string) control.Plan {
-	return control.Plan{
+func (p *parser) plan(at string) scheduler.Plan {
+	return scheduler.Plan{
 		Rate:       p.num(at + "base_rate"),
 		Reserve:    p.num(at + "reservation"),
 		Weight:     p.num(at + "proportion"),
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"landingpaddle/control"
+	"landingpaddle/scheduler"
 )
 
 // unhex turns the protocol page's way of writing a frame into bytes.
@@ -52,18 +52,18 @@
 		t.Fatal(err)
 	}
 	want := []Record{
-		{Instance: 3, Event: control.Request{ID: 0x5d3a91c4, Writers: 3, Key: 0x91f03b7c55d20a64,
+		{Instance: 3, Event: scheduler.Request{ID: 0x5d3a91c4, Writers: 3, Key: 0x91f03b7c55d20a64,
 			Expires: 0x203b6db90, Volume: 0x2b8e6401d9f37c10, Units: 2}},
-		{Instance: 3, Event: control.Timer{Token: 77}},
-		{Instance: 5, Event: control.Left{ID: 0x0e6f2b19}},
+		{Instance: 3, Event: scheduler.Timer{Token: 77}},
+		{Instance: 5, Event: scheduler.Left{ID: 0x0e6f2b19}},
 	}
 	if !reflect.DeepEqual(b.Records, want) {
 		t.Fatalf("got  %+v\nwant %+v", b.Records, want)
 	}
 }
 
-var serverA = control.Server{Addr: [4]byte{0x0a, 0x12, 0x4a, 0x07}, Port: 5003}
-var serverB = control.Server{Addr: [4]byte{0x0a, 0x90, 0x11, 0xf2}, Port: 5044}
+var serverA = scheduler.Server{Addr: [4]byte{0x0a, 0x12, 0x4a, 0x07}, Port: 5003}
+var serverB = scheduler.Server{Addr: [4]byte{0x0a, 0x90, 0x11, 0xf2}, Port: 5044}
 
 func TestPageEvents(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -73,21 +73,21 @@
 		"members": {`11 3d000000 0300 2900000000000000 01 02000000
 			01 0a124a07 8b13 0000 00 0000000000000000 00 0000803f
 			01 0a9011f2 b413 0000 00 009d966b01000000 01 0000c03f`,
-			Record{Instance: 3, Event: control.Members{Version: 41, Form: control.ListCached,
-				Entries: []control.Entry{
-					{Server: serverA, Status: control.Ready, Nominal: 1},
-					{Server: serverB, Status: control.Ready, Boot: 0x16b969d00, Zone: 1, Nominal: 1.5}}}}},
+			Record{Instance: 3, Event: scheduler.Members{Version: 41, Form: scheduler.ListCached,
+				Entries: []scheduler.Entry{
+					{Server: serverA, Status: scheduler.Ready, Nominal: 1},
+					{Server: serverB, Status: scheduler.Ready, Boot: 0x16b969d00, Zone: 1, Nominal: 1.5}}}}},
 		"probe result": {"17 13000000 0300 0a9011f2 b413 6400 c05c150000000000 00",
-			Record{Instance: 3, Event: control.Probed{Server: serverB, Code: control.OK,
+			Record{Instance: 3, Event: scheduler.Probed{Server: serverB, Code: scheduler.OK,
 				Took: 1400 * time.Microsecond}}},
 		"peer": {"18 0c000000 0300 02000000 0400 68692037",
-			Record{Instance: 3, Event: control.Peer{From: 2, Body: []byte("hi 7")}}},
+			Record{Instance: 3, Event: scheduler.Peer{From: 2, Body: []byte("hi 7")}}},
 		"stop": {"19 02000000 0300", Record{Instance: 3, Stop: true}},
 		"first": {"13 15000000 0300 c4913a5d 00 0a124a07 8b13 d0248d0000000000",
-			Record{Instance: 3, Event: control.First{ID: 0x5d3a91c4, Server: serverA,
+			Record{Instance: 3, Event: scheduler.First{ID: 0x5d3a91c4, Server: serverA,
 				Took: 9250 * time.Microsecond}}},
 		"outcome": {"14 1d000000 0300 c4913a5d 00 0a124a07 8b13 6400 a0491a0100000000 01 5600 0300 00",
-			Record{Instance: 3, Event: control.Outcome{ID: 0x5d3a91c4, Server: serverA, Code: control.OK,
+			Record{Instance: 3, Event: scheduler.Outcome{ID: 0x5d3a91c4, Server: serverA, Code: scheduler.OK,
 				Took: 18500 * time.Microsecond, Ended: true, Metered: 86, Elsewhere: 3}}},
 	} {
 		b, err := DecodeBatch(frameOf(t, "01000000", c.body))
@@ -99,24 +99,25 @@
 
 func TestPageActions(t *testing.T) {
 	for _, c := range []struct {
-		action control.Action
+		action scheduler.Action
 		want   string
 	}{
-		{control.Send{ID: 0x5d3a91c4, Server: serverA, Allow: 80 * time.Millisecond},
+		{scheduler.Send{ID: 0x5d3a91c4, Server: serverA, Allow: 80 * time.Millisecond},
 			"50 14000000 0300 c4913a5d 0a124a07 8b13 00b4c40400000000"},
-		{control.Refuse{ID: 0x0e6f2b19, Backoff: 250 * time.Millisecond},
+		{scheduler.Refuse{ID: 0x0e6f2b19, Backoff: 250 * time.Millisecond},
 			"51 0e000000 0300 192b6f0e 80b2e60e00000000"},
-		{control.Fail{ID: 0x0e6f2b19}, "52 06000000 0300 192b6f0e"},
-		{control.Cancel{ID: 0x5d3a91c4}, "53 07000000 0300 c4913a5d 00"},
-		{control.SetTimer{Token: 77, After: 500 * time.Millisecond},
+		{scheduler.Fail{ID: 0x0e6f2b19}, "52 06000000 0300 192b6f0e"},
+		{scheduler.Cancel{ID: 0x5d3a91c4}, "53 07000000 0300 c4913a5d 00"},
+		{scheduler.SetTimer{Token: 77, After: 500 * time.Millisecond},
 			"54 0e000000 0300 4d000000 0065cd1d00000000"},
-		{control.Probe{Server: serverB}, "55 08000000 0300 0a9011f2 b413"},
-		{control.Close{Server: serverB}, "56 08000000 0300 0a9011f2 b413"},
-		{control.Tell{To: control.AllPeers, Body: []byte("hi 7")}, "57 0c000000 0300 ffffffff 0400 68692037"},
-		{control.Log{Text: "two servers known"},
+		{scheduler.Probe{Server: serverB}, "55 08000000 0300 0a9011f2 b413"},
+		{scheduler.Close{Server: serverB}, "56 08000000 0300 0a9011f2 b413"},
+		{scheduler.Tell{To: scheduler.AllPeers, Body: []byte("hi 7")},
+			"57 0c000000 0300 ffffffff 0400 68692037"},
+		{scheduler.Log{Text: "two servers known"},
 			"58 15000000 0300 1100 74776f2073657276657273206b6e6f776e"},
-		{control.Watch{On: true}, "5a 03000000 0300 01"},
-		{control.Fetch{}, "5b 02000000 0300"},
+		{scheduler.Watch{On: true}, "5a 03000000 0300 01"},
+		{scheduler.Fetch{}, "5b 02000000 0300"},
 	} {
 		r := NewReply()
 		if err := r.Add(3, c.action); err != nil {
@@ -175,7 +176,7 @@
 		s.LoadFields != nil {
 		t.Errorf("got %+v", s)
 	}
-	if c := s.Classes[1]; c.Repeat != control.Keyed || c.Group != control.GroupCell || !c.InOrder ||
+	if c := s.Classes[1]; c.Repeat != scheduler.Keyed || c.Group != scheduler.GroupCell || !c.InOrder ||
 		!c.Writes {
 		t.Errorf("class 1 is %+v", c)
 	}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"landingpaddle/control"
+	"landingpaddle/scheduler"
 )
 
 // Clock is one moment in both clocks: the instance's own, which only goes forward, and the wall's.
@@ -24,8 +24,8 @@
 
 // Entry is one node as the list service tells of it.
 type Entry struct {
-	Server  control.Server
-	Status  control.Status
+	Server  scheduler.Server
+	Status  scheduler.Status
 	Cell    uint16
 	Zone    uint8
 	Kind    uint8
@@ -55,9 +55,9 @@
 	epoch   uint64
 	version uint64
 	known   bool // a list was heard in this life
-	entries map[control.Server]Entry
-	notices map[control.Server]int64                   // start of the node that said it drains
-	boots   map[control.Server]map[int64]time.Duration // starts as first turned into this instance's clock
+	entries map[scheduler.Server]Entry
+	notices map[scheduler.Server]int64                   // start of the node that said it drains
+	boots   map[scheduler.Server]map[int64]time.Duration // starts as first turned into this instance's clock
 }
 
 // longAgo is the age from which on a start no longer matters to anybody: warm-ups take seconds or minutes.
@@ -65,8 +65,8 @@
 
 // New makes an empty view. Node clocks may differ from this instance's by up to skew.
 func New(skew time.Duration) *Roster {
-	return &Roster{skew: skew, entries: map[control.Server]Entry{}, notices: map[control.Server]int64{},
-		boots: map[control.Server]map[int64]time.Duration{}}
+	return &Roster{skew: skew, entries: map[scheduler.Server]Entry{}, notices: map[scheduler.Server]int64{},
+		boots: map[scheduler.Server]map[int64]time.Duration{}}
 }
 
 // Verdict tells what to do with news.
@@ -80,31 +80,31 @@
 )
 
 // Restore takes the list kept from before a restart, and tells the module of it.
-func (r *Roster) Restore(c Clock, k Kept) control.Members {
+func (r *Roster) Restore(c Clock, k Kept) scheduler.Members {
 	r.epoch, r.version = k.Epoch, k.Version
 	for _, e := range k.Entries {
 		r.entries[e.Server] = e
 	}
-	return control.Members{Version: r.version, Form: control.ListCached, Entries: r.tell(c, r.sorted())}
+	return scheduler.Members{Version: r.version, Form: scheduler.ListCached, Entries: r.tell(c, r.sorted())}
 }
 
 // Hear takes news in. Only of what is believed is there something to tell the module.
-func (r *Roster) Hear(c Clock, n News) (control.Members, Verdict) {
+func (r *Roster) Hear(c Clock, n News) (scheduler.Members, Verdict) {
 	if !n.Whole && (!r.known || n.Epoch != r.epoch || n.Since > r.version) {
-		return control.Members{}, Gap
+		return scheduler.Members{}, Gap
 	}
 	if r.known && n.Epoch == r.epoch && n.Version < r.version {
-		return control.Members{}, Old
+		return scheduler.Members{}, Old
 	}
-	form, before, told := control.ListDelta, r.entries, make([]Entry, 0, len(n.Entries))
+	form, before, told := scheduler.ListDelta, r.entries, make([]Entry, 0, len(n.Entries))
 	if n.Whole {
-		form, r.entries = control.ListFull, map[control.Server]Entry{}
+		form, r.entries = scheduler.ListFull, map[scheduler.Server]Entry{}
 	}
 	for _, e := range n.Entries {
 		if old, ok := before[e.Server]; ok && old.Boot > e.Boot {
 			e.Boot = old.Boot // the node has told of a later start than this list knows: it is still as cold
 		}
-		if e.Status == control.Gone {
+		if e.Status == scheduler.Gone {
 			delete(r.entries, e.Server)
 		} else {
 			r.entries[e.Server] = e
@@ -115,26 +115,30 @@
 	if n.Whole {
 		told = r.sorted()
 	}
-	m := control.Members{Version: n.Version, Form: form, Entries: r.tell(c, told)}
+	m := scheduler.Members{Version: n.Version, Form: form, Entries: r.tell(c, told)}
 	r.forget()
 	return m, Believed
 }
 
 // Notice takes in that a node said itself that it drains. The start is the one the node gave in its greeting;
 // the notice speaks of that life of the node only. The second result is false where nothing changes.
-func (r *Roster) Notice(c Clock, server control.Server, start int64) (control.Members, bool) {
+func (r *Roster) Notice(c Clock, server scheduler.Server, start int64) (scheduler.Members, bool) {
 	e, ok := r.entries[server]
 	if !ok || e.Boot > start && start != 0 {
-		return control.Members{}, false // not listed, or a newer life of it is
+		return scheduler.Members{}, false // not listed, or a newer life of it is
 	}
 	if old, ok := r.notices[server]; ok && old >= start {
-		return control.Members{}, false
+		return scheduler.Members{}, false
 	}
 	r.notices[server] = start
-	if e.Status == control.Draining {
-		return control.Members{}, false
-	}
-	return control.Members{Version: r.version, Form: control.ListDelta, Entries: r.tell(c, []Entry{e})}, true
+	if e.Status == scheduler.Draining {
+		return scheduler.Members{}, false
+	}
+	return scheduler.Members{
+		Version: r.version,
+		Form:    scheduler.ListDelta,
+		Entries: r.tell(c, []Entry{e}),
+	}, true
 }
 
 // Keep is what is worth keeping for a restart: the list as heard, without the notices, which a restarted
@@ -157,14 +161,14 @@
 func ByServer(a, b Entry) int { return a.Server.Compare(b.Server) }
 
 // tell turns entries into the module's form.
-func (r *Roster) tell(c Clock, entries []Entry) []control.Entry {
-	out := make([]control.Entry, 0, len(entries))
+func (r *Roster) tell(c Clock, entries []Entry) []scheduler.Entry {
+	out := make([]scheduler.Entry, 0, len(entries))
 	for _, e := range entries {
 		status := e.Status
-		if start, ok := r.notices[e.Server]; ok && status == control.Ready && e.Boot <= start {
-			status = control.Draining // the list is late: the node has said otherwise since
+		if start, ok := r.notices[e.Server]; ok && status == scheduler.Ready && e.Boot <= start {
+			status = scheduler.Draining // the list is late: the node has said otherwise since
 		}
-		out = append(out, control.Entry{Server: e.Server, Status: status, Cell: e.Cell, Zone: e.Zone,
+		out = append(out, scheduler.Entry{Server: e.Server, Status: status, Cell: e.Cell, Zone: e.Zone,
 			Kind: e.Kind, Boot: r.bootTime(c, e), Nominal: e.Nominal})
 	}
 	return out
@@ -224,14 +228,18 @@
 // Greeted takes in the start that a node stated on a connection. One that is newer than the listed start
 // tells of a restart before the late list does: the node is cold now. The second result is false where
 // nothing changes.
-func (r *Roster) Greeted(c Clock, server control.Server, start int64) (control.Members, bool) {
+func (r *Roster) Greeted(c Clock, server scheduler.Server, start int64) (scheduler.Members, bool) {
 	e, ok := r.entries[server]
 	if !ok || e.Boot == 0 || start <= e.Boot {
-		return control.Members{}, false
+		return scheduler.Members{}, false
 	}
 	e.Boot = start // its status stays as listed: that a drain is over is for the list to tell
 	r.entries[server] = e
-	return control.Members{Version: r.version, Form: control.ListDelta, Entries: r.tell(c, []Entry{e})}, true
+	return scheduler.Members{
+		Version: r.version,
+		Form:    scheduler.ListDelta,
+		Entries: r.tell(c, []Entry{e}),
+	}, true
 }
 
 // Continue tells that the list service goes on as it was when the list was kept: changes to that are
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"landingpaddle/control"
+	"landingpaddle/scheduler"
 )
 
 const (
@@ -14,12 +14,14 @@
 	skew = 100 * time.Millisecond
 )
 
-func server(i int) control.Server { return control.Server{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 1} }
+func server(i int) scheduler.Server {
+	return scheduler.Server{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 1}
+}
 
 func clock(at time.Duration) Clock { return Clock{time.Hour + at, wall + int64(at)} }
 
 func ready(i int, boot int64) Entry {
-	return Entry{Server: server(i), Status: control.Ready, Cell: uint16(i), Boot: boot}
+	return Entry{Server: server(i), Status: scheduler.Ready, Cell: uint16(i), Boot: boot}
 }
 
 func whole(version uint64, entries ...Entry) News {
@@ -30,7 +32,7 @@
 	return News{Epoch: 1, Version: version, Since: since, Entries: entries}
 }
 
-func hear(t *testing.T, r *Roster, at time.Duration, n News, want Verdict) control.Members {
+func hear(t *testing.T, r *Roster, at time.Duration, n News, want Verdict) scheduler.Members {
 	t.Helper()
 	m, v := r.Hear(clock(at), n)
 	if v != want {
@@ -39,13 +41,13 @@
 	return m
 }
 
-func status(m control.Members, i int) control.Status {
+func status(m scheduler.Members, i int) scheduler.Status {
 	for _, e := range m.Entries {
 		if e.Server == server(i) {
 			return e.Status
 		}
 	}
-	return control.Gone
+	return scheduler.Gone
 }
 
 // After a gap, before any list and from another list service only a whole list is believed.
@@ -54,7 +56,7 @@
 	r.Restore(clock(0), Kept{Epoch: 1, Version: 5, Entries: []Entry{ready(1, 0)}})
 	hear(t, r, 0, change(5, 6, ready(2, 0)), Gap) // what is kept may be old: not built on
 	hear(t, r, 0, whole(6, ready(1, 0), ready(2, 0)), Believed)
-	hear(t, r, 0, change(6, 7, Entry{Server: server(1), Status: control.Gone}), Believed)
+	hear(t, r, 0, change(6, 7, Entry{Server: server(1), Status: scheduler.Gone}), Believed)
 	hear(t, r, 0, change(8, 9, ready(1, 0)), Gap)
 	hear(t, r, 0, whole(3), Old)
 	other := change(7, 8, ready(3, 0))
@@ -71,16 +73,16 @@
 	boot := wall - int64(time.Minute)
 	hear(t, r, 0, whole(1, ready(1, boot)), Believed)
 	m, ok := r.Notice(clock(0), server(1), boot)
-	if !ok || status(m, 1) != control.Draining {
+	if !ok || status(m, 1) != scheduler.Draining {
 		t.Fatalf("the notice changes nothing: %+v", m)
 	}
 	if _, ok := r.Notice(clock(0), server(1), boot); ok {
 		t.Error("the same notice twice is news twice")
 	}
-	if m := hear(t, r, 0, whole(2, ready(1, boot)), Believed); status(m, 1) != control.Draining {
+	if m := hear(t, r, 0, whole(2, ready(1, boot)), Believed); status(m, 1) != scheduler.Draining {
 		t.Error("a late list undid the drain")
 	}
-	if m := hear(t, r, 0, change(2, 3, ready(1, wall)), Believed); status(m, 1) != control.Ready {
+	if m := hear(t, r, 0, change(2, 3, ready(1, wall)), Believed); status(m, 1) != scheduler.Ready {
 		t.Error("the drain outlived the process")
 	}
 	if _, ok := r.Notice(clock(0), server(1), boot); ok {
@@ -113,9 +115,9 @@
 func TestAGreetingDoesNotEndADrain(t *testing.T) {
 	r := New(skew)
 	draining := ready(1, wall-int64(time.Minute))
-	draining.Status = control.Draining
+	draining.Status = scheduler.Draining
 	hear(t, r, 0, whole(1, draining), Believed)
-	if m, _ := r.Greeted(clock(0), server(1), wall); status(m, 1) != control.Draining {
+	if m, _ := r.Greeted(clock(0), server(1), wall); status(m, 1) != scheduler.Draining {
 		t.Errorf("told %+v", m)
 	}
 }
@@ -157,10 +159,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(skew)
 		now, version := time.Duration(0), uint64(0)
-		told := map[control.Server]map[int64]time.Duration{}
-		noticed := map[control.Server]int64{}
-		view := map[control.Server]Entry{}
-		see := func(m control.Members, boots map[control.Server]int64) {
+		told := map[scheduler.Server]map[int64]time.Duration{}
+		noticed := map[scheduler.Server]int64{}
+		view := map[scheduler.Server]Entry{}
+		see := func(m scheduler.Members, boots map[scheduler.Server]int64) {
 			for _, e := range m.Entries {
 				// Starts of one moment are told apart by nanoseconds.
 				if e.Boot > time.Hour+now+time.Microsecond {
@@ -176,12 +178,12 @@
 					}
 				}
 				told[e.Server][b] = e.Boot
-				if n, ok := noticed[e.Server]; ok && b <= n && e.Status == control.Ready {
+				if n, ok := noticed[e.Server]; ok && b <= n && e.Status == scheduler.Ready {
 					t.Fatalf("told ready after its notice")
 				}
 			}
 		}
-		boots := map[control.Server]int64{}
+		boots := map[scheduler.Server]int64{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "pass"))
 			i := rapid.IntRange(1, 3).Draw(t, "node")
--- a/control/api.go
+++ b/scheduler/api.go
@@ -1,6 +1,6 @@
 // Package control decides when and where a host's requests go. This file is its interface: the settings, the
 // events that a host sees and the actions that it asks for. It holds no decisions; those are in control.go.
-package control
+package scheduler
 
 import (
 	"cmp"
--- a/control/characterization_test.go
+++ b/scheduler/characterization_test.go
@@ -1,4 +1,4 @@
-package control
+package scheduler
 
 import (
 	"crypto/sha256"
--- a/control/control.go
+++ b/scheduler/control.go
@@ -1,4 +1,4 @@
-package control
+package scheduler
 
 // The interface of this module (settings, events, actions) is control/api.go; this file makes every decision.
 // A Host is one scheduler. It queues requests per shard and lets them leave for the shard's node by
--- a/control/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -1,4 +1,4 @@
-package control
+package scheduler
 
 import (
 	"math/rand/v2"
--- a/control/line.go
+++ b/scheduler/line.go
@@ -1,4 +1,4 @@
-package control
+package scheduler
 
 // line is a queue whose head leaves at no cost a step: what has left is cut off once it is half of all.
 type line[T any] struct {
