--- a/carry/carry.go
+++ b/carry/carry.go
@@ -40,26 +40,26 @@
 
 // Node is a figure of one start of a node.
 type Node struct {
-	Server scheduler.Server     `cbor:"Server"`
-	Boot   int64                `cbor:"Boot"` // Unix nanoseconds of the node's clock
-	Learnt scheduler.LearntNode `cbor:"Learnt"`
+	Server scheduler.Server         `cbor:"Server"`
+	Boot   int64                    `cbor:"Boot"` // Unix nanoseconds of the node's clock
+	Learnt scheduler.NodeStatistics `cbor:"Learnt"`
 }
 
 // Record is what is kept.
 type Record struct {
-	Written int64                   `cbor:"Written"` // Unix nanoseconds
-	Site    Site                    `cbor:"Site"`
-	Nodes   []Node                  `cbor:"Nodes"`
-	Classes []scheduler.LearntClass `cbor:"Classes"`
-	Usual   scheduler.LearntFit     `cbor:"Usual"`
-	Median  time.Duration           `cbor:"Median"`
-	Lately  time.Duration           `cbor:"Lately"`
+	Written int64                       `cbor:"Written"` // Unix nanoseconds
+	Site    Site                        `cbor:"Site"`
+	Nodes   []Node                      `cbor:"Nodes"`
+	Classes []scheduler.ClassStatistics `cbor:"Classes"`
+	Usual   scheduler.Regression        `cbor:"Usual"`
+	Median  time.Duration               `cbor:"Median"`
+	Lately  time.Duration               `cbor:"Lately"`
 }
 
 // Keep makes the record of what was learnt, of the nodes that are listed.
-func Keep(wall int64, site Site, l scheduler.Learnt, listed []roster.Entry) Record {
-	r := Record{Written: wall, Site: site, Classes: l.Classes, Usual: l.Usual, Median: l.Median,
-		Lately: l.Lately}
+func Keep(wall int64, site Site, l scheduler.Statistics, listed []roster.Entry) Record {
+	r := Record{Written: wall, Site: site, Classes: l.Classes, Usual: l.AllClasses, Median: l.MedianLatency,
+		Lately: l.RecentLatency}
 	for _, e := range listed {
 		if n, ok := l.Nodes[e.Server]; ok {
 			r.Nodes = append(r.Nodes, Node{e.Server, e.Boot, n})
@@ -85,7 +85,7 @@
 		return fmt.Errorf("its figures of the usual request are out of range")
 	}
 	for i, c := range r.Classes {
-		if !good(c.Mean, r.Site.Most) || !good(c.Seen, math.MaxUint32) || !goodFit(c.Fit) {
+		if !good(c.MeanUnits, r.Site.Most) || !good(c.Count, math.MaxUint32) || !goodFit(c.Latency) {
 			return fmt.Errorf("its figures of class %s are out of range", r.Site.Classes[i].Name)
 		}
 	}
@@ -101,18 +101,18 @@
 
 func good(v, most float64) bool { return v >= 0 && v <= most } // false for what is no number
 
-func goodFit(f scheduler.LearntFit) bool {
-	for _, v := range []float64{f.N, f.Size, f.Took, f.Square, f.Cross} {
+func goodFit(f scheduler.Regression) bool {
+	for _, v := range []float64{f.Count, f.MeanSize, f.MeanTime, f.MeanSquare, f.MeanProduct} {
 		if !good(v, 1e12) {
 			return false
 		}
 	}
-	return f.N == 0 || f.Took > 0
+	return f.Count == 0 || f.MeanTime > 0
 }
 
 // Over is what of a checked record still means the same under these settings and this list.
-func (r Record) Over(now Site, listed []roster.Entry) scheduler.Learnt {
-	out := scheduler.Learnt{Nodes: map[scheduler.Server]scheduler.LearntNode{}}
+func (r Record) Over(now Site, listed []roster.Entry) scheduler.Statistics {
+	out := scheduler.Statistics{Nodes: map[scheduler.Server]scheduler.NodeStatistics{}}
 	if r.Site.Mean != now.Mean || r.Site.Most != now.Most {
 		return out // a unit means something else: so does every size, and every time reckoned by sizes
 	}
@@ -128,14 +128,14 @@
 		}
 	}
 	for _, c := range now.Classes {
-		was := scheduler.LearntClass{}
+		was := scheduler.ClassStatistics{}
 		if i := slices.Index(r.Site.Classes, c); i >= 0 {
 			was = r.Classes[i]
 		}
 		out.Classes = append(out.Classes, was)
 	}
 	if sameClasses(r.Site.Classes, now.Classes) {
-		out.Usual, out.Median, out.Lately = r.Usual, r.Median, r.Lately
+		out.AllClasses, out.MedianLatency, out.RecentLatency = r.Usual, r.Median, r.Lately
 	}
 	return out
 }
--- a/carry/carry_test.go
+++ b/carry/carry_test.go
@@ -25,13 +25,13 @@
 const wall = int64(time.Hour) * 1000
 
 func record() Record {
-	fit := scheduler.LearntFit{N: 20, Size: 2, Took: 0.01, Square: 5, Cross: 0.03}
-	l := scheduler.Learnt{Nodes: map[scheduler.Server]scheduler.LearntNode{}, Usual: fit,
-		Median: 9 * time.Millisecond, Lately: 12 * time.Millisecond,
-		Classes: []scheduler.LearntClass{{Mean: 2, Seen: 30, Fit: fit},
-			{Mean: 3, Seen: 40, Fit: fit}}}
+	fit := scheduler.Regression{Count: 20, MeanSize: 2, MeanTime: 0.01, MeanSquare: 5, MeanProduct: 0.03}
+	l := scheduler.Statistics{Nodes: map[scheduler.Server]scheduler.NodeStatistics{}, AllClasses: fit,
+		MedianLatency: 9 * time.Millisecond, RecentLatency: 12 * time.Millisecond,
+		Classes: []scheduler.ClassStatistics{{MeanUnits: 2, Count: 30, Latency: fit},
+			{MeanUnits: 3, Count: 40, Latency: fit}}}
 	for i := byte(1); i <= 3; i++ {
-		l.Nodes[server(i)] = scheduler.LearntNode{Latency: time.Duration(i) * time.Millisecond}
+		l.Nodes[server(i)] = scheduler.NodeStatistics{Latency: time.Duration(i) * time.Millisecond}
 	}
 	return Keep(wall, site(), l, listed())
 }
@@ -42,7 +42,8 @@
 		t.Fatal(err)
 	}
 	l := r.Over(site(), listed())
-	if len(l.Nodes) != 3 || l.Usual.N != 20 || l.Median == 0 || l.Lately == 0 || l.Classes[1].Mean != 3 {
+	if len(l.Nodes) != 3 || l.AllClasses.Count != 20 || l.MedianLatency == 0 || l.RecentLatency == 0 ||
+		l.Classes[1].MeanUnits != 3 {
 		t.Errorf("got %+v", l)
 	}
 }
@@ -64,10 +65,10 @@
 	now := site()
 	now.Classes = []Class{{"write", true}, {"read", true}, {"scan", false}}
 	l := record().Over(now, listed())
-	if l.Classes[0].Mean != 3 || l.Classes[1].Seen != 0 || l.Classes[2].Seen != 0 {
+	if l.Classes[0].MeanUnits != 3 || l.Classes[1].Count != 0 || l.Classes[2].Count != 0 {
 		t.Errorf("classes %+v", l.Classes)
 	}
-	if l.Usual.N != 0 || l.Median != 0 || l.Lately != 0 || len(l.Nodes) != 3 {
+	if l.AllClasses.Count != 0 || l.MedianLatency != 0 || l.RecentLatency != 0 || len(l.Nodes) != 3 {
 		t.Errorf("got %+v", l)
 	}
 }
@@ -76,7 +77,8 @@
 func TestNothingCarriesOverToOtherUnits(t *testing.T) {
 	now := site()
 	now.Mean = 3
-	if l := record().Over(now, listed()); len(l.Nodes) != 0 || len(l.Classes) != 0 || l.Usual.N != 0 {
+	if l := record().Over(now, listed()); len(l.Nodes) != 0 || len(l.Classes) != 0 ||
+		l.AllClasses.Count != 0 {
 		t.Errorf("got %+v", l)
 	}
 }
@@ -88,9 +90,9 @@
 		"from now":            func(r *Record) { r.Written = wall + int64(2*time.Minute) },
 		"old, over 1h":        func(r *Record) { r.Written = wall - int64(2*time.Hour) },
 		"of 1 classes":        func(r *Record) { r.Classes = r.Classes[:1] },
-		"class write are out": func(r *Record) { r.Classes[1].Mean = 1e9 },
-		"class read are out":  func(r *Record) { r.Classes[0].Fit.Cross = math.NaN() },
-		"usual request are":   func(r *Record) { r.Usual.Took = -1 },
+		"class write are out": func(r *Record) { r.Classes[1].MeanUnits = 1e9 },
+		"class read are out":  func(r *Record) { r.Classes[0].Latency.MeanProduct = math.NaN() },
+		"usual request are":   func(r *Record) { r.Usual.MeanTime = -1 },
 		"of a node are out":   func(r *Record) { r.Nodes[0].Learnt.Latency = -1 },
 	} {
 		r := record()
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -25,7 +25,7 @@
 
 // run answers each batch with one reply until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r, hosts := bufio.NewReaderSize(in, bufferSize), map[uint16]*scheduler.Host{}
+	r, hosts := bufio.NewReaderSize(in, bufferSize), map[uint16]*scheduler.Scheduler{}
 	for {
 		batch, err := wire.ReadBatch(r)
 		if errors.Is(err, io.EOF) {
@@ -45,7 +45,7 @@
 }
 
 // answer hands a batch's events to their instances and gathers what each of these asks for.
-func answer(hosts map[uint16]*scheduler.Host, batch wire.Batch) ([]byte, error) {
+func answer(hosts map[uint16]*scheduler.Scheduler, batch wire.Batch) ([]byte, error) {
 	var touched []uint16
 	seen := map[uint16]bool{}
 	for _, rec := range batch.Records {
@@ -75,7 +75,7 @@
 }
 
 // decide adds what one instance asks for to the reply.
-func decide(reply *wire.Reply, id uint16, h *scheduler.Host, now time.Duration) error {
+func decide(reply *wire.Reply, id uint16, h *scheduler.Scheduler, now time.Duration) error {
 	for _, a := range h.Decide(now) {
 		if err := reply.Add(id, a); err != nil {
 			return err
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -33,11 +33,11 @@
 	}
 }
 
-func ask() *wire.Begin { return &wire.Begin{Settings: scheduler.Settings{Ask: true}} }
+func ask() *wire.Begin { return &wire.Begin{Settings: scheduler.Settings{PollEndpoints: true}} }
 
 func TestKillAndFreshStartInOneBatch(t *testing.T) {
-	hosts := map[uint16]*scheduler.Host{}
-	list := scheduler.Members{Form: scheduler.ListCached}
+	hosts := map[uint16]*scheduler.Scheduler{}
+	list := scheduler.EndpointUpdate{Kind: scheduler.UpdateCached}
 	start := []wire.Record{{Instance: 1, Begin: ask()}, {Instance: 1, Event: list}}
 	if _, err := answer(hosts, wire.Batch{Records: start}); err != nil {
 		t.Fatal(err)
@@ -54,9 +54,11 @@
 }
 
 func TestEventsForADeadInstanceAreDropped(t *testing.T) {
-	hosts := map[uint16]*scheduler.Host{}
-	batch := wire.Batch{Records: []wire.Record{{Instance: 4, Event: scheduler.Timer{Token: 1}}, {Instance: 4,
-		Stop: true}}}
+	hosts := map[uint16]*scheduler.Scheduler{}
+	batch := wire.Batch{
+		Records: []wire.Record{{Instance: 4, Event: scheduler.TimerFired{Token: 1}}, {Instance: 4,
+			Stop: true}},
+	}
 	if reply, err := answer(hosts, batch); err != nil || len(reply) != 4 {
 		t.Fatalf("got % x, %v", reply, err)
 	}
--- a/cmd/landingpaddle/standins.go
+++ b/cmd/landingpaddle/standins.go
@@ -35,7 +35,7 @@
 		Zone: uint8(set.Site.Zone(set.Zone)), Kind: set.Kind, Site: &set.Site, List: set.List.String(),
 		Addr: set.Listen.AddrPort, Seed: set.Seed,
 		Log: events, Meter: lab.NewMeter(set.Site.Meter), Cold: true,
-		Groups: func(scheduler.Group) *lab.Group { return group }})
+		Groups: func(scheduler.DedupScope) *lab.Group { return group }})
 	if err != nil {
 		return err
 	}
--- a/extent/joint_test.go
+++ b/extent/joint_test.go
@@ -19,7 +19,7 @@
 // joint is a planner and a real control.Host in simulated time, driven as the scheduler drives them.
 type joint struct {
 	t      *rapid.T
-	host   *scheduler.Host
+	host   *scheduler.Scheduler
 	plan   *extent.Planner
 	set    extent.Settings
 	now    time.Duration
@@ -86,8 +86,8 @@
 	}
 	for n, c := range cut {
 		j.host.Handle(j.now, scheduler.Request{ID: c.ID, Class: class, Cell: c.Cell,
-			Key: a.key, Write: q.Write, Writers: 1, Volume: a.id % 3, Units: float64(c.Units),
-			Expires: a.expires, Further: n > 0})
+			Key: a.key, Write: q.Write, VolumeInstances: 1, Volume: a.id % 3, Units: float64(c.Units),
+			ExpiresAt: a.expires, Continuation: n > 0})
 	}
 }
 
@@ -102,13 +102,13 @@
 			j.plan.Sent(x.ID)
 			p.sends++
 			p.at, p.sent = x.Server, j.now
-			if x.With == 0 {
+			if x.Leader == 0 {
 				last = &op{}
 				leaving = append(leaving, last)
 			}
 			last.parts = append(last.parts, p)
 			p.op = last
-		case scheduler.Refuse:
+		case scheduler.Reject:
 			j.over(x.ID, extent.Refused)
 		case scheduler.Fail:
 			j.over(x.ID, extent.Failed)
@@ -174,22 +174,28 @@
 	}
 	for _, w := range withdraw {
 		j.pieces[w].done = true
-		j.host.Handle(j.now, scheduler.Left{ID: w})
+		j.host.Handle(j.now, scheduler.ClientGone{ID: w})
 	}
 }
 
 // outcome ends one member's attempt.
-func (j *joint) outcome(p *part, code scheduler.Code) {
+func (j *joint) outcome(p *part, code scheduler.ResultCode) {
 	p.op = nil
-	j.plan.Ended(p.id, code != scheduler.Full)
+	j.plan.Ended(p.id, code != scheduler.Overloaded)
 	if code == scheduler.OK {
 		j.over(p.id, extent.Served)
 	}
-	j.host.Handle(j.now, scheduler.Outcome{ID: p.id, Attempt: p.sends - 1, Server: p.at, Code: code,
-		Took: j.now - p.sent, Ended: p.done})
+	j.host.Handle(j.now, scheduler.AttemptResult{ID: p.id, Attempt: p.sends - 1, Server: p.at, Code: code,
+		Latency: j.now - p.sent, RequestDone: p.done})
 }
 
-var codes = []scheduler.Code{scheduler.OK, scheduler.OK, scheduler.OK, scheduler.Reset, scheduler.Full}
+var codes = []scheduler.ResultCode{
+	scheduler.OK,
+	scheduler.OK,
+	scheduler.OK,
+	scheduler.Reset,
+	scheduler.Overloaded,
+}
 
 // step lets time pass: operations end, members whose time is up are called off one by one, timers come due.
 func (j *joint) step(d time.Duration) {
@@ -221,7 +227,7 @@
 	j.timers = slices.DeleteFunc(j.timers, func(t timer) bool { return t.at <= j.now })
 	for _, t := range due {
 		if t.at <= j.now {
-			j.host.Handle(j.now, scheduler.Timer{Token: t.token})
+			j.host.Handle(j.now, scheduler.TimerFired{Token: t.token})
 		}
 	}
 	j.decide()
@@ -236,20 +242,28 @@
 			set: extent.Settings{Extent: 32, Largest: 32, Pieces: 16, Cells: 2,
 				Members: rapid.SampledFrom([]int{8, 1}).Draw(t, "members")}}
 		j.plan = extent.New(j.set)
-		j.host = scheduler.New(1, scheduler.Settings{Hosts: 1, MaxAttempts: 3, RetryAfter: true, MeanUnits: 1,
-			MaxRetryAfter: time.Second, MostUnits: 64, OrderPause: 20 * ms, Classes: []scheduler.Class{
-				{Aim: 400 * ms, Deadline: 900 * ms, Worth: 1}, {Aim: 400 * ms, Deadline: 900 * ms, Worth: 1,
-					Repeat: scheduler.Keyed, Window: time.Second, InOrder: true, Writes: true}},
-			Plans: []scheduler.Plan{{Rate: 10, Weight: 1}}})
-		j.host.Accompany(j.plan)
-		var list []scheduler.Entry
+		j.host = scheduler.New(
+			1,
+			scheduler.Settings{Instances: 1, MaxAttempts: 3, RetryAfter: true, MeanUnits: 1,
+				MaxRetryAfter: time.Second, MaxUnits: 64, OrderingPause: 20 * ms, Classes: []scheduler.Class{
+					{
+						LatencyObjective: 400 * ms,
+						Deadline:         900 * ms,
+						PriorityWeight:   1,
+					}, {LatencyObjective: 400 * ms, Deadline: 900 * ms, PriorityWeight: 1,
+						Idempotency: scheduler.IdempotentByKey, DedupWindow: time.Second,
+						OrderedByKey: true, Writes: true}},
+				Plans: []scheduler.Plan{{Rate: 10, Weight: 1}}},
+		)
+		j.host.SetBatcher(j.plan)
+		var list []scheduler.Endpoint
 		for cell := range 2 {
 			list = append(
 				list,
-				scheduler.Entry{Server: at(cell), Status: scheduler.Ready, Cell: uint16(cell)},
+				scheduler.Endpoint{Server: at(cell), Status: scheduler.Ready, Cell: uint16(cell)},
 			)
 		}
-		j.host.Handle(j.now, scheduler.Members{Form: scheduler.ListFull, Entries: list})
+		j.host.Handle(j.now, scheduler.EndpointUpdate{Kind: scheduler.UpdateFull, Endpoints: list})
 		for range rapid.SampledFrom([]int{10, 40}).Draw(t, "steps") {
 			for range rapid.SampledFrom([]int{6, 2, 0, 30}).Draw(t, "asks") {
 				j.take(rapid.IntRange(0, 1).Draw(t, "class"))
--- a/extent/planner.go
+++ b/extent/planner.go
@@ -120,7 +120,7 @@
 // Beside proposes to join, for a piece that leaves, the held pieces that touch or overlap it, one after the
 // other along the volume's bytes, first those behind it, then those before. Writes only touch, since of two
 // writes to the same bytes the later must win. What joins is held no more.
-func (p *Planner) Beside(id uint32, join func(id uint32, units float64) bool) {
+func (p *Planner) Propose(id uint32, join func(id uint32, units float64) bool) {
 	lead := p.pieces[id]
 	if lead == nil || !lead.held || p.set.Members < 2 {
 		return
--- a/extent/planner_test.go
+++ b/extent/planner_test.go
@@ -82,7 +82,7 @@
 	lead := held[rapid.IntRange(0, len(held)-1).Draw(m.t, "lead")]
 	ids := []uint32{lead}
 	last := 0.0
-	m.p.Beside(lead, func(id uint32, units float64) bool {
+	m.p.Propose(lead, func(id uint32, units float64) bool {
 		a := m.of[id]
 		if a == nil || !a.held[id] || a.ended || slices.Contains(ids, id) {
 			t.Fatalf("offered piece %d, which is not held", id)
@@ -368,7 +368,7 @@
 
 // beside lists what is offered beside a lead, all of it accepted, and the units with the last.
 func beside(p *Planner, lead uint32) (ids []uint32, units float64) {
-	p.Beside(lead, func(id uint32, u float64) bool {
+	p.Propose(lead, func(id uint32, u float64) bool {
 		ids, units = append(ids, id), u
 		return true
 	})
@@ -534,7 +534,7 @@
 						continue
 					}
 					ids := []uint32{lead}
-					p.Beside(lead, func(id uint32, _ float64) bool { ids = append(ids, id); return true })
+					p.Propose(lead, func(id uint32, _ float64) bool { ids = append(ids, id); return true })
 					for _, id := range ids {
 						p.Sent(id)
 					}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -41,21 +41,28 @@
 	}
 	s := i.Site.Control(i.Number, i.Of, uint8(i.Site.Zone(i.Zone)), true)
 	w, p := s.Classes[1], s.Plans[0]
-	if s.Me != 1 || s.Hosts != 4 || s.Zone != 1 || !s.Ask || !s.Peers || s.MeanUnits != 3 ||
-		s.MostUnits != 9 || len(s.LoadFields) != 1 || s.ColdShare != 0.2 || s.ColdUnits != 50 ||
-		s.Ramp != 10*time.Second ||
-		s.FallWindow != 2*time.Second || s.FallMultiple != 2 || s.OrderPause != 50*time.Millisecond ||
-		!s.Budget || s.BudgetFloor != 3 || s.BudgetRatio != 0.1 || s.BudgetWindow != 4*time.Second {
+	if s.InstanceIndex != 1 || s.Instances != 4 || s.Zone != 1 || !s.PollEndpoints || !s.PeerMessages ||
+		s.MeanUnits != 3 ||
+		s.MaxUnits != 9 || len(s.LoadFields) != 1 || s.ColdFraction != 0.2 || s.ColdCapacity != 50 ||
+		s.SlowStartPeriod != 10*time.Second ||
+		s.OverloadWindow != 2*time.Second || s.OverloadFactor != 2 ||
+		s.OrderingPause != 50*time.Millisecond ||
+		!s.RetryBudget || s.RetryBudgetFloor != 3 || s.RetryBudgetRatio != 0.1 ||
+		s.RetryBudgetWindow != 4*time.Second {
 		t.Errorf("settings %+v", s)
 	}
-	if s.RetryAfter || !s.SecondCopies || !s.Probes || s.ShareWorth != 0.35 || s.SpareWorth != 0.1 ||
-		!s.RetriesAreKnown || !s.TellsElsewhere || p.Worth != 1.5 {
+	if s.RetryAfter || !s.HedgedRequests || !s.HealthChecks || s.ShareWeight != 0.35 ||
+		s.SpareWeight != 0.1 ||
+		!s.RetriesMarked || !s.ReportsElsewhere ||
+		p.PriorityWeight != 1.5 {
 		t.Errorf("settings of the newer build %+v", s)
 	}
-	if w.Repeat != scheduler.Keyed || w.Group != scheduler.GroupZone || w.Window != 5*time.Second ||
-		!w.InOrder ||
-		!w.Writes || w.Worth != 3 || w.Late != 0.2 ||
-		w.Aim != 200*time.Millisecond {
+	if w.Idempotency != scheduler.IdempotentByKey || w.DedupScope != scheduler.DedupZone ||
+		w.DedupWindow != 5*time.Second ||
+		!w.OrderedByKey ||
+		!w.Writes || w.PriorityWeight != 3 ||
+		w.LateFraction != 0.2 ||
+		w.LatencyObjective != 200*time.Millisecond {
 		t.Errorf("class %+v", w)
 	}
 	if p.Rate != 5 || p.Reserve != 2 || p.Weight != 2 || p.Limit != 10 || p.Burst != 20 || p.LimitSlack != 3 {
@@ -72,8 +79,9 @@
 		t.Fatal(err)
 	}
 	s := i.Site.Control(0, 1, 0, false)
-	if s.ShareWorth != 1 || s.Classes[0].Worth != s.Classes[1].Worth ||
-		s.Plans[0].Worth != s.Plans[1].Worth || !s.RetryAfter || s.Budget || !i.Site.Limits.Peers {
+	if s.ShareWeight != 1 || s.Classes[0].PriorityWeight != s.Classes[1].PriorityWeight ||
+		s.Plans[0].PriorityWeight != s.Plans[1].PriorityWeight || !s.RetryAfter || s.RetryBudget ||
+		!i.Site.Limits.Peers {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -13,7 +13,7 @@
 )
 
 // Repeat is control.Repeat in settings.
-type Repeat scheduler.Repeat
+type Repeat scheduler.Idempotency
 
 var repeatNames = []string{"safe", "keyed", "unsafe"}
 
@@ -23,7 +23,7 @@
 func (r Repeat) String() string { return repeatNames[r] }
 
 // Group is control.Group in settings.
-type Group scheduler.Group
+type Group scheduler.DedupScope
 
 var groupNames = []string{"all", "zone", "cell"}
 
@@ -60,9 +60,9 @@
 	switch {
 	case c.Aim > c.Deadline:
 		return fmt.Errorf("class %s: aim %v is after its deadline %v", c.Name, c.Aim, c.Deadline)
-	case c.Repeat == Repeat(scheduler.Keyed) && c.Window == 0:
+	case c.Repeat == Repeat(scheduler.IdempotentByKey) && c.Window == 0:
 		return fmt.Errorf("class %s is keyed; want (window …), in which its group drops repeats", c.Name)
-	case c.Repeat != Repeat(scheduler.Keyed) && c.Window > 0:
+	case c.Repeat != Repeat(scheduler.IdempotentByKey) && c.Window > 0:
 		return fmt.Errorf("class %s is %v; only a keyed class has a (window …)", c.Name, c.Repeat)
 	}
 	return nil
@@ -259,26 +259,51 @@
 
 // Control turns the site's settings into those of one instance's module.
 func (s *Site) Control(me, hosts int, zone uint8, peers bool) scheduler.Settings {
-	set := scheduler.Settings{Me: me, Hosts: hosts, Ask: s.Ask, MaxAttempts: s.Limits.Attempts,
-		Probes: s.Limits.Probes, Peers: peers, Cancel: s.Limits.Cancel, SecondCopies: s.Limits.SecondCopies,
-		RetryAfter: s.Limits.RetryAfter, MaxRetryAfter: s.Limits.MaxRetryAfter,
-		ConnectTimeout: s.Limits.ConnectTimeout, Tick: s.Limits.Tick, MeanUnits: s.MeanUnits,
-		MostUnits: s.MostUnits, ColdUnits: s.Rules.ColdUnits, MeterPeriod: s.Meter, ShareWorth: s.Share,
-		SpareWorth: s.Spare, AskWithin: s.Rules.AskWithin, ColdShare: s.Rules.ColdShare, Ramp: s.Rules.Ramp,
-		FallWindow: s.Rules.FallWindow, FallMultiple: s.Rules.FallMultiple, DrainGrace: s.Rules.DrainGrace,
-		OrderPause: s.Rules.OrderPause, LoadFields: s.Load, Zone: zone, TellsElsewhere: s.Elsewhere,
-		RetriesAreKnown: s.Retries}
+	set := scheduler.Settings{
+		InstanceIndex:    me,
+		Instances:        hosts,
+		PollEndpoints:    s.Ask,
+		MaxAttempts:      s.Limits.Attempts,
+		HealthChecks:     s.Limits.Probes,
+		PeerMessages:     peers,
+		Cancellation:     s.Limits.Cancel,
+		HedgedRequests:   s.Limits.SecondCopies,
+		RetryAfter:       s.Limits.RetryAfter,
+		MaxRetryAfter:    s.Limits.MaxRetryAfter,
+		ConnectTimeout:   s.Limits.ConnectTimeout,
+		BatchInterval:    s.Limits.Tick,
+		MeanUnits:        s.MeanUnits,
+		MaxUnits:         s.MostUnits,
+		ColdCapacity:     s.Rules.ColdUnits,
+		MeterPeriod:      s.Meter,
+		ShareWeight:      s.Share,
+		SpareWeight:      s.Spare,
+		PollTimeout:      s.Rules.AskWithin,
+		ColdFraction:     s.Rules.ColdShare,
+		SlowStartPeriod:  s.Rules.Ramp,
+		OverloadWindow:   s.Rules.FallWindow,
+		OverloadFactor:   s.Rules.FallMultiple,
+		DrainGrace:       s.Rules.DrainGrace,
+		OrderingPause:    s.Rules.OrderPause,
+		LoadFields:       s.Load,
+		Zone:             zone,
+		ReportsElsewhere: s.Elsewhere,
+		RetriesMarked:    s.Retries,
+	}
 	if b := s.Rules.Budget; b != nil {
-		set.Budget, set.BudgetFloor, set.BudgetRatio, set.BudgetWindow = true, b.Floor, b.Ratio, b.Window
+		set.RetryBudget, set.RetryBudgetFloor, set.RetryBudgetRatio, set.RetryBudgetWindow = true, b.Floor,
+			b.Ratio, b.Window
 	}
 	for _, c := range s.Classes {
-		set.Classes = append(set.Classes, scheduler.Class{Aim: c.Aim, Deadline: c.Deadline,
-			Repeat: scheduler.Repeat(c.Repeat), Group: scheduler.Group(c.Group), Window: c.Window,
-			InOrder: c.InOrder, Writes: c.Writes, Worth: c.Worth, Late: c.Late})
+		set.Classes = append(set.Classes, scheduler.Class{LatencyObjective: c.Aim, Deadline: c.Deadline,
+			Idempotency: scheduler.Idempotency(
+				c.Repeat,
+			), DedupScope: scheduler.DedupScope(c.Group), DedupWindow: c.Window,
+			OrderedByKey: c.InOrder, Writes: c.Writes, PriorityWeight: c.Worth, LateFraction: c.Late})
 	}
 	for _, p := range s.Plans {
 		set.Plans = append(set.Plans, scheduler.Plan{Rate: p.Rate, Reserve: p.Reserve, Weight: p.Weight,
-			Limit: p.Limit, Burst: p.Burst, LimitSlack: p.Slack, Worth: p.Worth})
+			Limit: p.Limit, Burst: p.Burst, LimitSlack: p.Slack, PriorityWeight: p.Worth})
 	}
 	return set
 }
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -277,8 +277,8 @@
 	done := map[piece]int{}
 	for _, t := range a.sent {
 		class := a.site.Classes[t.sent.Class]
-		repeat := scheduler.Repeat(class.Repeat)
-		if repeat == scheduler.Safe {
+		repeat := scheduler.Idempotency(class.Repeat)
+		if repeat == scheduler.Idempotent {
 			continue
 		}
 		if len(t.attempts) > 0 {
@@ -305,7 +305,8 @@
 			}
 		}
 		e, ok := t.answered()
-		truthful := repeat == scheduler.Keyed && scheduler.Group(class.Group) == scheduler.GroupAll
+		truthful := repeat == scheduler.IdempotentByKey &&
+			scheduler.DedupScope(class.Group) == scheduler.DedupAll
 		if ok && e.Code == proto.Refused && ran != nil && ran.arrive.T < e.T && !truthful {
 			a.broke(RuleEffects, e, "refused while it may have run on node %d", ran.arrive.Node)
 		}
@@ -314,15 +315,15 @@
 
 // repeat judges an attempt after one that may have run.
 func (a *audit) repeat(class config.Class, ran, at *attemptLog) {
-	if scheduler.Repeat(class.Repeat) == scheduler.Unsafe {
+	if scheduler.Idempotency(class.Repeat) == scheduler.NotIdempotent {
 		a.broke(RuleEffects, at.arrive, "sent again while it may have run on node %d", ran.arrive.Node)
 		return
 	}
 	same := true
-	switch scheduler.Group(class.Group) {
-	case scheduler.GroupZone:
+	switch scheduler.DedupScope(class.Group) {
+	case scheduler.DedupZone:
 		same = a.zones[ran.arrive.Node] == a.zones[at.arrive.Node]
-	case scheduler.GroupCell:
+	case scheduler.DedupCell:
 		same = ran.arrive.Cell == at.arrive.Cell
 	}
 	if !same {
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -15,7 +15,7 @@
 // catch.
 type Greedy struct {
 	set   scheduler.Settings
-	nodes map[scheduler.Server]scheduler.Entry
+	nodes map[scheduler.Server]scheduler.Endpoint
 	reqs  map[uint32]*greedyRequest
 	acts  []scheduler.Action
 	turn  int
@@ -35,60 +35,65 @@
 
 // NewGreedy makes one for an instance with those settings.
 func NewGreedy(set scheduler.Settings) *Greedy {
-	return &Greedy{set: set, nodes: map[scheduler.Server]scheduler.Entry{}, reqs: map[uint32]*greedyRequest{}}
+	return &Greedy{
+		set:   set,
+		nodes: map[scheduler.Server]scheduler.Endpoint{},
+		reqs:  map[uint32]*greedyRequest{},
+	}
 }
 
 // Handle takes an event in.
 func (g *Greedy) Handle(_ time.Duration, ev scheduler.Event) {
-	if g.set.Ask && !g.asked {
+	if g.set.PollEndpoints && !g.asked {
 		g.asked = true
-		g.acts = append(g.acts, scheduler.Watch{On: true})
+		g.acts = append(g.acts, scheduler.WatchEndpoints{On: true})
 	}
 	switch x := ev.(type) {
-	case scheduler.Timer:
+	case scheduler.TimerFired:
 		g.asked = false // a watch failed a while ago: the next event opens it again
-	case scheduler.Members:
-		if x.Form == scheduler.ListFailed {
+	case scheduler.EndpointUpdate:
+		if x.Kind == scheduler.UpdateFailed {
 			g.acts = append(g.acts, scheduler.SetTimer{After: time.Second})
 			return
 		}
-		if x.Form == scheduler.ListFull {
+		if x.Kind == scheduler.UpdateFull {
 			for s, e := range g.nodes {
 				e.Status = scheduler.Gone
 				g.nodes[s] = e
 			}
 		}
-		for _, e := range x.Entries {
+		for _, e := range x.Endpoints {
 			g.nodes[e.Server] = e
 		}
 	case scheduler.Request:
 		r := &greedyRequest{Request: x}
 		g.reqs[x.ID] = r
 		g.send(r, g.pick(r, false))
-	case scheduler.Left:
+	case scheduler.ClientGone:
 		delete(g.reqs, x.ID)
-	case scheduler.Outcome:
+	case scheduler.AttemptResult:
 		if r := g.reqs[x.ID]; r != nil {
 			g.outcome(r, x)
 		}
 	}
 }
 
-func (g *Greedy) outcome(r *greedyRequest, o scheduler.Outcome) {
-	if o.Ended {
+func (g *Greedy) outcome(r *greedyRequest, o scheduler.AttemptResult) {
+	if o.RequestDone {
 		delete(g.reqs, r.ID)
 		return
 	}
-	proven := o.Code == scheduler.Full || o.Code == scheduler.ConnectFailed || o.Code == scheduler.Moot
+	proven := o.Code == scheduler.Overloaded || o.Code == scheduler.ConnectFailed ||
+		o.Code == scheduler.NotApplicable
 	r.ran = r.ran || !proven
 	class := g.set.Classes[r.Class]
 	switch {
-	case g.Again && r.sends < g.set.MaxAttempts && (class.Repeat == scheduler.Safe || !r.ran):
+	case g.Again && r.sends < g.set.MaxAttempts && (class.Idempotency == scheduler.Idempotent || !r.ran):
 		g.send(r, g.pick(r, false))
-	case g.Astray && r.sends < g.set.MaxAttempts && class.Repeat == scheduler.Keyed:
+	case g.Astray && r.sends < g.set.MaxAttempts && class.Idempotency == scheduler.IdempotentByKey:
 		g.send(r, g.pick(r, true))
-	case !r.ran || class.Repeat == scheduler.Safe:
-		g.acts = append(g.acts, scheduler.Refuse{ID: r.ID})
+	case !r.ran || class.Idempotency == scheduler.Idempotent:
+		g.acts = append(g.acts, scheduler.Reject{ID: r.ID})
 		delete(g.reqs, r.ID)
 	default:
 		g.acts = append(g.acts, scheduler.Fail{ID: r.ID})
@@ -96,9 +101,9 @@
 	}
 }
 
-func (g *Greedy) send(r *greedyRequest, e scheduler.Entry) {
+func (g *Greedy) send(r *greedyRequest, e scheduler.Endpoint) {
 	if e.Server == (scheduler.Server{}) {
-		g.acts = append(g.acts, scheduler.Refuse{ID: r.ID})
+		g.acts = append(g.acts, scheduler.Reject{ID: r.ID})
 		delete(g.reqs, r.ID)
 		return
 	}
@@ -109,8 +114,8 @@
 
 // pick is the node that holds the cell, or for a new object the next in turn; other: one elsewhere than
 // before.
-func (g *Greedy) pick(r *greedyRequest, other bool) scheduler.Entry {
-	var fit []scheduler.Entry
+func (g *Greedy) pick(r *greedyRequest, other bool) scheduler.Endpoint {
+	var fit []scheduler.Endpoint
 	for _, e := range g.nodes {
 		ready := e.Status == scheduler.Ready || g.Draining
 		if ready && (r.Cell < 0 || int(e.Cell) == r.Cell) && (!other || e.Zone != g.nodes[r.at].Zone) {
@@ -118,9 +123,9 @@
 		}
 	}
 	if len(fit) == 0 {
-		return scheduler.Entry{}
+		return scheduler.Endpoint{}
 	}
-	slices.SortFunc(fit, func(a, b scheduler.Entry) int { return cmp.Compare(a.Cell, b.Cell) })
+	slices.SortFunc(fit, func(a, b scheduler.Endpoint) int { return cmp.Compare(a.Cell, b.Cell) })
 	g.turn++
 	return fit[g.turn%len(fit)]
 }
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -229,13 +229,13 @@
 
 func newGroups() *groups { return &groups{by: map[[2]int]*Group{}} }
 
-func (g *groups) of(zone uint8, cell uint16) func(scheduler.Group) *Group {
-	return func(kind scheduler.Group) *Group {
+func (g *groups) of(zone uint8, cell uint16) func(scheduler.DedupScope) *Group {
+	return func(kind scheduler.DedupScope) *Group {
 		id := [2]int{int(kind), 0}
 		switch kind {
-		case scheduler.GroupZone:
+		case scheduler.DedupZone:
 			id[1] = int(zone)
-		case scheduler.GroupCell:
+		case scheduler.DedupCell:
 			id[1] = int(cell)
 		}
 		g.mu.Lock()
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -93,7 +93,7 @@
 	Addr   netip.AddrPort
 	Seed   uint64
 	Log    *Log
-	Groups func(g scheduler.Group) *Group // which group drops repeats with it
+	Groups func(g scheduler.DedupScope) *Group // which group drops repeats with it
 	Meter  *Meter
 	Cold   bool          // its first start counts as just now, not long ago
 	Ahead  time.Duration // its clock is ahead of ours by so much
@@ -443,7 +443,7 @@
 }
 
 func (l *life) forget(o *op) {
-	if class := l.n.cfg.Site.Classes[o.req.Class]; class.Repeat == config.Repeat(scheduler.Keyed) {
+	if class := l.n.cfg.Site.Classes[o.req.Class]; class.Repeat == config.Repeat(scheduler.IdempotentByKey) {
 		for _, m := range o.members {
 			if !m.repeat {
 				l.group(class).forget(m.effect())
@@ -485,7 +485,7 @@
 	fell, draining := l.press(float64(o.req.Units)), l.draining
 	l.mu.Unlock()
 	class := l.n.cfg.Site.Classes[o.req.Class]
-	keyed := class.Repeat == config.Repeat(scheduler.Keyed)
+	keyed := class.Repeat == config.Repeat(scheduler.IdempotentByKey)
 	switch {
 	case fell:
 		l.log(Event{Kind: KindFell, Inst: o.inst, Token: o.req.Token, Boot: l.told})
@@ -506,7 +506,7 @@
 	}
 }
 
-func (l *life) group(c config.Class) *Group { return l.n.cfg.Groups(scheduler.Group(c.Group)) }
+func (l *life) group(c config.Class) *Group { return l.n.cfg.Groups(scheduler.DedupScope(c.Group)) }
 
 // capacity is the part of its work that the node can do now: it warms over the ramp.
 func (l *life) capacity() float64 {
--- a/internal/lab/throughput_test.go
+++ b/internal/lab/throughput_test.go
@@ -138,7 +138,7 @@
 			for i := range nodesOfThroughput {
 				node, err := NewNode(NodeConfig{Number: i, Cell: uint16(i), Kind: kind, Site: &site,
 					List: lists.Addr().String(), Seed: 1, Meter: NewMeter(0),
-					Groups: func(scheduler.Group) *Group { return group }})
+					Groups: func(scheduler.DedupScope) *Group { return group }})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -82,7 +82,7 @@
 func (l *Link) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Run hands messages on until ctx ends; hear must not block.
-func (l *Link) Run(ctx context.Context, hear func(scheduler.Peer)) error {
+func (l *Link) Run(ctx context.Context, hear func(scheduler.PeerMessage)) error {
 	stop := context.AfterFunc(ctx, func() { l.conn.Close() })
 	defer stop()
 	buf := make([]byte, fixed+MaxBody+1)
@@ -105,7 +105,7 @@
 			l.Bad.Add(1)
 			continue
 		}
-		hear(scheduler.Peer{From: from, Body: append([]byte(nil), body...)})
+		hear(scheduler.PeerMessage{From: from, Body: append([]byte(nil), body...)})
 	}
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,10 +29,10 @@
 	}
 	peers[0], peers[1] = a.Addr(), b.Addr()
 	ctx, cancel := context.WithCancel(context.Background())
-	got := make(chan scheduler.Peer, 8)
+	got := make(chan scheduler.PeerMessage, 8)
 	var wg sync.WaitGroup
-	wg.Go(func() { _ = a.Run(ctx, func(scheduler.Peer) {}) })
-	wg.Go(func() { _ = b.Run(ctx, func(p scheduler.Peer) { got <- p }) })
+	wg.Go(func() { _ = a.Run(ctx, func(scheduler.PeerMessage) {}) })
+	wg.Go(func() { _ = b.Run(ctx, func(p scheduler.PeerMessage) { got <- p }) })
 	defer wg.Wait()
 	defer cancel()
 	out, err := net.Dial("udp4", b.Addr().String())
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -179,14 +179,14 @@
 	switch {
 	case keys > 1 || (keys == 1 && key == ""):
 		return bad(fieldKey + " stands twice or is empty")
-	case keys == 0 && class.Repeat == scheduler.Keyed:
+	case keys == 0 && class.Idempotency == scheduler.IdempotentByKey:
 		return bad("a keyed class carries " + fieldKey)
 	}
 	again, tries := q.Header.Get(fieldAgain)
 	if tries > 1 || (tries == 1 && again != "1" && again != "0") {
 		return bad(fieldAgain + " is neither 1 nor 0")
 	}
-	ask.Repeat, ask.Write = again == "1", q.Method == "PUT"
+	ask.Retry, ask.Write = again == "1", q.Method == "PUT"
 	for _, field := range q.Header {
 		for _, name := range []string{fieldID, fieldClass, fieldPlan, fieldExtent, fieldKey, "Content-Type"} {
 			if strings.EqualFold(field.Name, name) {
@@ -243,7 +243,7 @@
 		case "units":
 			ask.Units, err = strconv.ParseFloat(value, 64)
 			if err != nil || !(ask.Units > 0) || ask.Units != math.Trunc(ask.Units) ||
-				ask.Units > max(1, f.site.Control.MostUnits) {
+				ask.Units > max(1, f.site.Control.MaxUnits) {
 				return bad(fieldExtent + ": units out of range")
 			}
 		case "shard":
@@ -256,8 +256,8 @@
 				return bad(fieldExtent + ": shard out of range")
 			}
 		case "hosts":
-			if ask.Writers, err = strconv.Atoi(value); err != nil || ask.Writers < 1 ||
-				ask.Writers > max(1, f.site.Control.Hosts) {
+			if ask.VolumeInstances, err = strconv.Atoi(value); err != nil || ask.VolumeInstances < 1 ||
+				ask.VolumeInstances > max(1, f.site.Control.Instances) {
 				return bad(fieldExtent + ": hosts out of range")
 			}
 		}
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -128,14 +128,14 @@
 
 // try sends the request once and reads what comes back. What it returns follows the protocol's table:
 // until the last byte of the request is written it has never run, after that it may have.
-func (a *attempt) try() (scheduler.Code, proto.Answer, []byte) {
+func (a *attempt) try() (scheduler.ResultCode, proto.Answer, []byte) {
 	n, none := a.n, proto.Answer{}
 	at, ok := n.book.find(a.op.Server())
 	if !ok {
 		return scheduler.ConnectFailed, none, nil
 	}
 	if cell := a.e.call.Ask.Cell; cell >= 0 && int(at.cell) != cell {
-		return scheduler.Moot, none, nil
+		return scheduler.NotApplicable, none, nil
 	}
 	c := n.take(a.op.Server())
 	if c == nil {
@@ -181,11 +181,11 @@
 
 // begin ties an attempt to its connection, unless what it rested on no longer holds: finding a connection may
 // have taken long. It is the one check before the first byte.
-func (a *attempt) begin(c *nodeConn) scheduler.Code {
+func (a *attempt) begin(c *nodeConn) scheduler.ResultCode {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.over {
-		return scheduler.Moot
+		return scheduler.NotApplicable
 	}
 	code := a.n.core.Stands(a.op)
 	if code == scheduler.OK {
@@ -195,7 +195,7 @@
 }
 
 // outcome reads an answer by the protocol's table.
-func outcome(p *http1.Response) (scheduler.Code, proto.Answer, []byte) {
+func outcome(p *http1.Response) (scheduler.ResultCode, proto.Answer, []byte) {
 	a := proto.Answer{}
 	if v, ok := figure(p.Header, fieldMeter); ok {
 		a.Metered = 1 + v
@@ -208,7 +208,7 @@
 	case p.Status == 200:
 		return scheduler.OK, a, p.Body
 	case (p.Status == 503 || p.Status == 504) && turned == "1":
-		return scheduler.Full, a, nil
+		return scheduler.Overloaded, a, nil
 	}
 	return scheduler.Error, a, nil
 }
@@ -390,11 +390,11 @@
 func (n *nodes) Probe(s scheduler.Server) {
 	at := n.core.Now()
 	go func() {
-		n.core.Probed(scheduler.Probed{Server: s, Code: n.probe(s), Took: n.core.Now() - at})
+		n.core.Probed(scheduler.HealthCheckResult{Server: s, Code: n.probe(s), Latency: n.core.Now() - at})
 	}()
 }
 
-func (n *nodes) probe(s scheduler.Server) scheduler.Code {
+func (n *nodes) probe(s scheduler.Server) scheduler.ResultCode {
 	page, ok := n.book.find(s)
 	if !ok {
 		return scheduler.ConnectFailed
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -45,10 +45,10 @@
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		number := slices.Index(p.cfg.Peers, from)
-		if number < 0 || number == p.cfg.Site.Control.Me || n > maxDatagram {
+		if number < 0 || number == p.cfg.Site.Control.InstanceIndex || n > maxDatagram {
 			continue
 		}
-		core.Heard(scheduler.Peer{From: uint32(number), Body: slices.Clone(buf[:n])})
+		core.Heard(scheduler.PeerMessage{From: uint32(number), Body: slices.Clone(buf[:n])})
 	}
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -79,7 +79,7 @@
 func stopTimes(set *scheduler.Settings) (last, end time.Duration) {
 	var deadline, aim time.Duration
 	for _, c := range set.Classes {
-		deadline, aim = max(deadline, c.Deadline), max(aim, c.Aim)
+		deadline, aim = max(deadline, c.Deadline), max(aim, c.LatencyObjective)
 	}
 	end = max(min(deadline, killMost)+killSpare-killMargin, leastAccept+leastAnswer)
 	// Half of the aim is enough for most: what is refused a connection here is lost to its client either way.
@@ -123,7 +123,7 @@
 	}
 	last, end := stopTimes(&cfg.Site.Control)
 	s.core = sched.NewCore(sched.CoreConfig{Seed: cfg.Seed, Settings: cfg.Site.Control,
-		Tick: cfg.Site.Control.Tick, Transit: transit, AnswerSlack: cfg.Site.AnswerSlack + lateSlack,
+		Tick: cfg.Site.Control.BatchInterval, Transit: transit, AnswerSlack: cfg.Site.AnswerSlack + lateSlack,
 		Known:   roster.Kept{Version: news.Version, Entries: news.Entries},
 		OneList: cfg.Known != nil, Name: s.book.name, StopWithin: end - last, Log: s.log})
 	s.front = newFront(s.core, &s.cfg.Site, s.log, s.lim)
@@ -274,16 +274,22 @@
 }
 
 // compare logs what the module believes of each disk server beside what is on its way there.
-func (s *Scheduler) compare(beliefs []scheduler.Belief) {
+func (s *Scheduler) compare(beliefs []scheduler.NodeState) {
 	s.nodes.mu.Lock()
 	work := maps.Clone(s.nodes.work)
 	s.nodes.mu.Unlock()
 	var rows []any
 	for _, b := range beliefs {
 		rows = append(rows, slog.String(s.book.name(b.Server), fmt.Sprintf(
-			"%v out=%d work=%d used=%.0f depth=%.1f latency=%v fails=%d", b.Status, b.Out, work[b.Server],
-			b.Used,
-			b.Depth, b.Latency.Round(100*time.Microsecond), b.Fails)))
+			"%v out=%d work=%d used=%.0f depth=%.1f latency=%v fails=%d",
+			b.Status,
+			b.InFlight,
+			work[b.Server],
+			b.SlotsUsed,
+			b.Depth,
+			b.Latency.Round(100*time.Microsecond),
+			b.Failures,
+		)))
 	}
 	s.log.Info("nodes", slog.Group("believed", rows...))
 }
--- a/internal/sched/edges.go
+++ b/internal/sched/edges.go
@@ -91,7 +91,7 @@
 }
 
 // Ended tells how an operation ended.
-func (c *Core) Ended(op *Operation, code scheduler.Code, a proto.Answer, payload []byte) {
+func (c *Core) Ended(op *Operation, code scheduler.ResultCode, a proto.Answer, payload []byte) {
 	c.in.put(result{op, code, a, payload})
 }
 
@@ -102,12 +102,12 @@
 func (c *Core) ListFailed(err error) { c.in.put(listFailed{err}) }
 
 // Probed tells the result of a probe.
-func (c *Core) Probed(p scheduler.Probed) { c.in.put(p) }
+func (c *Core) Probed(p scheduler.HealthCheckResult) { c.in.put(p) }
 
 // Heard takes a message of another instance in.
-func (c *Core) Heard(p scheduler.Peer) { c.in.putPeer(p) }
+func (c *Core) Heard(p scheduler.PeerMessage) { c.in.putPeer(p) }
 
 // Beliefs hands what the module believes of the nodes to tell, on the loop's goroutine.
-func (c *Core) Beliefs(tell func([]scheduler.Belief)) {
-	c.in.put(func(l *loop) { tell(l.module.Beliefs()) })
+func (c *Core) Beliefs(tell func([]scheduler.NodeState)) {
+	c.in.put(func(l *loop) { tell(l.module.NodeStates()) })
 }
--- a/internal/sched/edges_test.go
+++ b/internal/sched/edges_test.go
@@ -34,17 +34,26 @@
 	server := scheduler.Server{Addr: [4]byte{1}, Port: 1}
 	c := NewCore(CoreConfig{AnswerSlack: 8 * time.Millisecond, OneList: true,
 		Known: roster.Kept{Version: 3, Entries: []roster.Entry{{Server: server, Status: scheduler.Ready}}},
-		Settings: scheduler.Settings{Hosts: 1, MaxAttempts: 1, MeanUnits: 1, MostUnits: 1,
-			Classes: []scheduler.Class{{Aim: time.Second, Deadline: time.Second, Repeat: scheduler.Unsafe}},
-			Plans:   []scheduler.Plan{{Weight: 1}}}})
+		Settings: scheduler.Settings{Instances: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 1,
+			Classes: []scheduler.Class{
+				{LatencyObjective: time.Second, Deadline: time.Second, Idempotency: scheduler.NotIdempotent},
+			},
+			Plans: []scheduler.Plan{{Weight: 1}}}})
 	l := newLoop(c, Edges{Nodes: edges, List: edges})
 	l.now = c.Now()
 	l.members(l.view.Restore(c.clock(), c.cfg.Known))
 	if why := c.Admit(1); why != "" {
 		t.Fatal(why)
 	}
-	l.take(&Call{Caller: edges, At: l.now, Wait: time.Second, Ask: scheduler.Request{Units: 1, Writers: 1,
-		Volume: 1}})
+	l.take(
+		&Call{
+			Caller: edges,
+			At:     l.now,
+			Wait:   time.Second,
+			Ask: scheduler.Request{Units: 1, VolumeInstances: 1,
+				Volume: 1},
+		},
+	)
 	l.decide()
 	if len(edges.sent) != 1 || edges.sent[0].Server() != server || edges.sent[0].Caller() != Caller(edges) {
 		t.Fatalf("%d operations sent", len(edges.sent))
@@ -57,7 +66,7 @@
 			c.Stats.Overdue.Load(),
 			c.Stats.TimedOut.Load(), edges.off, c.open.Load())
 	}
-	if b := l.module.Beliefs(); len(b) != 1 || b[0].Server != server || b[0].Out != 0 ||
+	if b := l.module.NodeStates(); len(b) != 1 || b[0].Server != server || b[0].InFlight != 0 ||
 		b[0].Status != scheduler.Ready {
 		t.Errorf("the module believes %+v", b)
 	}
@@ -84,8 +93,8 @@
 func TestCallsThatCrossTheEndOfAStop(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		edges := &noEdges{}
-		c := NewCore(CoreConfig{Settings: scheduler.Settings{Hosts: 1,
-			Classes: []scheduler.Class{{Aim: time.Second, Deadline: time.Second}},
+		c := NewCore(CoreConfig{Settings: scheduler.Settings{Instances: 1,
+			Classes: []scheduler.Class{{LatencyObjective: time.Second, Deadline: time.Second}},
 			Plans:   []scheduler.Plan{{Weight: 1}}}})
 		l := newLoop(c, Edges{Nodes: edges, List: edges})
 		l.now = c.Now()
@@ -97,7 +106,7 @@
 			Caller: edges,
 			At:     l.now,
 			Wait:   time.Second,
-			Ask:    scheduler.Request{Units: 1, Writers: 1},
+			Ask:    scheduler.Request{Units: 1, VolumeInstances: 1},
 		}
 		var wg sync.WaitGroup
 		if first {
--- a/internal/sched/extents_test.go
+++ b/internal/sched/extents_test.go
@@ -121,7 +121,8 @@
 		cfg.Site.Limits.Tick = 200 * time.Millisecond
 		cfg.Site.MostUnits = 1000
 		cfg.Site.Classes = append(cfg.Site.Classes, config.Class{Name: "put", Aim: 2 * time.Second,
-			Writes: true, Deadline: 4 * time.Second, Worth: 1, Repeat: config.Repeat(scheduler.Unsafe)})
+			Writes: true, Deadline: 4 * time.Second, Worth: 1,
+			Repeat: config.Repeat(scheduler.NotIdempotent)})
 		if change != nil {
 			change(cfg)
 		}
--- a/internal/sched/front.go
+++ b/internal/sched/front.go
@@ -155,8 +155,8 @@
 func (k *stream) asCall(at time.Duration) *Call {
 	q := &k.req
 	call := &Call{Caller: k, At: at, Wait: q.Wait, Token: q.Token, Data: q.Of(),
-		Ask: scheduler.Request{Class: int(q.Class), Cell: int(q.Cell), Repeat: q.Try > 0, Write: k.write,
-			Writers: int(q.Writers), Plan: int(q.Plan), Key: q.Key, Volume: q.Volume,
+		Ask: scheduler.Request{Class: int(q.Class), Cell: int(q.Cell), Retry: q.Try > 0, Write: k.write,
+			VolumeInstances: int(q.Writers), Plan: int(q.Plan), Key: q.Key, Volume: q.Volume,
 			Units: float64(q.Units)}}
 	if q.Ranged {
 		call.Range = &extent.Range{Offset: q.Offset, Length: uint64(q.Length)}
--- a/internal/sched/inbox.go
+++ b/internal/sched/inbox.go
@@ -27,7 +27,7 @@
 	b.ring()
 }
 
-func (b *inbox) putPeer(p scheduler.Peer) {
+func (b *inbox) putPeer(p scheduler.PeerMessage) {
 	b.mu.Lock()
 	if b.peers < mostPeers {
 		b.peers++
--- a/internal/sched/learnt.go
+++ b/internal/sched/learnt.go
@@ -53,10 +53,13 @@
 		return
 	}
 	learnt := l.before.Over(l.c.cfg.Facts, listed)
-	nodes := l.module.Recall(learnt)
-	classes := slices.DeleteFunc(learnt.Classes, func(c scheduler.LearntClass) bool { return c.Seen == 0 })
+	nodes := l.module.RestoreStatistics(learnt)
+	classes := slices.DeleteFunc(
+		learnt.Classes,
+		func(c scheduler.ClassStatistics) bool { return c.Count == 0 },
+	)
 	l.c.log.Info("learnt figures taken over", "nodes", nodes, "of", len(l.before.Nodes),
-		"classes", len(classes), "usual", learnt.Usual.N > 0)
+		"classes", len(classes), "usual", learnt.AllClasses.Count > 0)
 }
 
 // saveLearnt keeps what was learnt for the next life. A disk that is full costs that life its head start.
@@ -65,7 +68,7 @@
 	if path == "" {
 		return
 	}
-	r := carry.Keep(l.c.clock().Wall, l.c.cfg.Facts, l.module.Learnt(), l.view.Keep().Entries)
+	r := carry.Keep(l.c.clock().Wall, l.c.cfg.Facts, l.module.Statistics(), l.view.Keep().Entries)
 	if len(r.Nodes) == 0 {
 		return // a life that heard of no node must not void what an earlier one left
 	}
--- a/internal/sched/learnt_test.go
+++ b/internal/sched/learnt_test.go
@@ -34,7 +34,7 @@
 	s.Share, s.Spare = 0.35, 0.08
 	s.Classes[0].Worth, s.Classes[1].Worth = 3, 2
 	s.Classes[1] = config.Class{Name: "write", Aim: 2 * time.Second, Deadline: 4 * time.Second,
-		Repeat: config.Repeat(scheduler.Unsafe), Writes: true, Worth: 2}
+		Repeat: config.Repeat(scheduler.NotIdempotent), Writes: true, Worth: 2}
 	return s
 }
 
--- a/internal/sched/loop.go
+++ b/internal/sched/loop.go
@@ -25,7 +25,7 @@
 	greeted notice   // a node's greeting told of this start
 	result  struct { // an operation ended
 		op      *Operation
-		code    scheduler.Code
+		code    scheduler.ResultCode
 		answer  proto.Answer
 		payload []byte
 	}
@@ -66,8 +66,8 @@
 	c       *Core
 	edges   Edges
 	host    Decider
-	module  *scheduler.Host // the one behind host
-	before  *carry.Record   // what an earlier life learnt; nil: nothing to believe
+	module  *scheduler.Scheduler // the one behind host
+	before  *carry.Record        // what an earlier life learnt; nil: nothing to believe
 	set     scheduler.Settings
 	plan    *extent.Planner // nil: no ranged requests
 	view    *roster.Roster
@@ -96,7 +96,7 @@
 		reqs: map[uint32]*request{}}
 	if e := c.cfg.Extents; e != nil {
 		l.plan = extent.New(*e)
-		module.Accompany(l.plan)
+		module.SetBatcher(l.plan)
 	}
 	if wrap := c.cfg.Hooks.Decider; wrap != nil {
 		l.host = wrap(set, module)
@@ -193,7 +193,7 @@
 }
 
 // members tells the module, and whoever is about to write a first byte, of the nodes.
-func (l *loop) members(m scheduler.Members) {
+func (l *loop) members(m scheduler.EndpointUpdate) {
 	l.c.standings.told(m)
 	l.tell(m)
 }
@@ -218,14 +218,15 @@
 	case begun:
 		for _, a := range x.op.members {
 			if !a.over {
-				l.tell(scheduler.First{ID: a.req.id, Attempt: a.n, Server: a.server, Took: l.now - a.at})
+				l.tell(scheduler.ResponseStarted{ID: a.req.id, Attempt: a.n, Server: a.server,
+					Latency: l.now - a.at})
 			}
 		}
 	case roster.News:
 		l.news(x)
 	case listFailed:
 		l.c.log.Warn("list call failed", "error", x.err)
-		l.members(scheduler.Members{Form: scheduler.ListFailed})
+		l.members(scheduler.EndpointUpdate{Kind: scheduler.UpdateFailed})
 	case notice:
 		if m, ok := l.view.Notice(l.c.clock(), x.server, x.boot); ok {
 			l.c.log.Info("node drains", "node", l.c.cfg.Name(x.server), "told by", "node")
@@ -236,11 +237,11 @@
 			l.c.log.Info("node restarted", "node", l.c.cfg.Name(x.server), "told by", "node")
 			l.members(m)
 		}
-	case scheduler.Peer:
+	case scheduler.PeerMessage:
 		l.tell(x)
 	case func(*loop):
 		x(l)
-	case scheduler.Probed:
+	case scheduler.HealthCheckResult:
 		l.tell(x)
 	}
 }
@@ -254,12 +255,12 @@
 		l.edges.List.FetchWhole()
 	case roster.Believed:
 		l.members(m)
-		if m.Form == scheduler.ListFull { // the first whole list of a life ends what is taken over
+		if m.Kind == scheduler.UpdateFull { // the first whole list of a life ends what is taken over
 			l.recall(l.view.Keep().Entries)
 			l.before = nil
 		}
 		l.holds()
-		for _, e := range m.Entries {
+		for _, e := range m.Endpoints {
 			l.c.log.Info("node listed", "node", l.c.cfg.Name(e.Server), "status", e.Status.String(),
 				"cell", e.Cell)
 		}
@@ -291,7 +292,7 @@
 	expires := k.At + k.Wait - l.c.cfg.Transit
 	k.overdue = l.timers.set(expires+l.c.cfg.AnswerSlack, func() { l.overdue(k) })
 	ask := k.Ask
-	ask.Expires = expires
+	ask.ExpiresAt = expires
 	if k.Range == nil {
 		r := &request{call: k, id: l.id(), expires: expires}
 		l.reqs[r.id], k.reqs = r, []*request{r}
@@ -302,7 +303,7 @@
 	l.wholes++
 	pieces, err := l.plan.Take(extent.Request{ID: l.wholes, Data: k.Data, Range: *k.Range, Write: ask.Write,
 		Class: ask.Class, Plan: ask.Plan, Units: int(ask.Units), At: k.At,
-		Harmless: l.set.Classes[ask.Class].Harmless()}, l.id)
+		Harmless: l.set.Classes[ask.Class].RetrySafe()}, l.id)
 	if err != nil {
 		l.c.log.Debug("range refused", "token", k.Token, "error", err)
 		l.finish(k, proto.Answer{Code: proto.Refused, Reason: ReasonRange}, nil)
@@ -312,7 +313,7 @@
 	for n, p := range pieces {
 		r := &request{call: k, piece: p, id: p.ID, expires: expires}
 		l.reqs[r.id], k.reqs = r, append(k.reqs, r)
-		ask.ID, ask.Cell, ask.Units, ask.Further = p.ID, p.Cell, float64(p.Units), n > 0
+		ask.ID, ask.Cell, ask.Units, ask.Continuation = p.ID, p.Cell, float64(p.Units), n > 0
 		l.tell(ask)
 	}
 }
@@ -372,7 +373,7 @@
 	for _, id := range ids {
 		if r := l.reqs[id]; r != nil {
 			r.done = true
-			l.tell(scheduler.Left{ID: id})
+			l.tell(scheduler.ClientGone{ID: id})
 			l.settle(r)
 		}
 	}
@@ -491,7 +492,7 @@
 
 // ended takes in how an attempt ended. The first that was served reaches the client at once. What a node
 // tells of volumes concerns that of the operation's lead.
-func (l *loop) ended(a *attempt, code scheduler.Code, answer proto.Answer, payload []byte, lead bool) {
+func (l *loop) ended(a *attempt, code scheduler.ResultCode, answer proto.Answer, payload []byte, lead bool) {
 	if a.over {
 		l.c.Stats.Late.Add(1)
 		return // its time-out came first, and was its one outcome
@@ -514,16 +515,22 @@
 				"offset", at.Offset, "length", at.Length, "node", l.c.cfg.Name(a.server), "code", code)
 		}
 	}
-	out := scheduler.Outcome{ID: r.id, Attempt: a.n, Server: a.server, Code: code, Took: l.now - a.at,
-		Load: answer.Load}
+	out := scheduler.AttemptResult{
+		ID:      r.id,
+		Attempt: a.n,
+		Server:  a.server,
+		Code:    code,
+		Latency: l.now - a.at,
+		Load:    answer.Load,
+	}
 	if lead {
-		out.Metered, out.Elsewhere = int(answer.Metered), float64(answer.Elsewhere)
+		out.MeteredRate, out.ElsewhereUnits = int(answer.Metered), float64(answer.Elsewhere)
 	}
 	if code == scheduler.OK {
 		answer.Code, answer.Metered, answer.Elsewhere, answer.Load = proto.OK, 0, 0, nil
 		l.over(r, answer, payload)
 	}
-	out.Ended = r.done
+	out.RequestDone = r.done
 	l.tell(out)
 	l.settle(r)
 }
@@ -531,7 +538,7 @@
 // giveUp ends an attempt on this side: its time is up or it was cancelled. An operation is cancelled at
 // its node once no member waits for it, and one of several members for itself: a write that was given up on
 // here but still stood in an operation at its node was done after a later one of its key.
-func (l *loop) giveUp(a *attempt, code scheduler.Code) {
+func (l *loop) giveUp(a *attempt, code scheduler.ResultCode) {
 	if a.over {
 		return
 	}
@@ -547,9 +554,9 @@
 	switch x := action.(type) {
 	case scheduler.Send:
 		l.send(x)
-	case scheduler.Refuse:
+	case scheduler.Reject:
 		if r := l.reqs[x.ID]; r != nil {
-			l.over(r, proto.Answer{Code: proto.Refused, Reason: r.reason(), Advice: x.Backoff}, nil)
+			l.over(r, proto.Answer{Code: proto.Refused, Reason: r.reason(), Advice: x.RetryAfter}, nil)
 			l.settle(r)
 		}
 	case scheduler.Fail:
@@ -566,22 +573,22 @@
 			}
 		}
 	case scheduler.SetTimer:
-		l.timers.set(l.now+x.After, func() { l.tell(scheduler.Timer{Token: x.Token}) })
-	case scheduler.Probe:
+		l.timers.set(l.now+x.After, func() { l.tell(scheduler.TimerFired{Token: x.Token}) })
+	case scheduler.CheckHealth:
 		l.edges.Nodes.Probe(x.Server)
-	case scheduler.Close:
+	case scheduler.CloseIdle:
 		l.edges.Nodes.CloseIdle(x.Server)
-	case scheduler.Tell:
+	case scheduler.SendToPeer:
 		if l.edges.Peers != nil {
 			if err := l.edges.Peers.Send(x.To, x.Body); err != nil {
 				l.c.log.Debug("message lost", "error", err)
 			}
 		}
-	case scheduler.Log:
+	case scheduler.WriteLog:
 		l.c.log.Info("module", "text", x.Text)
-	case scheduler.Watch:
+	case scheduler.WatchEndpoints:
 		l.edges.List.Watch(x.On)
-	case scheduler.Fetch:
+	case scheduler.FetchEndpoints:
 		l.edges.List.Fetch()
 	}
 }
@@ -601,17 +608,17 @@
 		return
 	}
 	a := &attempt{req: r, n: r.sends, server: x.Server, boot: l.c.standings.of(x.Server).boot, at: l.now,
-		before: x.Before, deadline: r.expires}
+		before: x.StartBefore, deadline: r.expires}
 	r.sends++
 	r.server = x.Server
 	r.out = append(r.out, a)
 	if r.call.id != 0 {
 		l.plan.Sent(r.id)
 	}
-	if x.Allow > 0 {
-		a.deadline = min(a.deadline, l.now+x.Allow)
+	if x.Timeout > 0 {
+		a.deadline = min(a.deadline, l.now+x.Timeout)
 	}
-	if n := len(l.leaving); x.With != 0 && n > 0 && l.leaving[n-1].members[0].req.id == x.With {
+	if n := len(l.leaving); x.Leader != 0 && n > 0 && l.leaving[n-1].members[0].req.id == x.Leader {
 		a.op = l.leaving[n-1]
 		a.op.members = append(a.op.members, a)
 	} else {
@@ -646,7 +653,7 @@
 		case a.over:
 		case a.req.done || a.deadline <= l.now:
 			l.c.Stats.Moot.Add(1)
-			l.c.in.put(result{op: alone(a), code: scheduler.Moot})
+			l.c.in.put(result{op: alone(a), code: scheduler.NotApplicable})
 		default:
 			keep = append(keep, a)
 		}
@@ -658,7 +665,7 @@
 	var out []*Operation
 	keys := map[uint64]bool{}
 	for _, a := range keep {
-		if q := &a.req.call.Ask; q.Key != 0 && l.set.Classes[q.Class].InOrder {
+		if q := &a.req.call.Ask; q.Key != 0 && l.set.Classes[q.Class].OrderedByKey {
 			if keys[q.Key] {
 				l.c.in.put(result{op: alone(a), code: scheduler.ConnectFailed})
 				continue
--- a/internal/sched/pool.go
+++ b/internal/sched/pool.go
@@ -308,7 +308,9 @@
 			})
 		}
 		if p.ctx.Err() == nil {
-			p.i.in.put(scheduler.Probed{Server: s, Code: code, Took: p.i.Now() - at, Load: load})
+			p.i.in.put(
+				scheduler.HealthCheckResult{Server: s, Code: code, Latency: p.i.Now() - at, Load: load},
+			)
 		}
 		return nil
 	})
@@ -356,10 +358,10 @@
 }
 
 // codeOf is a node's code as the module's; they are the same numbers.
-func codeOf(c proto.Code) (scheduler.Code, error) {
+func codeOf(c proto.Code) (scheduler.ResultCode, error) {
 	switch c {
 	case proto.OK, proto.Error, proto.Full, proto.Dropped, proto.Moot:
-		return scheduler.Code(c), nil
+		return scheduler.ResultCode(c), nil
 	}
 	return 0, fmt.Errorf("code %d is none of a node's", c)
 }
--- a/internal/sched/reasons.go
+++ b/internal/sched/reasons.go
@@ -25,9 +25,9 @@
 )
 
 // reasonOf is the word for an attempt's end.
-func reasonOf(c scheduler.Code) string {
+func reasonOf(c scheduler.ResultCode) string {
 	switch c {
-	case scheduler.Full:
+	case scheduler.Overloaded:
 		return ReasonFull
 	case scheduler.TimedOut:
 		return ReasonTimeout
@@ -39,7 +39,7 @@
 		return ReasonError
 	case scheduler.Cancelled:
 		return ReasonCancelled
-	case scheduler.Moot:
+	case scheduler.NotApplicable:
 		return ReasonMoot
 	}
 	return ReasonHeld
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -294,18 +294,18 @@
 
 // ends are the codes by which attempts end, as they are counted and logged.
 var ends = []struct {
-	code scheduler.Code
+	code scheduler.ResultCode
 	name string
 	of   func(*Stats) *atomic.Uint64
 }{
 	{scheduler.OK, "ok", func(s *Stats) *atomic.Uint64 { return &s.OK }},
 	{scheduler.Error, "error", func(s *Stats) *atomic.Uint64 { return &s.Error }},
-	{scheduler.Full, "turned_away", func(s *Stats) *atomic.Uint64 { return &s.Full }},
+	{scheduler.Overloaded, "turned_away", func(s *Stats) *atomic.Uint64 { return &s.Full }},
 	{scheduler.TimedOut, "timed_out", func(s *Stats) *atomic.Uint64 { return &s.TimedOut }},
 	{scheduler.ConnectFailed, "connect_failed", func(s *Stats) *atomic.Uint64 { return &s.ConnectFailed }},
 	{scheduler.Reset, "reset", func(s *Stats) *atomic.Uint64 { return &s.Reset }},
 	{scheduler.Cancelled, "cancelled", func(s *Stats) *atomic.Uint64 { return &s.Cancelled }},
-	{scheduler.Moot, "moot", func(s *Stats) *atomic.Uint64 { return &s.MootEnd }},
+	{scheduler.NotApplicable, "moot", func(s *Stats) *atomic.Uint64 { return &s.MootEnd }},
 }
 
 // LogValue lists the counters for the log, those of ranged requests only where there were some.
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -37,8 +37,8 @@
 			Name:     "write",
 			Aim:      2 * time.Second,
 			Deadline: 4 * time.Second,
-			Repeat:   config.Repeat(scheduler.Keyed),
-			Group:    config.Group(scheduler.GroupCell),
+			Repeat:   config.Repeat(scheduler.IdempotentByKey),
+			Group:    config.Group(scheduler.DedupCell),
 			Window:   5 * time.Second,
 			InOrder:  true,
 			Writes:   true,
@@ -335,11 +335,11 @@
 	nodes map[uint16]scheduler.Server
 	acts  []scheduler.Action
 	count *atomic.Int64
-	code  scheduler.Code
+	code  scheduler.ResultCode
 	allow time.Duration
 }
 
-func counting(n *atomic.Int64, code scheduler.Code) func(scheduler.Settings, Decider) Decider {
+func counting(n *atomic.Int64, code scheduler.ResultCode) func(scheduler.Settings, Decider) Decider {
 	return func(scheduler.Settings, Decider) Decider {
 		return &sendAll{nodes: map[uint16]scheduler.Server{}, count: n, code: code}
 	}
@@ -347,18 +347,18 @@
 
 func (s *sendAll) Handle(_ time.Duration, ev scheduler.Event) {
 	switch x := ev.(type) {
-	case scheduler.Members:
-		for _, e := range x.Entries {
+	case scheduler.EndpointUpdate:
+		for _, e := range x.Endpoints {
 			s.nodes[e.Cell] = e.Server
 		}
 	case scheduler.Request:
-		s.acts = append(s.acts, scheduler.Send{ID: x.ID, Server: s.nodes[uint16(x.Cell)], Allow: s.allow})
-	case scheduler.Outcome:
+		s.acts = append(s.acts, scheduler.Send{ID: x.ID, Server: s.nodes[uint16(x.Cell)], Timeout: s.allow})
+	case scheduler.AttemptResult:
 		if x.Code == s.code {
 			s.count.Add(1)
 		}
-		if !x.Ended {
-			s.acts = append(s.acts, scheduler.Refuse{ID: x.ID})
+		if !x.RequestDone {
+			s.acts = append(s.acts, scheduler.Reject{ID: x.ID})
 		}
 	}
 }
@@ -742,7 +742,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = other.Run(ctx, func(scheduler.Peer) {})
+	_ = other.Run(ctx, func(scheduler.PeerMessage) {})
 }
 
 type peerCount struct {
@@ -751,7 +751,7 @@
 }
 
 func (p peerCount) Handle(now time.Duration, ev scheduler.Event) {
-	if _, ok := ev.(scheduler.Peer); ok {
+	if _, ok := ev.(scheduler.PeerMessage); ok {
 		p.n.Add(1)
 	}
 	p.Decider.Handle(now, ev)
@@ -779,7 +779,7 @@
 	for got["list"] < 1 { // a node that no list names is not sent to
 		select {
 		case ev := <-s.seen:
-			if x, ok := ev.(scheduler.Members); ok && x.Form != scheduler.ListCached {
+			if x, ok := ev.(scheduler.EndpointUpdate); ok && x.Kind != scheduler.UpdateCached {
 				got["list"]++
 			}
 		case <-time.After(5 * time.Second):
@@ -792,12 +792,12 @@
 		select {
 		case ev := <-s.seen:
 			switch x := ev.(type) {
-			case scheduler.Probed:
+			case scheduler.HealthCheckResult:
 				got[fmt.Sprintf("probed %d %v", x.Code, x.Load)]++
-			case scheduler.Outcome:
+			case scheduler.AttemptResult:
 				got[fmt.Sprintf("outcome %d", x.Code)]++
-			case scheduler.Members:
-				if x.Form != scheduler.ListCached {
+			case scheduler.EndpointUpdate:
+				if x.Kind != scheduler.UpdateCached {
 					got["list"]++
 				}
 			}
@@ -825,12 +825,14 @@
 	}
 	switch x := ev.(type) {
 	case scheduler.Request:
-		s.acts = append(s.acts, scheduler.Send{ID: x.ID, Server: s.server}, scheduler.Probe{Server: s.server},
-			scheduler.Log{Text: "hello operators"}, scheduler.Fetch{}, scheduler.SetTimer{Token: 5,
-				After: 100 * time.Millisecond}, scheduler.Close{Server: s.server})
-	case scheduler.Timer:
+		s.acts = append(s.acts, scheduler.Send{ID: x.ID, Server: s.server},
+			scheduler.CheckHealth{Server: s.server},
+			scheduler.WriteLog{Text: "hello operators"}, scheduler.FetchEndpoints{},
+			scheduler.SetTimer{Token: 5,
+				After: 100 * time.Millisecond}, scheduler.CloseIdle{Server: s.server})
+	case scheduler.TimerFired:
 		s.acts = append(s.acts, scheduler.Cancel{ID: 1, Attempt: 0})
-	case scheduler.Outcome:
+	case scheduler.AttemptResult:
 		s.acts = append(s.acts, scheduler.Fail{ID: x.ID})
 	}
 }
--- a/internal/sched/stands.go
+++ b/internal/sched/stands.go
@@ -26,21 +26,21 @@
 }
 
 // told takes over what the module is told.
-func (s *standings) told(m scheduler.Members) {
-	if m.Form == scheduler.ListFailed {
+func (s *standings) told(m scheduler.EndpointUpdate) {
+	if m.Kind == scheduler.UpdateFailed {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.rows == nil || m.Form != scheduler.ListDelta {
-		s.rows = make(map[scheduler.Server]standing, len(m.Entries))
+	if s.rows == nil || m.Kind != scheduler.UpdateDelta {
+		s.rows = make(map[scheduler.Server]standing, len(m.Endpoints))
 	}
-	for _, e := range m.Entries {
+	for _, e := range m.Endpoints {
 		if e.Status == scheduler.Gone {
 			delete(s.rows, e.Server)
 			continue
 		}
-		s.rows[e.Server] = standing{e.Status, e.Boot}
+		s.rows[e.Server] = standing{e.Status, e.StartedAt}
 	}
 }
 
@@ -53,7 +53,7 @@
 // the first byte, as a connection may take long to come up: by then the client may be gone or its time over
 // (Moot), or the node may drain or be another process, which is cold, or the window in which the node drops a
 // repeat may be over (ConnectFailed: nothing was sent).
-func (c *Core) Stands(op *Operation) scheduler.Code {
+func (c *Core) Stands(op *Operation) scheduler.ResultCode {
 	awaited, late, now := false, false, c.Now()
 	for _, a := range op.members {
 		awaited = awaited || !a.req.call.over.Load()
@@ -61,7 +61,7 @@
 	}
 	switch {
 	case !awaited || op.Deadline() <= now:
-		return scheduler.Moot
+		return scheduler.NotApplicable
 	case late || !c.standings.ready(op.members[0]):
 		return scheduler.ConnectFailed
 	}
--- a/internal/sched/stored_test.go
+++ b/internal/sched/stored_test.go
@@ -29,28 +29,46 @@
 			{
 				Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
 				Boot:   1_779_999_999_000_000_002,
-				Learnt: scheduler.LearntNode{
+				Learnt: scheduler.NodeStatistics{
 					Latency:   11 * time.Millisecond,
 					Deviation: 7 * time.Microsecond,
 				},
 			},
 			{Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101}, Boot: 5,
-				Learnt: scheduler.LearntNode{
+				Learnt: scheduler.NodeStatistics{
 					Latency:   13 * time.Millisecond,
 					Deviation: 17 * time.Nanosecond,
 				}}},
-		Classes: []scheduler.LearntClass{
+		Classes: []scheduler.ClassStatistics{
 			{
-				Mean: 1.5,
-				Seen: 40,
-				Fit:  scheduler.LearntFit{N: 21, Size: 2.125, Took: 0.5, Square: 6.5, Cross: 0.75},
+				MeanUnits: 1.5,
+				Count:     40,
+				Latency: scheduler.Regression{
+					Count:       21,
+					MeanSize:    2.125,
+					MeanTime:    0.5,
+					MeanSquare:  6.5,
+					MeanProduct: 0.75,
+				},
 			},
 			{
-				Mean: 3.5,
-				Seen: 41,
-				Fit:  scheduler.LearntFit{N: 22, Size: 3.125, Took: 1.5, Square: 7.5, Cross: 1.75},
+				MeanUnits: 3.5,
+				Count:     41,
+				Latency: scheduler.Regression{
+					Count:       22,
+					MeanSize:    3.125,
+					MeanTime:    1.5,
+					MeanSquare:  7.5,
+					MeanProduct: 1.75,
+				},
 			}},
-		Usual:  scheduler.LearntFit{N: 23, Size: 4.125, Took: 2.5, Square: 8.5, Cross: 2.75},
+		Usual: scheduler.Regression{
+			Count:       23,
+			MeanSize:    4.125,
+			MeanTime:    2.5,
+			MeanSquare:  8.5,
+			MeanProduct: 2.75,
+		},
 		Median: 19 * time.Millisecond, Lately: 23 * time.Millisecond}
 }
 
@@ -85,12 +103,13 @@
 	if len(got.Nodes) != 2 || slices.ContainsFunc(got.Nodes, empty) {
 		t.Errorf("nodes are %+v", got.Nodes)
 	}
-	for _, fit := range []scheduler.LearntFit{got.Usual, got.Classes[0].Fit, got.Classes[1].Fit} {
-		if fit.N == 0 || fit.Size == 0 || fit.Took == 0 || fit.Square == 0 || fit.Cross == 0 {
+	for _, fit := range []scheduler.Regression{got.Usual, got.Classes[0].Latency, got.Classes[1].Latency} {
+		if fit.Count == 0 || fit.MeanSize == 0 || fit.MeanTime == 0 || fit.MeanSquare == 0 ||
+			fit.MeanProduct == 0 {
 			t.Errorf("fit is %+v", fit)
 		}
 	}
-	if got.Classes[0].Mean == 0 || got.Classes[0].Seen == 0 || got.Median == 0 || got.Lately == 0 {
+	if got.Classes[0].MeanUnits == 0 || got.Classes[0].Count == 0 || got.Median == 0 || got.Lately == 0 {
 		t.Errorf("read %+v", got)
 	}
 	sameBytes(t, stoppedLearnt, got)
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -137,18 +137,27 @@
 	case codeRequest:
 		rec.Event = d.request()
 	case codeFirst:
-		rec.Event = scheduler.First{ID: d.u32(), Attempt: int(d.u8()), Server: d.server(), Took: d.span()}
+		rec.Event = scheduler.ResponseStarted{
+			ID:      d.u32(),
+			Attempt: int(d.u8()),
+			Server:  d.server(),
+			Latency: d.span(),
+		}
 	case codeOutcome:
 		rec.Event = d.outcome()
 	case codeLeft:
-		rec.Event = scheduler.Left{ID: d.u32()}
+		rec.Event = scheduler.ClientGone{ID: d.u32()}
 	case codeTimer:
-		rec.Event = scheduler.Timer{Token: d.u32()}
+		rec.Event = scheduler.TimerFired{Token: d.u32()}
 	case codeProbed:
-		rec.Event = scheduler.Probed{Server: d.server(), Code: scheduler.Code(d.u16()), Took: d.span(),
-			Load: d.load()}
+		rec.Event = scheduler.HealthCheckResult{
+			Server:  d.server(),
+			Code:    scheduler.ResultCode(d.u16()),
+			Latency: d.span(),
+			Load:    d.load(),
+		}
 	case codePeer:
-		rec.Event = scheduler.Peer{From: d.u32(), Body: d.take(int64(d.u16()))}
+		rec.Event = scheduler.PeerMessage{From: d.u32(), Body: d.take(int64(d.u16()))}
 	case codeStop:
 		rec.Stop = true
 	default:
@@ -224,10 +233,10 @@
 	return out
 }
 
-func (d *decoder) members() scheduler.Members {
-	m := scheduler.Members{Version: d.u64(), Form: scheduler.ListForm(d.u8())}
-	if m.Form > scheduler.ListFailed && d.err == nil {
-		d.err = fmt.Errorf("unknown list form %d", m.Form)
+func (d *decoder) members() scheduler.EndpointUpdate {
+	m := scheduler.EndpointUpdate{Version: d.u64(), Kind: scheduler.UpdateKind(d.u8())}
+	if m.Kind > scheduler.UpdateFailed && d.err == nil {
+		d.err = fmt.Errorf("unknown list form %d", m.Kind)
 	}
 	n := int64(d.u32())
 	if d.err == nil && n*entrySize > int64(len(d.buf)) {
@@ -237,14 +246,21 @@
 		if d.err != nil {
 			break
 		}
-		m.Entries = append(m.Entries, d.entry())
+		m.Endpoints = append(m.Endpoints, d.entry())
 	}
 	return m
 }
 
-func (d *decoder) entry() scheduler.Entry {
-	e := scheduler.Entry{Status: scheduler.Status(d.u8()), Server: d.server(), Cell: d.u16(), Kind: d.u8(),
-		Boot: d.span(), Zone: d.u8(), Nominal: d.f32()}
+func (d *decoder) entry() scheduler.Endpoint {
+	e := scheduler.Endpoint{
+		Status:          scheduler.Status(d.u8()),
+		Server:          d.server(),
+		Cell:            d.u16(),
+		MachineType:     d.u8(),
+		StartedAt:       d.span(),
+		Zone:            d.u8(),
+		NominalCapacity: d.f32(),
+	}
 	if e.Status > scheduler.Draining && d.err == nil {
 		d.err = fmt.Errorf("unknown status %d", e.Status)
 	}
@@ -254,23 +270,23 @@
 func (d *decoder) request() scheduler.Request {
 	r := scheduler.Request{ID: d.u32(), Class: int(d.u8()), Cell: int(d.f32())}
 	opts := d.u8()
-	r.Repeat, r.Write = opts&2 != 0, opts&4 != 0
-	r.Writers, r.Plan, r.Key = int(d.f32()), int(d.u32()), d.u64()
-	r.Expires, r.Volume, r.Units = d.span(), d.u64(), d.f32()
+	r.Retry, r.Write = opts&2 != 0, opts&4 != 0
+	r.VolumeInstances, r.Plan, r.Key = int(d.f32()), int(d.u32()), d.u64()
+	r.ExpiresAt, r.Volume, r.Units = d.span(), d.u64(), d.f32()
 	return r
 }
 
-func (d *decoder) outcome() scheduler.Outcome {
-	return scheduler.Outcome{
-		ID:        d.u32(),
-		Attempt:   int(d.u8()),
-		Server:    d.server(),
-		Code:      scheduler.Code(d.u16()),
-		Took:      d.span(),
-		Ended:     d.u8() != 0,
-		Metered:   int(d.u16()),
-		Elsewhere: float64(d.u16()),
-		Load:      d.load(),
+func (d *decoder) outcome() scheduler.AttemptResult {
+	return scheduler.AttemptResult{
+		ID:             d.u32(),
+		Attempt:        int(d.u8()),
+		Server:         d.server(),
+		Code:           scheduler.ResultCode(d.u16()),
+		Latency:        d.span(),
+		RequestDone:    d.u8() != 0,
+		MeteredRate:    int(d.u16()),
+		ElsewhereUnits: float64(d.u16()),
+		Load:           d.load(),
 	}
 }
 
@@ -293,30 +309,30 @@
 	switch a := a.(type) {
 	case scheduler.Send:
 		code, b = codeSend, appendServer(le.AppendUint32(b, a.ID), a.Server)
-		b = appendSpan(b, a.Allow)
-	case scheduler.Refuse:
-		code, b = codeRefuse, appendSpan(le.AppendUint32(b, a.ID), a.Backoff)
+		b = appendSpan(b, a.Timeout)
+	case scheduler.Reject:
+		code, b = codeRefuse, appendSpan(le.AppendUint32(b, a.ID), a.RetryAfter)
 	case scheduler.Fail:
 		code, b = codeFail, le.AppendUint32(b, a.ID)
 	case scheduler.Cancel:
 		code, b = codeCancel, append(le.AppendUint32(b, a.ID), uint8(a.Attempt))
 	case scheduler.SetTimer:
 		code, b = codeSetTimer, appendSpan(le.AppendUint32(b, a.Token), a.After)
-	case scheduler.Probe:
+	case scheduler.CheckHealth:
 		code, b = codeProbe, appendServer(b, a.Server)
-	case scheduler.Close:
+	case scheduler.CloseIdle:
 		code, b = codeClose, appendServer(b, a.Server)
-	case scheduler.Tell:
+	case scheduler.SendToPeer:
 		code, b = codeTell, appendText(le.AppendUint32(b, a.To), a.Body)
-	case scheduler.Log:
+	case scheduler.WriteLog:
 		code, b = codeLog, appendText(b, []byte(a.Text))
-	case scheduler.Watch:
+	case scheduler.WatchEndpoints:
 		on := uint8(0)
 		if a.On {
 			on = 1
 		}
 		code, b = codeWatch, append(b, on)
-	case scheduler.Fetch:
+	case scheduler.FetchEndpoints:
 		code = codeFetch
 	default:
 		return fmt.Errorf("action %T has no wire form", a)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -52,10 +52,10 @@
 		t.Fatal(err)
 	}
 	want := []Record{
-		{Instance: 3, Event: scheduler.Request{ID: 0x5d3a91c4, Writers: 3, Key: 0x91f03b7c55d20a64,
-			Expires: 0x203b6db90, Volume: 0x2b8e6401d9f37c10, Units: 2}},
-		{Instance: 3, Event: scheduler.Timer{Token: 77}},
-		{Instance: 5, Event: scheduler.Left{ID: 0x0e6f2b19}},
+		{Instance: 3, Event: scheduler.Request{ID: 0x5d3a91c4, VolumeInstances: 3, Key: 0x91f03b7c55d20a64,
+			ExpiresAt: 0x203b6db90, Volume: 0x2b8e6401d9f37c10, Units: 2}},
+		{Instance: 3, Event: scheduler.TimerFired{Token: 77}},
+		{Instance: 5, Event: scheduler.ClientGone{ID: 0x0e6f2b19}},
 	}
 	if !reflect.DeepEqual(b.Records, want) {
 		t.Fatalf("got  %+v\nwant %+v", b.Records, want)
@@ -73,22 +73,24 @@
 		"members": {`11 3d000000 0300 2900000000000000 01 02000000
 			01 0a124a07 8b13 0000 00 0000000000000000 00 0000803f
 			01 0a9011f2 b413 0000 00 009d966b01000000 01 0000c03f`,
-			Record{Instance: 3, Event: scheduler.Members{Version: 41, Form: scheduler.ListCached,
-				Entries: []scheduler.Entry{
-					{Server: serverA, Status: scheduler.Ready, Nominal: 1},
-					{Server: serverB, Status: scheduler.Ready, Boot: 0x16b969d00, Zone: 1, Nominal: 1.5}}}}},
+			Record{Instance: 3, Event: scheduler.EndpointUpdate{Version: 41, Kind: scheduler.UpdateCached,
+				Endpoints: []scheduler.Endpoint{
+					{Server: serverA, Status: scheduler.Ready, NominalCapacity: 1},
+					{Server: serverB, Status: scheduler.Ready, StartedAt: 0x16b969d00, Zone: 1,
+						NominalCapacity: 1.5}}}}},
 		"probe result": {"17 13000000 0300 0a9011f2 b413 6400 c05c150000000000 00",
-			Record{Instance: 3, Event: scheduler.Probed{Server: serverB, Code: scheduler.OK,
-				Took: 1400 * time.Microsecond}}},
+			Record{Instance: 3, Event: scheduler.HealthCheckResult{Server: serverB, Code: scheduler.OK,
+				Latency: 1400 * time.Microsecond}}},
 		"peer": {"18 0c000000 0300 02000000 0400 68692037",
-			Record{Instance: 3, Event: scheduler.Peer{From: 2, Body: []byte("hi 7")}}},
+			Record{Instance: 3, Event: scheduler.PeerMessage{From: 2, Body: []byte("hi 7")}}},
 		"stop": {"19 02000000 0300", Record{Instance: 3, Stop: true}},
 		"first": {"13 15000000 0300 c4913a5d 00 0a124a07 8b13 d0248d0000000000",
-			Record{Instance: 3, Event: scheduler.First{ID: 0x5d3a91c4, Server: serverA,
-				Took: 9250 * time.Microsecond}}},
+			Record{Instance: 3, Event: scheduler.ResponseStarted{ID: 0x5d3a91c4, Server: serverA,
+				Latency: 9250 * time.Microsecond}}},
 		"outcome": {"14 1d000000 0300 c4913a5d 00 0a124a07 8b13 6400 a0491a0100000000 01 5600 0300 00",
-			Record{Instance: 3, Event: scheduler.Outcome{ID: 0x5d3a91c4, Server: serverA, Code: scheduler.OK,
-				Took: 18500 * time.Microsecond, Ended: true, Metered: 86, Elsewhere: 3}}},
+			Record{Instance: 3, Event: scheduler.AttemptResult{ID: 0x5d3a91c4, Server: serverA,
+				Code:    scheduler.OK,
+				Latency: 18500 * time.Microsecond, RequestDone: true, MeteredRate: 86, ElsewhereUnits: 3}}},
 	} {
 		b, err := DecodeBatch(frameOf(t, "01000000", c.body))
 		if err != nil || len(b.Records) != 1 || !reflect.DeepEqual(b.Records[0], c.want) {
@@ -102,22 +104,22 @@
 		action scheduler.Action
 		want   string
 	}{
-		{scheduler.Send{ID: 0x5d3a91c4, Server: serverA, Allow: 80 * time.Millisecond},
+		{scheduler.Send{ID: 0x5d3a91c4, Server: serverA, Timeout: 80 * time.Millisecond},
 			"50 14000000 0300 c4913a5d 0a124a07 8b13 00b4c40400000000"},
-		{scheduler.Refuse{ID: 0x0e6f2b19, Backoff: 250 * time.Millisecond},
+		{scheduler.Reject{ID: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond},
 			"51 0e000000 0300 192b6f0e 80b2e60e00000000"},
 		{scheduler.Fail{ID: 0x0e6f2b19}, "52 06000000 0300 192b6f0e"},
 		{scheduler.Cancel{ID: 0x5d3a91c4}, "53 07000000 0300 c4913a5d 00"},
 		{scheduler.SetTimer{Token: 77, After: 500 * time.Millisecond},
 			"54 0e000000 0300 4d000000 0065cd1d00000000"},
-		{scheduler.Probe{Server: serverB}, "55 08000000 0300 0a9011f2 b413"},
-		{scheduler.Close{Server: serverB}, "56 08000000 0300 0a9011f2 b413"},
-		{scheduler.Tell{To: scheduler.AllPeers, Body: []byte("hi 7")},
+		{scheduler.CheckHealth{Server: serverB}, "55 08000000 0300 0a9011f2 b413"},
+		{scheduler.CloseIdle{Server: serverB}, "56 08000000 0300 0a9011f2 b413"},
+		{scheduler.SendToPeer{To: scheduler.AllPeers, Body: []byte("hi 7")},
 			"57 0c000000 0300 ffffffff 0400 68692037"},
-		{scheduler.Log{Text: "two servers known"},
+		{scheduler.WriteLog{Text: "two servers known"},
 			"58 15000000 0300 1100 74776f2073657276657273206b6e6f776e"},
-		{scheduler.Watch{On: true}, "5a 03000000 0300 01"},
-		{scheduler.Fetch{}, "5b 02000000 0300"},
+		{scheduler.WatchEndpoints{On: true}, "5a 03000000 0300 01"},
+		{scheduler.FetchEndpoints{}, "5b 02000000 0300"},
 	} {
 		r := NewReply()
 		if err := r.Add(3, c.action); err != nil {
@@ -172,11 +174,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Me != 2 || s.Hosts != 3 || !s.Ask || !s.Budget || len(s.Classes) != 2 || len(s.Plans) != 1 ||
+	if s.InstanceIndex != 2 || s.Instances != 3 || !s.PollEndpoints || !s.RetryBudget ||
+		len(s.Classes) != 2 ||
+		len(s.Plans) != 1 ||
 		s.LoadFields != nil {
 		t.Errorf("got %+v", s)
 	}
-	if c := s.Classes[1]; c.Repeat != scheduler.Keyed || c.Group != scheduler.GroupCell || !c.InOrder ||
+	if c := s.Classes[1]; c.Idempotency != scheduler.IdempotentByKey || c.DedupScope != scheduler.DedupCell ||
+		!c.OrderedByKey ||
 		!c.Writes {
 		t.Errorf("class 1 is %+v", c)
 	}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -80,25 +80,29 @@
 )
 
 // Restore takes the list kept from before a restart, and tells the module of it.
-func (r *Roster) Restore(c Clock, k Kept) scheduler.Members {
+func (r *Roster) Restore(c Clock, k Kept) scheduler.EndpointUpdate {
 	r.epoch, r.version = k.Epoch, k.Version
 	for _, e := range k.Entries {
 		r.entries[e.Server] = e
 	}
-	return scheduler.Members{Version: r.version, Form: scheduler.ListCached, Entries: r.tell(c, r.sorted())}
+	return scheduler.EndpointUpdate{
+		Version:   r.version,
+		Kind:      scheduler.UpdateCached,
+		Endpoints: r.tell(c, r.sorted()),
+	}
 }
 
 // Hear takes news in. Only of what is believed is there something to tell the module.
-func (r *Roster) Hear(c Clock, n News) (scheduler.Members, Verdict) {
+func (r *Roster) Hear(c Clock, n News) (scheduler.EndpointUpdate, Verdict) {
 	if !n.Whole && (!r.known || n.Epoch != r.epoch || n.Since > r.version) {
-		return scheduler.Members{}, Gap
+		return scheduler.EndpointUpdate{}, Gap
 	}
 	if r.known && n.Epoch == r.epoch && n.Version < r.version {
-		return scheduler.Members{}, Old
+		return scheduler.EndpointUpdate{}, Old
 	}
-	form, before, told := scheduler.ListDelta, r.entries, make([]Entry, 0, len(n.Entries))
+	form, before, told := scheduler.UpdateDelta, r.entries, make([]Entry, 0, len(n.Entries))
 	if n.Whole {
-		form, r.entries = scheduler.ListFull, map[scheduler.Server]Entry{}
+		form, r.entries = scheduler.UpdateFull, map[scheduler.Server]Entry{}
 	}
 	for _, e := range n.Entries {
 		if old, ok := before[e.Server]; ok && old.Boot > e.Boot {
@@ -115,29 +119,29 @@
 	if n.Whole {
 		told = r.sorted()
 	}
-	m := scheduler.Members{Version: n.Version, Form: form, Entries: r.tell(c, told)}
+	m := scheduler.EndpointUpdate{Version: n.Version, Kind: form, Endpoints: r.tell(c, told)}
 	r.forget()
 	return m, Believed
 }
 
 // Notice takes in that a node said itself that it drains. The start is the one the node gave in its greeting;
 // the notice speaks of that life of the node only. The second result is false where nothing changes.
-func (r *Roster) Notice(c Clock, server scheduler.Server, start int64) (scheduler.Members, bool) {
+func (r *Roster) Notice(c Clock, server scheduler.Server, start int64) (scheduler.EndpointUpdate, bool) {
 	e, ok := r.entries[server]
 	if !ok || e.Boot > start && start != 0 {
-		return scheduler.Members{}, false // not listed, or a newer life of it is
+		return scheduler.EndpointUpdate{}, false // not listed, or a newer life of it is
 	}
 	if old, ok := r.notices[server]; ok && old >= start {
-		return scheduler.Members{}, false
+		return scheduler.EndpointUpdate{}, false
 	}
 	r.notices[server] = start
 	if e.Status == scheduler.Draining {
-		return scheduler.Members{}, false
+		return scheduler.EndpointUpdate{}, false
 	}
-	return scheduler.Members{
-		Version: r.version,
-		Form:    scheduler.ListDelta,
-		Entries: r.tell(c, []Entry{e}),
+	return scheduler.EndpointUpdate{
+		Version:   r.version,
+		Kind:      scheduler.UpdateDelta,
+		Endpoints: r.tell(c, []Entry{e}),
 	}, true
 }
 
@@ -161,15 +165,15 @@
 func ByServer(a, b Entry) int { return a.Server.Compare(b.Server) }
 
 // tell turns entries into the module's form.
-func (r *Roster) tell(c Clock, entries []Entry) []scheduler.Entry {
-	out := make([]scheduler.Entry, 0, len(entries))
+func (r *Roster) tell(c Clock, entries []Entry) []scheduler.Endpoint {
+	out := make([]scheduler.Endpoint, 0, len(entries))
 	for _, e := range entries {
 		status := e.Status
 		if start, ok := r.notices[e.Server]; ok && status == scheduler.Ready && e.Boot <= start {
 			status = scheduler.Draining // the list is late: the node has said otherwise since
 		}
-		out = append(out, scheduler.Entry{Server: e.Server, Status: status, Cell: e.Cell, Zone: e.Zone,
-			Kind: e.Kind, Boot: r.bootTime(c, e), Nominal: e.Nominal})
+		out = append(out, scheduler.Endpoint{Server: e.Server, Status: status, Cell: e.Cell, Zone: e.Zone,
+			MachineType: e.Kind, StartedAt: r.bootTime(c, e), NominalCapacity: e.Nominal})
 	}
 	return out
 }
@@ -228,17 +232,17 @@
 // Greeted takes in the start that a node stated on a connection. One that is newer than the listed start
 // tells of a restart before the late list does: the node is cold now. The second result is false where
 // nothing changes.
-func (r *Roster) Greeted(c Clock, server scheduler.Server, start int64) (scheduler.Members, bool) {
+func (r *Roster) Greeted(c Clock, server scheduler.Server, start int64) (scheduler.EndpointUpdate, bool) {
 	e, ok := r.entries[server]
 	if !ok || e.Boot == 0 || start <= e.Boot {
-		return scheduler.Members{}, false
+		return scheduler.EndpointUpdate{}, false
 	}
 	e.Boot = start // its status stays as listed: that a drain is over is for the list to tell
 	r.entries[server] = e
-	return scheduler.Members{
-		Version: r.version,
-		Form:    scheduler.ListDelta,
-		Entries: r.tell(c, []Entry{e}),
+	return scheduler.EndpointUpdate{
+		Version:   r.version,
+		Kind:      scheduler.UpdateDelta,
+		Endpoints: r.tell(c, []Entry{e}),
 	}, true
 }
 
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -32,7 +32,7 @@
 	return News{Epoch: 1, Version: version, Since: since, Entries: entries}
 }
 
-func hear(t *testing.T, r *Roster, at time.Duration, n News, want Verdict) scheduler.Members {
+func hear(t *testing.T, r *Roster, at time.Duration, n News, want Verdict) scheduler.EndpointUpdate {
 	t.Helper()
 	m, v := r.Hear(clock(at), n)
 	if v != want {
@@ -41,8 +41,8 @@
 	return m
 }
 
-func status(m scheduler.Members, i int) scheduler.Status {
-	for _, e := range m.Entries {
+func status(m scheduler.EndpointUpdate, i int) scheduler.Status {
+	for _, e := range m.Endpoints {
 		if e.Server == server(i) {
 			return e.Status
 		}
@@ -99,12 +99,12 @@
 	old := wall - int64(time.Minute)
 	hear(t, r, 0, whole(1, ready(1, old)), Believed)
 	m, ok := r.Greeted(clock(time.Second), server(1), wall+int64(900*time.Millisecond))
-	if !ok || m.Entries[0].Boot < time.Hour {
+	if !ok || m.Endpoints[0].StartedAt < time.Hour {
 		t.Fatalf("greeting: %+v, %v", m, ok)
 	}
-	fresh := m.Entries[0].Boot
-	if m := hear(t, r, time.Second, whole(2, ready(1, old)), Believed); m.Entries[0].Boot != fresh {
-		t.Errorf("a late list moved the start from %v to %v", fresh, m.Entries[0].Boot)
+	fresh := m.Endpoints[0].StartedAt
+	if m := hear(t, r, time.Second, whole(2, ready(1, old)), Believed); m.Endpoints[0].StartedAt != fresh {
+		t.Errorf("a late list moved the start from %v to %v", fresh, m.Endpoints[0].StartedAt)
 	}
 	if _, ok := r.Greeted(clock(time.Second), server(1), old); ok {
 		t.Error("an older start is news")
@@ -128,26 +128,26 @@
 	r := New(skew)
 	ahead := wall + int64(time.Hour)
 	m := hear(t, r, 0, whole(1, ready(1, ahead)), Believed)
-	first := m.Entries[0].Boot
+	first := m.Endpoints[0].StartedAt
 	if first > time.Hour {
 		t.Errorf("a start in the future: %v", first)
 	}
 	drifted := Clock{time.Hour + time.Minute, wall + int64(time.Minute) + int64(50*time.Millisecond)}
 	m, _ = r.Hear(drifted, whole(2, ready(1, ahead)))
-	if m.Entries[0].Boot != first {
-		t.Errorf("the same start moved from %v to %v", first, m.Entries[0].Boot)
+	if m.Endpoints[0].StartedAt != first {
+		t.Errorf("the same start moved from %v to %v", first, m.Endpoints[0].StartedAt)
 	}
 	m, _ = r.Hear(drifted, whole(3, ready(1, ahead+1)))
-	if m.Entries[0].Boot <= first {
+	if m.Endpoints[0].StartedAt <= first {
 		t.Error("a restart with a clock ahead is not seen as one")
 	}
 	behind := wall - int64(skew) // a node whose clock is behind by the skew, started just now
 	m = hear(t, New(skew), 0, whole(1, ready(2, behind)), Believed)
-	if m.Entries[0].Boot < time.Hour {
-		t.Errorf("a node that started now counts as started %v ago", time.Hour-m.Entries[0].Boot)
+	if m.Endpoints[0].StartedAt < time.Hour {
+		t.Errorf("a node that started now counts as started %v ago", time.Hour-m.Endpoints[0].StartedAt)
 	}
 	if m = hear(t, New(skew), 0, whole(1, ready(2, wall-int64(2*longAgo))),
-		Believed); m.Entries[0].Boot != 0 {
+		Believed); m.Endpoints[0].StartedAt != 0 {
 		t.Error("a start long ago is told as a time")
 	}
 }
@@ -162,22 +162,22 @@
 		told := map[scheduler.Server]map[int64]time.Duration{}
 		noticed := map[scheduler.Server]int64{}
 		view := map[scheduler.Server]Entry{}
-		see := func(m scheduler.Members, boots map[scheduler.Server]int64) {
-			for _, e := range m.Entries {
+		see := func(m scheduler.EndpointUpdate, boots map[scheduler.Server]int64) {
+			for _, e := range m.Endpoints {
 				// Starts of one moment are told apart by nanoseconds.
-				if e.Boot > time.Hour+now+time.Microsecond {
-					t.Fatalf("start in the future: %v at %v", e.Boot, time.Hour+now)
+				if e.StartedAt > time.Hour+now+time.Microsecond {
+					t.Fatalf("start in the future: %v at %v", e.StartedAt, time.Hour+now)
 				}
 				b := boots[e.Server]
 				if told[e.Server] == nil {
 					told[e.Server] = map[int64]time.Duration{}
 				}
 				for other, at := range told[e.Server] {
-					if b == other && at != e.Boot || b > other && at >= e.Boot && at != 0 {
-						t.Fatalf("start %d told as %v, start %d as %v", other, at, b, e.Boot)
+					if b == other && at != e.StartedAt || b > other && at >= e.StartedAt && at != 0 {
+						t.Fatalf("start %d told as %v, start %d as %v", other, at, b, e.StartedAt)
 					}
 				}
-				told[e.Server][b] = e.Boot
+				told[e.Server][b] = e.StartedAt
 				if n, ok := noticed[e.Server]; ok && b <= n && e.Status == scheduler.Ready {
 					t.Fatalf("told ready after its notice")
 				}
--- a/scheduler/characterization_test.go
+++ b/scheduler/characterization_test.go
@@ -36,7 +36,7 @@
 			"slow start in turns",
 			6,
 			0x0b,
-			func(s *Settings) { s.Hosts, s.Me, s.ColdUnits = 220, 7, 40 },
+			func(s *Settings) { s.Instances, s.InstanceIndex, s.ColdCapacity = 220, 7, 40 },
 			false,
 			"0bffd0b8d55a483b",
 		},
@@ -44,20 +44,20 @@
 			"slow start with a share",
 			7,
 			0x09,
-			func(s *Settings) { s.Hosts, s.Me, s.ColdShare = 4, 1, 0.25 },
+			func(s *Settings) { s.Instances, s.InstanceIndex, s.ColdFraction = 4, 1, 0.25 },
 			false,
 			"a748d635561db248",
 		},
 		{"unequal worths", 8, 0x42, func(s *Settings) {
-			s.Classes[0].Worth, s.Classes[1].Worth, s.Classes[2].Worth = 3, 2, 1
-			s.Plans[0].Worth, s.Plans[1].Worth = 1, 4
-			s.ShareWorth, s.SpareWorth = 0.35, 0.08
+			s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 3, 2, 1
+			s.Plans[0].PriorityWeight, s.Plans[1].PriorityWeight = 1, 4
+			s.ShareWeight, s.SpareWeight = 0.35, 0.08
 		}, true, "2d18dd4ba2e20477"},
 		{
 			"marked retries",
 			9,
 			0x12,
-			func(s *Settings) { s.RetriesAreKnown = true },
+			func(s *Settings) { s.RetriesMarked = true },
 			false,
 			"15bec58c607ceb0c",
 		},
@@ -66,11 +66,11 @@
 			"pushed list",
 			11,
 			0x01,
-			func(s *Settings) { s.PushGrace, s.AskWithin = 250*ms, 4*time.Second },
+			func(s *Settings) { s.PushGrace, s.PollTimeout = 250*ms, 4*time.Second },
 			false,
 			"77e4c25f5c508200",
 		},
-		{"fifty-seven instances", 12, 0x8a, func(s *Settings) { s.Hosts = 57 }, true, "d5f886cdbf1822a2"},
+		{"fifty-seven instances", 12, 0x8a, func(s *Settings) { s.Instances = 57 }, true, "d5f886cdbf1822a2"},
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	writeState(sum, first.h)
 	second := c.driver(t, c.seed+100, sum)
-	fmt.Fprintf(sum, "recalled %d\n", second.h.Recall(first.h.Learnt()))
+	fmt.Fprintf(sum, "recalled %d\n", second.h.RestoreStatistics(first.h.Statistics()))
 	second.run(steps / 4)
 	writeState(sum, second.h)
 	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
@@ -119,26 +119,26 @@
 	switch x := a.(type) {
 	case Send:
 		return fmt.Sprintf("send id=%d to=%s allow=%d before=%d with=%d", x.ID, spellServer(x.Server),
-			int64(x.Allow), int64(x.Before), x.With)
-	case Refuse:
-		return fmt.Sprintf("refuse id=%d backoff=%d", x.ID, int64(x.Backoff))
+			int64(x.Timeout), int64(x.StartBefore), x.Leader)
+	case Reject:
+		return fmt.Sprintf("refuse id=%d backoff=%d", x.ID, int64(x.RetryAfter))
 	case Fail:
 		return fmt.Sprintf("fail id=%d", x.ID)
 	case Cancel:
 		return fmt.Sprintf("cancel id=%d attempt=%d", x.ID, x.Attempt)
 	case SetTimer:
 		return fmt.Sprintf("timer token=%d after=%d", x.Token, int64(x.After))
-	case Probe:
+	case CheckHealth:
 		return "probe " + spellServer(x.Server)
-	case Close:
+	case CloseIdle:
 		return "close " + spellServer(x.Server)
-	case Tell:
+	case SendToPeer:
 		return fmt.Sprintf("tell to=%d body=%x", x.To, x.Body)
-	case Log:
+	case WriteLog:
 		return "log " + x.Text
-	case Watch:
+	case WatchEndpoints:
 		return fmt.Sprintf("watch on=%t", x.On)
-	case Fetch:
+	case FetchEndpoints:
 		return "fetch"
 	}
 	panic("an action that has no spelling")
@@ -151,35 +151,40 @@
 func spellFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 // writeState spells what the module believes of the nodes and what it has learned.
-func writeState(sum hash.Hash, h *Host) {
-	for _, b := range h.Beliefs() {
+func writeState(sum hash.Hash, h *Scheduler) {
+	for _, b := range h.NodeStates() {
 		fmt.Fprintf(
 			sum,
 			"node %s status=%d out=%d used=%s depth=%s latency=%d fails=%d\n",
 			spellServer(b.Server),
 			uint8(b.Status),
-			b.Out,
-			spellFloat(b.Used),
+			b.InFlight,
+			spellFloat(b.SlotsUsed),
 			spellFloat(b.Depth),
 			int64(b.Latency),
-			b.Fails,
+			b.Failures,
 		)
 	}
-	learned := h.Learnt()
+	learned := h.Statistics()
 	for _, server := range slices.SortedFunc(maps.Keys(learned.Nodes), Server.Compare) {
 		n := learned.Nodes[server]
 		fmt.Fprintf(sum, "learned %s latency=%d deviation=%d\n", spellServer(server), int64(n.Latency),
 			int64(n.Deviation))
 	}
 	for i, c := range learned.Classes {
-		fmt.Fprintf(sum, "class %d mean=%s seen=%s fit=%s\n", i, spellFloat(c.Mean), spellFloat(c.Seen),
-			spellFit(c.Fit))
+		fmt.Fprintf(sum, "class %d mean=%s seen=%s fit=%s\n", i, spellFloat(c.MeanUnits), spellFloat(c.Count),
+			spellFit(c.Latency))
 	}
-	fmt.Fprintf(sum, "usual=%s median=%d lately=%d\n", spellFit(learned.Usual), int64(learned.Median),
-		int64(learned.Lately))
+	fmt.Fprintf(
+		sum,
+		"usual=%s median=%d lately=%d\n",
+		spellFit(learned.AllClasses),
+		int64(learned.MedianLatency),
+		int64(learned.RecentLatency),
+	)
 }
 
-func spellFit(f LearntFit) string {
-	return fmt.Sprintf("%s/%s/%s/%s/%s", spellFloat(f.N), spellFloat(f.Size), spellFloat(f.Took),
-		spellFloat(f.Square), spellFloat(f.Cross))
+func spellFit(f Regression) string {
+	return fmt.Sprintf("%s/%s/%s/%s/%s", spellFloat(f.Count), spellFloat(f.MeanSize), spellFloat(f.MeanTime),
+		spellFloat(f.MeanSquare), spellFloat(f.MeanProduct))
 }
--- a/scheduler/company_test.go
+++ b/scheduler/company_test.go
@@ -16,7 +16,7 @@
 	sum   float64 // of the last operation
 }
 
-func (c *crowd) Beside(id uint32, join func(uint32, float64) bool) {
+func (c *crowd) Propose(id uint32, join func(uint32, float64) bool) {
 	c.sum = c.units[id]
 	members := 1
 	for _, other := range c.ids {
@@ -40,7 +40,7 @@
 func crowded(t *testing.T, set Settings) (*rig, *crowd, *node) {
 	r := start(t, set, 1)
 	c := &crowd{most: 64}
-	r.h.Accompany(c)
+	r.h.SetBatcher(c)
 	n := r.h.nodes[server(0)]
 	n.depth, n.deviation = 1, time.Second
 	return r, c, n
@@ -50,10 +50,10 @@
 func with(acts []Action) map[uint32][]uint32 {
 	out := map[uint32][]uint32{}
 	for _, a := range acts {
-		if s, ok := a.(Send); ok && s.With == 0 {
+		if s, ok := a.(Send); ok && s.Leader == 0 {
 			out[s.ID] = []uint32{}
 		} else if ok {
-			out[s.With] = append(out[s.With], s.ID)
+			out[s.Leader] = append(out[s.Leader], s.ID)
 		}
 	}
 	return out
@@ -72,7 +72,7 @@
 		float64(len(r.h.shards[0].queue))}, 4, 1, 4, 0)
 	fit := r.h.classes[0].fit.n
 	for id := uint32(1); id <= 3; id++ {
-		r.do(Outcome{ID: id, Server: server(0), Code: OK, Took: 10 * ms, Ended: true})
+		r.do(AttemptResult{ID: id, Server: server(0), Code: OK, Latency: 10 * ms, RequestDone: true})
 	}
 	want(t, "slots, answers learnt from", []float64{n.used, r.h.classes[0].fit.n - fit}, 0, 1)
 	want(t, "repeats", sends(r.done(4, 0, 0, Error, 10*ms)), 4)
@@ -89,7 +89,7 @@
 	r.now += time.Second
 	for id := uint32(1); id <= 3; id++ {
 		r.h.review = false
-		r.h.Handle(r.now, Outcome{ID: id, Server: server(0), Code: TimedOut, Took: time.Second})
+		r.h.Handle(r.now, AttemptResult{ID: id, Server: server(0), Code: TimedOut, Latency: time.Second})
 	}
 	if want := 100*ms + time.Duration(lostWeight*float64(time.Second)); n.latency != want {
 		t.Errorf("latency %v, want %v", n.latency, want)
@@ -101,7 +101,7 @@
 	r, c, n := crowded(t, settings())
 	r.do(c.add(r.ask(nil)), c.add(r.ask(nil)), c.add(r.ask(nil)))
 	for id := uint32(1); id <= 3; id++ {
-		r.h.Handle(r.now, Outcome{ID: id, Server: server(0), Code: Full, Took: ms})
+		r.h.Handle(r.now, AttemptResult{ID: id, Server: server(0), Code: Overloaded, Latency: ms})
 	}
 	if n.fails != 1 {
 		t.Errorf("%d failures of the node, want 1", n.fails)
@@ -133,13 +133,14 @@
 		r.h.usual.add(1, 0.1)
 	}
 	r.h.tide = 100 * ms
-	r.do(c.add(r.ask(nil)), c.add(r.ask(func(q *Request) { q.Expires = r.now + 40*ms })))
+	r.do(c.add(r.ask(nil)), c.add(r.ask(func(q *Request) { q.ExpiresAt = r.now + 40*ms })))
 	if got := with(r.acts); len(got[1]) != 0 {
 		t.Errorf("a request of 40 ms patience joined one that takes 100 ms: %v", got)
 	}
 
 	set = settings()
-	set.Classes[0].InOrder, set.Classes[0].Repeat, set.Classes[0].Window = true, Keyed, time.Second
+	set.Classes[0].OrderedByKey, set.Classes[0].Idempotency, set.Classes[0].DedupWindow = true,
+		IdempotentByKey, time.Second
 	r, c, _ = crowded(t, set)
 	key := func(k uint64) func(*Request) { return func(q *Request) { q.Key = k } }
 	first, second, third := r.ask(key(5)), r.ask(key(5)), r.ask(key(5))
@@ -180,12 +181,12 @@
 		}
 		h := New(rapid.Uint64().Draw(t, "seed"), set)
 		now := time.Hour
-		h.Handle(now, Members{Form: ListFull, Entries: []Entry{entry(0, Ready)}})
+		h.Handle(now, EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{entry(0, Ready)}})
 		c := &crowd{most: rapid.IntRange(1, 12).Draw(t, "members"), units: map[uint32]float64{}}
-		h.Accompany(c)
+		h.SetBatcher(c)
 		n := h.nodes[server(0)]
 		// One slot each: backfill, which lets a volume be ahead by some more, is not what this is about.
-		h.classes[0].seen, h.classes[0].mean = 1e9, set.MostUnits
+		h.classes[0].seen, h.classes[0].mean = 1e9, set.MaxUnits
 		id, volume := uint32(0), map[uint32]int{}
 		held, served, out := make([]int, 3), make([]float64, 3), []uint32{}
 		fill := func() {
@@ -197,8 +198,11 @@
 					if v == 0 {
 						c.ids = append(c.ids, id) // the greedy one: all of it may merge
 					}
-					h.Handle(now, Request{ID: id, Writers: 1, Volume: uint64(v + 1), Plan: v, Units: units,
-						Expires: now + time.Hour})
+					h.Handle(
+						now,
+						Request{ID: id, VolumeInstances: 1, Volume: uint64(v + 1), Plan: v, Units: units,
+							ExpiresAt: now + time.Hour},
+					)
 				}
 			}
 		}
@@ -214,7 +218,10 @@
 				}
 			}
 			for _, done := range out {
-				h.Handle(now, Outcome{ID: done, Server: server(0), Code: OK, Took: ms, Ended: true})
+				h.Handle(
+					now,
+					AttemptResult{ID: done, Server: server(0), Code: OK, Latency: ms, RequestDone: true},
+				)
 			}
 			out = out[:0]
 			now += ms
@@ -222,7 +229,7 @@
 				for w := range served {
 					// SFQ lets two backlogged flows differ by a largest request of each; merging adds less
 					// than one of the volume ahead.
-					most := 2*set.MostUnits/weights[v] + set.MostUnits/weights[w]
+					most := 2*set.MaxUnits/weights[v] + set.MaxUnits/weights[w]
 					if d := served[v]/weights[v] - served[w]/weights[w]; d > most+1e-9 {
 						t.Fatalf("volume %d is ahead of %d by %.1f, %.1f allowed: %v", v, w, d, most, served)
 					}
--- a/scheduler/control.go
+++ b/scheduler/control.go
@@ -159,7 +159,7 @@
 
 // node is a storage node's process as this host sees it.
 type node struct {
-	Entry
+	Endpoint
 	out       []*request // oldest first
 	used      float64    // slots that they cost
 	depth     float64
@@ -193,7 +193,7 @@
 }
 
 // Host is one scheduler.
-type Host struct {
+type Scheduler struct {
 	set       Settings
 	rng       *rand.Rand
 	now       time.Duration
@@ -230,49 +230,49 @@
 	again     time.Duration // and the usual wait
 	taken     line[time.Duration]
 	extras    line[time.Duration]
-	company   Company
+	company   Batcher
 }
 
 // New starts a host that knows nothing but its settings.
-func New(seed uint64, set Settings) *Host {
-	h := &Host{set: set, rng: rand.New(rand.NewPCG(seed, 0)), reqs: map[uint32]*request{},
+func New(seed uint64, set Settings) *Scheduler {
+	h := &Scheduler{set: set, rng: rand.New(rand.NewPCG(seed, 0)), reqs: map[uint32]*request{},
 		nodes: map[Server]*node{}, vols: map[uint64]*volume{}, keys: map[uint64]*chain{},
 		again: cmp.Or(min(watchAgain, set.PushGrace/4), watchAgain)}
 	for _, c := range set.Classes {
 		h.classes = append(h.classes, &class{Class: c})
-		h.mostWorth = max(h.mostWorth, c.Worth)
-		if c.Aim > 0 && (h.leastAim == 0 || c.Aim < h.leastAim) {
-			h.leastAim = c.Aim
+		h.mostWorth = max(h.mostWorth, c.PriorityWeight)
+		if c.LatencyObjective > 0 && (h.leastAim == 0 || c.LatencyObjective < h.leastAim) {
+			h.leastAim = c.LatencyObjective
 		}
 	}
 	for _, p := range set.Plans {
-		h.mostPlan = max(h.mostPlan, p.Worth)
+		h.mostPlan = max(h.mostPlan, p.PriorityWeight)
 	}
 	return h
 }
 
 // Handle takes one event in.
-func (h *Host) Handle(now time.Duration, ev Event) {
+func (h *Scheduler) Handle(now time.Duration, ev Event) {
 	h.begin(now)
 	switch ev := ev.(type) {
-	case Members:
+	case EndpointUpdate:
 		h.members(ev)
 	case Request:
 		h.take(ev)
-	case Outcome:
+	case AttemptResult:
 		h.outcome(ev)
-	case Left:
+	case ClientGone:
 		if r := h.reqs[ev.ID]; r != nil {
 			h.end(r)
 		}
-	case Timer:
+	case TimerFired:
 		h.timer(ev)
 	}
 }
 
 // begin sets the clock; at the first event of a host's life it also opens the watch that an asking site
 // needs.
-func (h *Host) begin(now time.Duration) {
+func (h *Scheduler) begin(now time.Duration) {
 	if now != h.now {
 		h.stalled = h.review && now > h.reviewBy+stallFrom
 	}
@@ -281,14 +281,14 @@
 		return
 	}
 	h.alive, h.born = true, now
-	if h.set.Ask {
+	if h.set.PollEndpoints {
 		h.openWatch()
 	}
 }
 
 // Decide lets requests leave, gives up on those that cannot be served in time, and returns all actions
 // since the last call.
-func (h *Host) Decide(now time.Duration) []Action {
+func (h *Scheduler) Decide(now time.Duration) []Action {
 	h.begin(now)
 	held := false
 	h.turn = append(h.turn[:0], h.busy...)
@@ -307,11 +307,11 @@
 }
 
 // part is this host's even part of what all hosts together may have.
-func (h *Host) part(whole float64) float64 { return whole / float64(max(h.set.Hosts, 1)) }
+func (h *Scheduler) part(whole float64) float64 { return whole / float64(max(h.set.Instances, 1)) }
 
-func (h *Host) act(a Action) { h.acts = append(h.acts, a) }
+func (h *Scheduler) act(a Action) { h.acts = append(h.acts, a) }
 
-func (h *Host) timer(t Timer) {
+func (h *Scheduler) timer(t TimerFired) {
 	switch {
 	case t.Token == tokenReview:
 		h.review = false
@@ -322,13 +322,13 @@
 
 // openWatch asks for the standing watch, and again if nothing at all is heard of it for half the time in
 // which a host must have asked: answers of the list service may get lost too.
-func (h *Host) openWatch() {
+func (h *Scheduler) openWatch() {
 	h.watched = false
-	h.act(Watch{On: true})
-	h.watchIn(max(h.set.AskWithin/2, 2*h.again))
+	h.act(WatchEndpoints{On: true})
+	h.watchIn(max(h.set.PollTimeout/2, 2*h.again))
 }
 
-func (h *Host) watchIn(d time.Duration) {
+func (h *Scheduler) watchIn(d time.Duration) {
 	h.watchAt = h.now + d
 	h.act(SetTimer{Token: tokenWatch, After: d})
 }
@@ -337,9 +337,9 @@
 
 // members follows the list. A failed call does not tell whether a watch still stands, so it is opened
 // again, at a random moment so that the hosts of a whole site do not ask in step.
-func (h *Host) members(m Members) {
-	if m.Form == ListFailed {
-		if h.set.Ask && (h.watched || h.watchAt > h.now+2*h.again) {
+func (h *Scheduler) members(m EndpointUpdate) {
+	if m.Kind == UpdateFailed {
+		if h.set.PollEndpoints && (h.watched || h.watchAt > h.now+2*h.again) {
 			wait := h.again + time.Duration(h.rng.Int64N(int64(h.again)))
 			if h.watched { // one that stood and broke is mostly back at once; its first call may fail too
 				h.quick = 8
@@ -349,10 +349,10 @@
 		}
 		return
 	}
-	h.watched = h.watched || m.Form != ListCached
-	if m.Form != ListDelta {
+	h.watched = h.watched || m.Kind != UpdateCached
+	if m.Kind != UpdateDelta {
 		listed := map[Server]bool{}
-		for _, e := range m.Entries {
+		for _, e := range m.Endpoints {
 			listed[e.Server] = true
 		}
 		for id, n := range h.nodes {
@@ -362,7 +362,7 @@
 			}
 		}
 	}
-	for _, e := range m.Entries {
+	for _, e := range m.Endpoints {
 		h.enter(e)
 	}
 	h.assignNodes()
@@ -370,7 +370,7 @@
 }
 
 // depart notes when a node was first seen gone.
-func (h *Host) depart(n *node) {
+func (h *Scheduler) depart(n *node) {
 	if n.goneAt == 0 {
 		n.goneAt = h.now
 		h.departed = append(h.departed, departure{n, h.now})
@@ -379,7 +379,7 @@
 
 // forgetNodes drops nodes that have been gone for very long, so that they do not pile up over months. One
 // that is listed again sooner is remembered as it was.
-func (h *Host) forgetNodes() {
+func (h *Scheduler) forgetNodes() {
 	for len(h.departed) > 0 && h.now-h.departed[0].at >= goneKeep {
 		d := h.departed[0]
 		if d.node.goneAt == d.at {
@@ -393,18 +393,18 @@
 }
 
 // enter notes one entry. A fresh boot time means that the process restarted: what was learned of it is void.
-func (h *Host) enter(e Entry) {
+func (h *Scheduler) enter(e Endpoint) {
 	n := h.nodes[e.Server]
 	if n == nil {
 		n = &node{}
 		h.nodes[e.Server] = n
 	}
-	if n.depth == 0 || e.Boot > n.Boot {
+	if n.depth == 0 || e.StartedAt > n.StartedAt {
 		n.fails, n.retryAt, n.depth, n.latency, n.deviation = 0, 0, min(startDepth, h.part(allSlots)),
 			h.target()/2, h.target()/4
 		n.resets, n.errors = 0, 0
 	}
-	n.Entry = e
+	n.Endpoint = e
 	if e.Status == Gone {
 		h.depart(n)
 	} else {
@@ -414,7 +414,7 @@
 }
 
 // assignNodes points each shard at the ready node that holds it; of two, at the one that started last.
-func (h *Host) assignNodes() {
+func (h *Scheduler) assignNodes() {
 	ready := make([]*node, 0, len(h.nodes))
 	for _, n := range h.nodes {
 		if n.Status == Ready {
@@ -422,7 +422,7 @@
 		}
 	}
 	slices.SortFunc(ready, func(a, b *node) int {
-		return cmp.Or(cmp.Compare(a.Boot, b.Boot), a.Server.Compare(b.Server))
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), a.Server.Compare(b.Server))
 	})
 	for _, s := range h.shards {
 		s.node = nil
@@ -434,7 +434,7 @@
 
 func byCell(a, b *shard) int { return cmp.Compare(a.cell, b.cell) }
 
-func (h *Host) shardOf(cell int) *shard {
+func (h *Scheduler) shardOf(cell int) *shard {
 	i, ok := slices.BinarySearchFunc(h.shards, &shard{cell: cell}, byCell)
 	if !ok {
 		h.shards = slices.Insert(h.shards, i, &shard{cell: cell})
@@ -444,36 +444,37 @@
 
 // ---- Taking requests ----
 
-func (h *Host) take(q Request) {
-	if h.set.Budget && !q.Further {
+func (h *Scheduler) take(q Request) {
+	if h.set.RetryBudget && !q.Continuation {
 		h.taken.push(h.now)
 		h.taken.drop(h.outsideBudget)
 	}
-	if q.Class >= len(h.classes) || q.Expires <= h.now+sureMargin || (q.Cell < 0 && len(h.shards) == 0) {
-		h.act(Refuse{ID: q.ID})
+	if q.Class >= len(h.classes) || q.ExpiresAt <= h.now+sureMargin || (q.Cell < 0 && len(h.shards) == 0) {
+		h.act(Reject{ID: q.ID})
 		return
 	}
 	c := h.classes[q.Class]
-	c.span = max(c.span, q.Expires-h.now)
-	r := &request{Request: q, class: c, vol: h.volumeOf(q), aimBy: q.Expires}
-	if c.Aim > 0 {
-		r.aimBy = q.Expires - c.span + c.Aim // a client's retry has less time left than a first try
-		if q.Expires-h.now < c.Aim || (h.set.RetriesAreKnown && !q.Repeat) {
+	c.span = max(c.span, q.ExpiresAt-h.now)
+	r := &request{Request: q, class: c, vol: h.volumeOf(q), aimBy: q.ExpiresAt}
+	if c.LatencyObjective > 0 {
+		// a client's retry has less time left than a first try
+		r.aimBy = q.ExpiresAt - c.span + c.LatencyObjective
+		if q.ExpiresAt-h.now < c.LatencyObjective || (h.set.RetriesMarked && !q.Retry) {
 			// A first try with little time left is a client of short patience: what the request tells counts.
 			// A retry that came back as late as that earns little either way.
-			r.aimBy = h.now + c.Aim
+			r.aimBy = h.now + c.LatencyObjective
 		}
 	}
 	// A host that has seen nothing but retries yet knows too short a span: never hold beyond the client's
 	// wait.
-	r.aimBy = min(r.aimBy, q.Expires-sureMargin)
+	r.aimBy = min(r.aimBy, q.ExpiresAt-sureMargin)
 	r.Units = max(q.Units, 1)
 	r.cost = c.slots(r.Units)
 	c.seen++
 	c.mean += (r.Units - c.mean) / c.seen
 	r.vol.live++
 	h.reqs[q.ID] = r
-	if c.InOrder && q.Key != 0 {
+	if c.OrderedByKey && q.Key != 0 {
 		k := h.keys[q.Key]
 		if k == nil {
 			k = &chain{}
@@ -501,7 +502,7 @@
 
 // volumeOf finds a volume. Its limit's store starts empty: a host that was killed may have spent it before,
 // and units that other hosts count on must not come twice.
-func (h *Host) volumeOf(q Request) *volume {
+func (h *Scheduler) volumeOf(q Request) *volume {
 	v := h.vols[q.Volume]
 	if v == nil {
 		v = &volume{id: q.Volume, finish: map[*shard]float64{}, limit: store{at: h.born},
@@ -512,18 +513,18 @@
 		if v.plan.Weight <= 0 {
 			v.plan.Weight = 1
 		}
-		v.reserve.level = v.reserveMost(h.set.MostUnits)
+		v.reserve.level = v.reserveMost(h.set.MaxUnits)
 		h.vols[q.Volume] = v
 		h.volumes = append(h.volumes, v)
 	}
-	v.writers = max(1, float64(q.Writers), v.writers)
+	v.writers = max(1, float64(q.VolumeInstances), v.writers)
 	return v
 }
 
 // forgetVolumes looks at a few volumes in turn and drops those of which no more is known than of a new one,
 // so that volumes seen once do not pile up. Where each comes once, no virtual time ever passes their tags:
 // over mostVolumes idle ones are dropped all the same, and one that comes again soon may lead by what it had.
-func (h *Host) forgetVolumes() {
+func (h *Scheduler) forgetVolumes() {
 	for range min(sweepStep, len(h.volumes)) {
 		if h.sweepAt >= len(h.volumes) {
 			h.sweepAt = 0
@@ -540,7 +541,7 @@
 	}
 }
 
-func (h *Host) forgettable(v *volume) bool {
+func (h *Scheduler) forgettable(v *volume) bool {
 	if v.live > 0 {
 		return false
 	}
@@ -548,7 +549,7 @@
 	if v.plan.Limit > 0 && !(v.limit.full(h.now, limit, most) && store{at: h.born}.full(h.now, limit, most)) {
 		return false
 	}
-	if !v.reserve.full(h.now, v.plan.Reserve, v.reserveMost(h.set.MostUnits)) {
+	if !v.reserve.full(h.now, v.plan.Reserve, v.reserveMost(h.set.MaxUnits)) {
 		return false
 	}
 	if len(h.volumes) > mostVolumes {
@@ -570,8 +571,8 @@
 }
 
 // cover takes units from a volume's reserve and returns how many it held.
-func (h *Host) cover(v *volume, units float64) float64 {
-	most := v.reserveMost(h.set.MostUnits)
+func (h *Scheduler) cover(v *volume, units float64) float64 {
+	most := v.reserveMost(h.set.MaxUnits)
 	v.reserve.fill(h.now, v.plan.Reserve, most)
 	got := min(units, max(0, v.reserve.level))
 	v.reserve.level -= got
@@ -581,7 +582,7 @@
 // tag gives a request its start tag and moves its volume's finish tag on. Units inside the reserve do not
 // move it, and a request that lies wholly inside starts at the virtual time: the reserve comes first, the
 // share next.
-func (h *Host) tag(r *request) {
+func (h *Scheduler) tag(r *request) {
 	s := r.shard
 	r.covered = h.cover(r.vol, r.Units)
 	r.advance = (r.Units - r.covered) / r.vol.plan.Weight
@@ -595,7 +596,7 @@
 }
 
 // untag gives back what a request that was never served took: its volume's place and reserve.
-func (h *Host) untag(r *request) {
+func (h *Scheduler) untag(r *request) {
 	r.vol.finish[r.shard] -= r.advance
 	r.vol.reserve.level += r.covered
 	r.advance, r.covered = 0, 0
@@ -615,7 +616,7 @@
 	return 0
 }
 
-func (h *Host) enqueue(r *request) {
+func (h *Scheduler) enqueue(r *request) {
 	s := r.shard
 	i, _ := slices.BinarySearchFunc(s.queue, r, byTag)
 	s.queue = slices.Insert(s.queue, i, r)
@@ -627,7 +628,7 @@
 	r.queued = true
 }
 
-func (h *Host) dequeue(r *request) {
+func (h *Scheduler) dequeue(r *request) {
 	if !r.queued {
 		return
 	}
@@ -646,7 +647,7 @@
 // place picks the shard for a new object: the least work at hand, in requests, times what the node takes for
 // one. A node that fails most requests fast looks quick and idle, so errors count as wait. Where hosts are
 // many, those that start would all take the first of nodes that look alike: chance tells the unknown apart.
-func (h *Host) place(r *request) *shard {
+func (h *Scheduler) place(r *request) *shard {
 	var best *shard
 	least := math.Inf(1)
 	for _, s := range h.shards {
@@ -672,7 +673,7 @@
 // dispatch lets requests leave in tag order while they fit the node's depth. When the first that may go does
 // not fit, smaller ones may, until what was promoted past it costs as much as it does. A new object is due at
 // no one node, so all keep its pace: where few nodes are left, those of all hosts would starve reads there.
-func (h *Host) dispatch(s *shard) {
+func (h *Scheduler) dispatch(s *shard) {
 	n := s.node
 	var head *request
 	h.unpin(n)
@@ -682,7 +683,7 @@
 			i++
 			continue
 		}
-		if h.now >= r.aimBy || h.now+h.expect(n, r) > r.Expires {
+		if h.now >= r.aimBy || h.now+h.expect(n, r) > r.ExpiresAt {
 			h.giveUp(r, 0) // no slots for what is late already or the client will not wait for
 			continue
 		}
@@ -721,15 +722,15 @@
 // limit, patience and turn of its key. It joins in tag order, or ahead of it by no more than its volume's
 // largest request. The operation costs the slots of its size, even beyond the depth, which then holds the
 // next sends back. It ends no later for a member than alone, within the mean deviation.
-func (h *Host) accompany(lead *request, n *node) {
+func (h *Scheduler) accompany(lead *request, n *node) {
 	s, slots := lead.shard, lead.cost
-	h.company.Beside(lead.ID, func(id uint32, units float64) bool {
+	h.company.Propose(lead.ID, func(id uint32, units float64) bool {
 		r := h.reqs[id]
 		if r == nil || !r.queued || r.attempts > 0 || r.shard != s || r.class != lead.class {
 			return false
 		}
 		cost, takes := lead.class.slots(units), h.lately(n)+h.extra(lead.class, units)
-		if (r != s.queue[0] && (r.start+r.advance-s.vt)*r.vol.plan.Weight > h.set.MostUnits) ||
+		if (r != s.queue[0] && (r.start+r.advance-s.vt)*r.vol.plan.Weight > h.set.MaxUnits) ||
 			h.now+takes > min(r.aimBy, lead.aimBy) || !h.bears(n, r.Units) ||
 			takes > min(h.expect(n, lead), h.expect(n, r))+n.deviation || !h.mayGo(r, n, lead) {
 			return false
@@ -753,7 +754,7 @@
 // what earns less, else the patient and cheap fill a slow node and the dear with short aims die there first.
 // A request that starts no later than the virtual time gets more, as its volume has had no more than its
 // share here and a surge through other hosts fills the node as well; the extra shrinks to none with latency.
-func (h *Host) bound(s *shard, r *request) float64 {
+func (h *Scheduler) bound(s *shard, r *request) float64 {
 	if h.leastAim <= 0 {
 		return s.node.depth
 	}
@@ -769,21 +770,21 @@
 
 // earns is what a unit of the request earns against the dearest, with its class's worth squared: the cheap
 // class is mostly the patient one, which gets in whenever a jam eases. Worths that are not told count alike.
-func (h *Host) earns(r *request) float64 {
+func (h *Scheduler) earns(r *request) float64 {
 	part := r.covered / r.Units
-	class := cmp.Or(r.class.Worth, 1) / cmp.Or(h.mostWorth, 1)
-	plan := cmp.Or(r.vol.plan.Worth, 1) / cmp.Or(h.mostPlan, 1)
-	return class * class * plan * math.Sqrt(part+(1-part)*cmp.Or(h.set.ShareWorth, 1))
+	class := cmp.Or(r.class.PriorityWeight, 1) / cmp.Or(h.mostWorth, 1)
+	plan := cmp.Or(r.vol.plan.PriorityWeight, 1) / cmp.Or(h.mostPlan, 1)
+	return class * class * plan * math.Sqrt(part+(1-part)*cmp.Or(h.set.ShareWeight, 1))
 }
 
 // usable tells whether a node may be sent to: listed as ready, and after failures one request at a time.
-func (h *Host) usable(n *node) bool {
+func (h *Scheduler) usable(n *node) bool {
 	return n.Status == Ready && (n.fails == 0 || (n.used == 0 && h.now >= n.retryAt))
 }
 
 // paced tells whether a bound under one slot holds the next send back: the last send's slot then counts for
 // longer than its attempt is out.
-func (h *Host) paced(n *node, bound float64) bool {
+func (h *Scheduler) paced(n *node, bound float64) bool {
 	return bound < 1 && n.everSent && h.now-n.lastSent < seconds(n.latency.Seconds()/bound)
 }
 
@@ -793,7 +794,7 @@
 // unpin takes the slots back from attempts that are out for far longer than the node's answers take: answers
 // that get lost and requests that hang would hold theirs until the client's wait is over, and a few stop a
 // node's queue. At a node that hangs it lets a request through now and then, as a trial.
-func (h *Host) unpin(n *node) {
+func (h *Scheduler) unpin(n *node) {
 	if n == nil {
 		return
 	}
@@ -807,10 +808,10 @@
 
 // mayGo holds the guards that concern one request: its key's turn, its class's repeats, its plan's limit. A
 // member of an operation may follow those of its key that are members too, unless each could run again later.
-func (h *Host) mayGo(r *request, n *node, lead *request) bool {
-	if r.class.InOrder && r.Key != 0 {
+func (h *Scheduler) mayGo(r *request, n *node, lead *request) bool {
+	if r.class.OrderedByKey && r.Key != 0 {
 		k, at := h.keys[r.Key], 0
-		for lead != nil && r.class.Repeat != Safe && at < len(k.list) && k.list[at].of(lead) {
+		for lead != nil && r.class.Idempotency != Idempotent && at < len(k.list) && k.list[at].of(lead) {
 			at++
 		}
 		if at == len(k.list) || k.list[at] != r || (r.attempts == 0 && h.now < k.rest) {
@@ -824,66 +825,70 @@
 }
 
 // limitLeft is this host's even part of what the volume's limit allows now.
-func (h *Host) limitLeft(v *volume) float64 {
+func (h *Scheduler) limitLeft(v *volume) float64 {
 	v.limit.fill(h.now, v.plan.Limit/v.writers, v.plan.Burst/v.writers)
 	return v.limit.level
 }
 
 // mayRepeat guards against a second effect, and keeps the budget of further attempts.
-func (h *Host) mayRepeat(r *request, n *node) bool {
+func (h *Scheduler) mayRepeat(r *request, n *node) bool {
 	if r.attempts >= h.set.MaxAttempts || !h.budgetLeft() {
 		return false
 	}
-	if r.ranAt == nil || r.class.Repeat == Safe {
+	if r.ranAt == nil || r.class.Idempotency == Idempotent {
 		return true
 	}
-	if r.class.Repeat == Unsafe || h.now+sureMargin >= r.ranFrom+r.class.Window {
+	if r.class.Idempotency == NotIdempotent || h.now+sureMargin >= r.ranFrom+r.class.DedupWindow {
 		return false
 	}
-	return r.class.Group == GroupAll || (r.class.Group == GroupZone && n.Zone == r.ranAt.Zone) ||
-		(r.class.Group == GroupCell && n.Cell == r.ranAt.Cell)
+	return r.class.DedupScope == DedupAll || (r.class.DedupScope == DedupZone && n.Zone == r.ranAt.Zone) ||
+		(r.class.DedupScope == DedupCell && n.Cell == r.ranAt.Cell)
 }
 
 // budgetLeft tells whether one more attempt beyond a request's first stays within the stated budget.
-func (h *Host) budgetLeft() bool {
-	if !h.set.Budget {
+func (h *Scheduler) budgetLeft() bool {
+	if !h.set.RetryBudget {
 		return true
 	}
-	h.extras.drop(func(at time.Duration) bool { return at < h.now-h.set.BudgetWindow })
+	h.extras.drop(func(at time.Duration) bool { return at < h.now-h.set.RetryBudgetWindow })
 	h.taken.drop(h.outsideBudget)
-	return float64(len(h.extras.list())+1) <= h.set.BudgetFloor+h.set.BudgetRatio*float64(len(h.taken.list()))
+	return float64(
+		len(h.extras.list())+1,
+	) <= h.set.RetryBudgetFloor+h.set.RetryBudgetRatio*float64(
+		len(h.taken.list()),
+	)
 }
 
 // outsideBudget tells whether a request was taken too long ago to count.
-func (h *Host) outsideBudget(at time.Duration) bool { return at <= h.now-h.set.BudgetWindow }
+func (h *Scheduler) outsideBudget(at time.Duration) bool { return at <= h.now-h.set.RetryBudgetWindow }
 
 // bears tells whether a node may be sent so many units more now. A cold one bears a stated figure in any
 // window over all hosts; this host uses its even part. Where that is less than the least request, hosts take
 // turns of a window each, so many at a time that one fits: a window meets two turns at most, which share the
 // figure. All hosts at once stay within it, at the price that many refuse most of a cold shard's requests.
-func (h *Host) bears(n *node, units float64) bool {
-	age, window := h.now-n.Boot, max(h.set.FallWindow, 1)
-	if n.Boot == 0 || h.set.Ramp == 0 || age >= h.set.Ramp+window {
+func (h *Scheduler) bears(n *node, units float64) bool {
+	age, window := h.now-n.StartedAt, max(h.set.OverloadWindow, 1)
+	if n.StartedAt == 0 || h.set.SlowStartPeriod == 0 || age >= h.set.SlowStartPeriod+window {
 		return true
 	}
-	if n.Boot < h.born && h.now-h.born < window {
+	if n.StartedAt < h.born && h.now-h.born < window {
 		return false // a host just restarted does not know what it sent before: assume all
 	}
 	usual := max(h.set.MeanUnits, 1)
-	if h.part(h.set.ColdUnits) >= 1 {
+	if h.part(h.set.ColdCapacity) >= 1 {
 		return h.fits(n, units, h.part(h.coldUnits(age-window)))
 	}
-	turn, hosts := age/window, float64(max(h.set.Hosts, 1))
+	turn, hosts := age/window, float64(max(h.set.Instances, 1))
 	half := h.coldUnits((turn-1)*window) / 2
 	turns := math.Ceil(hosts / max(1, math.Floor(half/usual)))
-	mine := math.Mod(float64(turn)+float64(h.set.Me), turns) == 0
+	mine := math.Mod(float64(turn)+float64(h.set.InstanceIndex), turns) == 0
 	return mine && h.fits(n, units, half/math.Ceil(hosts/turns))
 }
 
 // fits tells whether units more stay within most in a window. Only where the running sum is too near to most
 // to tell are the sends added up one by one, so that the answer does not hang on rounding.
-func (h *Host) fits(n *node, units, most float64) bool {
-	h.forgetSent(n, max(h.set.FallWindow, 1))
+func (h *Scheduler) fits(n *node, units, most float64) bool {
+	h.forgetSent(n, max(h.set.OverloadWindow, 1))
 	sent := units + n.sum
 	if math.Abs(sent-most) > sumMargin*(1+most) {
 		return sent < most
@@ -897,7 +902,7 @@
 
 // forgetSent drops what was sent before the window. The record of sends is kept for warm nodes too, since a
 // node that restarts is cold at once; it must cost the same however many there are.
-func (h *Host) forgetSent(n *node, window time.Duration) {
+func (h *Scheduler) forgetSent(n *node, window time.Duration) {
 	n.sent.drop(func(m mark) bool {
 		if m.at >= h.now-window {
 			return false
@@ -911,23 +916,23 @@
 }
 
 // coldUnits is what a node bears in a window that begins so long after its start: more as it is sure to warm.
-func (h *Host) coldUnits(since time.Duration) float64 {
-	if since <= 0 || h.set.ColdShare <= 0 {
-		return h.set.ColdUnits
+func (h *Scheduler) coldUnits(since time.Duration) float64 {
+	if since <= 0 || h.set.ColdFraction <= 0 {
+		return h.set.ColdCapacity
 	}
-	return h.set.ColdUnits * (1 + (1/h.set.ColdShare-1)*since.Seconds()/h.set.Ramp.Seconds())
+	return h.set.ColdCapacity * (1 + (1/h.set.ColdFraction-1)*since.Seconds()/h.set.SlowStartPeriod.Seconds())
 }
 
 // relieve counts what a node has served by the multiple that the rule allows less: what it keeps up with
 // does not push it over, while what it does not answer counts in full.
-func (h *Host) relieve(n *node, r *request) {
+func (h *Scheduler) relieve(n *node, r *request) {
 	for _, ref := range r.marks {
-		if ref.node != n || h.set.FallMultiple <= 1 {
+		if ref.node != n || h.set.OverloadFactor <= 1 {
 			continue // marks are counted by node: another's number means nothing here
 		}
 		if m := n.sent.at(ref.nth); m != nil {
-			n.sum -= m.units - m.units/h.set.FallMultiple
-			m.units /= h.set.FallMultiple
+			n.sum -= m.units - m.units/h.set.OverloadFactor
+			m.units /= h.set.OverloadFactor
 		}
 	}
 }
@@ -937,8 +942,8 @@
 
 // send starts an attempt. The virtual time moves to the start tag of what leaves. A member of an operation
 // has no slots of its own.
-func (h *Host) send(r *request, n *node, lead *request) {
-	if h.set.Budget && r.attempts > 0 {
+func (h *Scheduler) send(r *request, n *node, lead *request) {
+	if h.set.RetryBudget && r.attempts > 0 {
 		h.extras.push(h.now)
 	}
 	if !r.charged {
@@ -948,19 +953,19 @@
 	r.attempts++
 	h.out++
 	r.node, r.sentAt, r.unpinned, r.lead, r.load = n, h.now, lead != nil, lead, r.Units
-	act := Send{ID: r.ID, Server: n.Server, Allow: h.allow(r)}
-	if r.ranAt != nil && r.class.Repeat == Keyed {
-		act.Before = r.ranFrom + r.class.Window - sureMargin // however late its connection comes up
+	act := Send{ID: r.ID, Server: n.Server, Timeout: h.allow(r)}
+	if r.ranAt != nil && r.class.Idempotency == IdempotentByKey {
+		act.StartBefore = r.ranFrom + r.class.DedupWindow - sureMargin // however late its connection comes up
 	}
 	if lead == nil {
 		r.shard.vt = max(r.shard.vt, r.start)
 		n.out = append(n.out, r)
 		n.used += r.cost
 	} else {
-		act.With = lead.ID
+		act.Leader = lead.ID
 	}
 	n.lastSent, n.everSent = h.now, true
-	h.forgetSent(n, h.set.FallWindow)
+	h.forgetSent(n, h.set.OverloadWindow)
 	r.marks = append(r.marks, markRef{n, n.sent.cut + len(n.sent.all)})
 	n.sent.push(mark{h.now, r.Units})
 	n.sum += r.Units
@@ -970,8 +975,8 @@
 // allow is how long an attempt may take: where a repeat is safe, until the aim, since an answer after that
 // earns little, while a node that holds what nobody waits for gets slower by it, and may never come out of
 // that. Others are hoped for as long as the client waits (0), as their end would stay unsure.
-func (h *Host) allow(r *request) time.Duration {
-	if r.class.Repeat != Safe || r.aimBy <= h.now {
+func (h *Scheduler) allow(r *request) time.Duration {
+	if r.class.Idempotency != Idempotent || r.aimBy <= h.now {
 		return 0
 	}
 	return r.aimBy - h.now
@@ -981,7 +986,7 @@
 
 // triage looks through what is held and gives up at once on what would miss its aim even if it left now: it
 // would only take slots from requests that can still be in time.
-func (h *Host) triage(s *shard) {
+func (h *Scheduler) triage(s *shard) {
 	n := s.node
 	for _, r := range slices.Clone(s.queue) {
 		wait := time.Duration(0)
@@ -996,15 +1001,17 @@
 }
 
 // Harmless tells whether a request that has run may run again anywhere: a refusal then stays true.
-func (c Class) Harmless() bool { return c.Repeat == Safe || (c.Repeat == Keyed && c.Group == GroupAll) }
+func (c Class) RetrySafe() bool {
+	return c.Idempotency == Idempotent || (c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll)
+}
 
 // giveUp ends a request: by a refusal where that is true, else by a failure.
-func (h *Host) giveUp(r *request, backoff time.Duration) {
-	if r.ranAt == nil || r.class.Harmless() {
+func (h *Scheduler) giveUp(r *request, backoff time.Duration) {
+	if r.ranAt == nil || r.class.RetrySafe() {
 		if !h.set.RetryAfter {
 			backoff = 0
 		}
-		h.act(Refuse{ID: r.ID, Backoff: min(backoff, h.set.MaxRetryAfter)})
+		h.act(Reject{ID: r.ID, RetryAfter: min(backoff, h.set.MaxRetryAfter)})
 	} else {
 		h.act(Fail{ID: r.ID})
 	}
@@ -1012,7 +1019,7 @@
 }
 
 // end closes a request that has its answer. While an attempt is out it stays known, and keeps its key's turn.
-func (h *Host) end(r *request) {
+func (h *Scheduler) end(r *request) {
 	h.dequeue(r)
 	if r.attempts == 0 {
 		h.untag(r)
@@ -1024,12 +1031,12 @@
 	delete(h.reqs, r.ID)
 	r.vol.live--
 	k := h.keys[r.Key]
-	if !r.class.InOrder || r.Key == 0 || k == nil {
+	if !r.class.OrderedByKey || r.Key == 0 || k == nil {
 		return
 	}
 	k.list = slices.DeleteFunc(k.list, func(o *request) bool { return o == r })
 	if r.unsure > 0 {
-		k.rest = max(k.rest, r.unsure+h.set.OrderPause)
+		k.rest = max(k.rest, r.unsure+h.set.OrderingPause)
 	}
 	if len(k.list) == 0 {
 		h.resting = append(h.resting, r.Key)
@@ -1038,7 +1045,7 @@
 }
 
 // forgetKeys drops the chains that are empty and have rested, so that keys seen once do not pile up.
-func (h *Host) forgetKeys() {
+func (h *Scheduler) forgetKeys() {
 	for len(h.resting) > 0 {
 		key := h.resting[0]
 		if k := h.keys[key]; k != nil && len(k.list) == 0 {
@@ -1053,7 +1060,7 @@
 
 // ---- Outcomes ----
 
-func (h *Host) outcome(o Outcome) {
+func (h *Scheduler) outcome(o AttemptResult) {
 	r := h.reqs[o.ID]
 	if r == nil || r.node == nil || o.Attempt != r.attempts-1 {
 		return
@@ -1070,41 +1077,43 @@
 	}
 	h.judge(n, r, o)
 	h.settle(r, n, o)
-	if r.ended || o.Ended {
+	if r.ended || o.RequestDone {
 		h.end(r)
 		return
 	}
-	again := o.Code != OK && o.Code != Moot && o.Code != Cancelled && h.now < r.aimBy &&
-		(r.ranAt == nil || r.class.Repeat != Unsafe) && r.attempts < h.set.MaxAttempts
+	again := o.Code != OK && o.Code != NotApplicable && o.Code != Cancelled && h.now < r.aimBy &&
+		(r.ranAt == nil || r.class.Idempotency != NotIdempotent) && r.attempts < h.set.MaxAttempts
 	if !again {
 		h.giveUp(r, h.expect(n, r))
 		return
 	}
-	if r.Cell < 0 && (r.ranAt == nil || r.class.Repeat == Safe) {
+	if r.Cell < 0 && (r.ranAt == nil || r.class.Idempotency == Idempotent) {
 		r.shard = h.place(r)
 	}
 	h.enqueue(r)
 }
 
 // MayHaveRun tells whether an attempt that ended so may have taken effect.
-func (c Code) MayHaveRun() bool { return c != Full && c != ConnectFailed && c != Moot }
+func (c ResultCode) MayHaveRun() bool {
+	return c != Overloaded && c != ConnectFailed && c != NotApplicable
+}
 
 // settle notes what an outcome says of the request and its volume.
-func (h *Host) settle(r *request, n *node, o Outcome) {
+func (h *Scheduler) settle(r *request, n *node, o AttemptResult) {
 	if o.Code.MayHaveRun() && r.ranAt == nil {
 		r.ranAt, r.ranFrom = n, r.sentAt
 	}
 	if o.Code == TimedOut || o.Code == Reset || o.Code == Cancelled {
 		r.unsure = h.now
 	}
-	if o.Elsewhere > 0 {
-		h.elsewhere(r, o.Elsewhere)
+	if o.ElsewhereUnits > 0 {
+		h.elsewhere(r, o.ElsewhereUnits)
 	}
 }
 
 // elsewhere counts what other hosts sent for a volume as if it had been sent here, so that tags and the
 // reserve follow the volume's total service (as DSFQ does).
-func (h *Host) elsewhere(r *request, units float64) {
+func (h *Scheduler) elsewhere(r *request, units float64) {
 	beyond := units - h.cover(r.vol, units)
 	s := r.shard
 	r.vol.finish[s] = max(s.vt, r.vol.finish[s]) + beyond/r.vol.plan.Weight
@@ -1114,9 +1123,10 @@
 // the node answered is newer: else that one attempt got lost, or the client's wait was short. Nodes that do
 // their work may lose a part of the answers: one broken answer is no failure, two in a row are. Of times when
 // this host stood still itself only that the node answered counts.
-func (h *Host) judge(n *node, r *request, o Outcome) {
-	lost := o.Code == TimedOut && !h.stalled && n.heardAt <= r.sentAt && o.Took > min(n.latency, h.leastAim/2)
-	silent := lost && o.Took > min(n.patience(), h.leastAim/2)
+func (h *Scheduler) judge(n *node, r *request, o AttemptResult) {
+	lost := o.Code == TimedOut && !h.stalled && n.heardAt <= r.sentAt &&
+		o.Latency > min(n.latency, h.leastAim/2)
+	silent := lost && o.Latency > min(n.patience(), h.leastAim/2)
 	switch {
 	case o.Code == OK || o.Code == Error:
 		n.fails, n.resets, n.heardAt = 0, 0, h.now
@@ -1126,7 +1136,7 @@
 	case r.lead != nil: // an operation fails once, with its lead
 	case o.Code == Reset && n.resets == 0:
 		n.resets++
-	case o.Code == ConnectFailed || o.Code == Reset || o.Code == Full || silent:
+	case o.Code == ConnectFailed || o.Code == Reset || o.Code == Overloaded || silent:
 		n.fails++
 		n.retryAt = h.now + h.pause(n)
 	}
@@ -1135,13 +1145,13 @@
 	}
 	if lost { // it would have taken longer, by about the mean
 		if n.fails <= 1 { // nodes that are cut off must not speak for all
-			h.follow(min(o.Took, 2*h.tide))
+			h.follow(min(o.Latency, 2*h.tide))
 		}
-		n.latency += time.Duration(lostWeight * float64(o.Took))
+		n.latency += time.Duration(lostWeight * float64(o.Latency))
 	} else {
-		took := o.Took - h.extra(r.class, r.load)
-		r.class.fit.add(r.load, o.Took.Seconds())
-		h.usual.add(r.load, o.Took.Seconds())
+		took := o.Latency - h.extra(r.class, r.load)
+		r.class.fit.add(r.load, o.Latency.Seconds())
+		h.usual.add(r.load, o.Latency.Seconds())
 		h.follow(took)
 		off := took - n.latency
 		n.latency += time.Duration(learnWeight * float64(off))
@@ -1153,25 +1163,25 @@
 
 // follow notes how long the usual request takes at nodes now: the running median stands for the work itself,
 // as nodes pause and jam less than half of the time, and the mean of the last few attempts for the fleet.
-func (h *Host) follow(took time.Duration) {
+func (h *Scheduler) follow(took time.Duration) {
 	step := calmStep * max(h.calm.Seconds(), h.usual.took)
 	h.calm = max(0, h.calm+seconds(math.Copysign(step, float64(took-h.calm))))
 	h.tide += time.Duration(float64(took-h.tide) / min(tideOver, max(tideOver/2, h.usual.n)))
 }
 
 // pause is how long a node that fails is left alone: growing fourfold, and not in step with other hosts.
-func (h *Host) pause(n *node) time.Duration {
+func (h *Scheduler) pause(n *node) time.Duration {
 	d := min(downMost, downFirst<<min(2*(n.fails-1), doublingsMax))
 	return d/2 + time.Duration(h.rng.Int64N(int64(d)))
 }
 
 // target is how long a request may be at its node.
-func (h *Host) target() time.Duration { return time.Duration(nodePart * float64(h.leastAim)) }
+func (h *Scheduler) target() time.Duration { return time.Duration(nodePart * float64(h.leastAim)) }
 
 // adapt learns the depth at which a request's time at the node meets the target, so that waiting happens
 // here, in tag order, and not in the node's own queue. Each host that does so gets a like part of the node.
 // It acts always; depth grows only while it holds requests back.
-func (h *Host) adapt(n *node) {
+func (h *Scheduler) adapt(n *node) {
 	if h.now-n.adaptedAt < max(n.latency, leastPeriod) || n.latency <= 0 || h.leastAim <= 0 {
 		return
 	}
@@ -1184,16 +1194,16 @@
 
 // leastDepth is what a depth falls to: one request of each host may leave, or where hosts are very many the
 // part that each has of allSlots.
-func (h *Host) leastDepth() float64 { return min(1, h.part(allSlots)) }
+func (h *Scheduler) leastDepth() float64 { return min(1, h.part(allSlots)) }
 
 // expect is how long a request sent now will take at the node: what it took lately for one of mean size, and
 // what this one's size adds.
-func (h *Host) expect(n *node, r *request) time.Duration {
+func (h *Scheduler) expect(n *node, r *request) time.Duration {
 	return max(0, h.lately(n)+h.extra(r.class, r.Units))
 }
 
 // extra is how much longer than the usual one a request of this class and size takes.
-func (h *Host) extra(c *class, units float64) time.Duration {
+func (h *Scheduler) extra(c *class, units float64) time.Duration {
 	if h.usual.n < fitFrom || c.fit.n < fitFrom {
 		return 0
 	}
@@ -1202,7 +1212,7 @@
 
 // lately is what the usual request took at the node. What is old of it fades towards that of all nodes: with
 // many hosts, each hears of a node but now and then.
-func (h *Host) lately(n *node) time.Duration {
+func (h *Scheduler) lately(n *node) time.Duration {
 	if h.usual.n < fitFrom {
 		return n.latency
 	}
--- a/scheduler/control_test.go
+++ b/scheduler/control_test.go
@@ -14,20 +14,22 @@
 
 // settings are those of a small site: one safe class, one plan without reserve or limit.
 func settings() Settings {
-	return Settings{Hosts: 1, MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, MeanUnits: 2,
-		MostUnits: 8,
-		Classes:   []Class{{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
-		Plans:     []Plan{{Rate: 10, Weight: 1}}}
+	return Settings{Instances: 1, MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, MeanUnits: 2,
+		MaxUnits: 8,
+		Classes:  []Class{{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Plans:    []Plan{{Rate: 10, Weight: 1}}}
 }
 
 func server(i int) Server { return Server{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 1} }
 
-func entry(i int, st Status) Entry { return Entry{Server: server(i), Status: st, Cell: uint16(i)} }
+func entry(i int, st Status) Endpoint {
+	return Endpoint{Server: server(i), Status: st, Cell: uint16(i)}
+}
 
 // rig drives one host and keeps what it asked for.
 type rig struct {
 	t    *testing.T
-	h    *Host
+	h    *Scheduler
 	now  time.Duration
 	id   uint32
 	acts []Action
@@ -36,9 +38,9 @@
 // start makes a host with ready nodes for cells 0 to n-1.
 func start(t *testing.T, set Settings, n int) *rig {
 	r := &rig{t: t, h: New(1, set), now: time.Hour}
-	m := Members{Form: ListCached}
+	m := EndpointUpdate{Kind: UpdateCached}
 	for i := range n {
-		m.Entries = append(m.Entries, entry(i, Ready))
+		m.Endpoints = append(m.Endpoints, entry(i, Ready))
 	}
 	r.do(m)
 	return r
@@ -54,22 +56,22 @@
 	return acts
 }
 
-func (r *rig) pass(d time.Duration) []Action { r.now += d; return r.do(Timer{Token: tokenReview}) }
+func (r *rig) pass(d time.Duration) []Action { r.now += d; return r.do(TimerFired{Token: tokenReview}) }
 
 // ask makes a request with sensible defaults.
 func (r *rig) ask(change func(*Request)) Request {
 	r.id++
-	q := Request{ID: r.id, Writers: 1, Volume: 1, Units: 1, Expires: r.now + 4*time.Second}
+	q := Request{ID: r.id, VolumeInstances: 1, Volume: 1, Units: 1, ExpiresAt: r.now + 4*time.Second}
 	if change != nil {
 		change(&q)
 	}
 	return q
 }
 
-func (r *rig) done(id uint32, attempt, node int, code Code, took time.Duration) []Action {
+func (r *rig) done(id uint32, attempt, node int, code ResultCode, took time.Duration) []Action {
 	r.h.review = false // the rig hands in no reviews that lead up to this moment
-	return r.do(Outcome{ID: id, Attempt: attempt, Server: server(node), Code: code, Took: took,
-		Ended: code == OK})
+	return r.do(AttemptResult{ID: id, Attempt: attempt, Server: server(node), Code: code, Latency: took,
+		RequestDone: code == OK})
 }
 
 func sends(acts []Action) (ids []uint32) {
@@ -85,7 +87,7 @@
 func ends(acts []Action) (out []string) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Refuse:
+		case Reject:
 			out = append(out, fmt.Sprint("refuse ", a.ID))
 		case Fail:
 			out = append(out, fmt.Sprint("fail ", a.ID))
@@ -113,14 +115,14 @@
 func TestSharesFollowWeightsUnderBacklog(t *testing.T) {
 	set := settings()
 	set.Plans = append(set.Plans, Plan{Weight: 3})
-	set.Classes[0].Aim = 100 * time.Second
+	set.Classes[0].LatencyObjective = 100 * time.Second
 	r := start(t, set, 1)
 	r.fix(1)
 	var evs []Event
 	for range 40 {
 		for v := range 2 {
 			evs = append(evs, r.ask(func(q *Request) {
-				q.Volume, q.Plan, q.Expires = uint64(v), v, r.now+200*time.Second
+				q.Volume, q.Plan, q.ExpiresAt = uint64(v), v, r.now+200*time.Second
 			}))
 		}
 	}
@@ -178,12 +180,12 @@
 
 func TestSlotBoundAndBackfill(t *testing.T) {
 	set := settings()
-	set.Classes[0].Aim = 100 * time.Second
+	set.Classes[0].LatencyObjective = 100 * time.Second
 	r := start(t, set, 1)
 	r.fix(4)
 	r.h.classes[0].mean, r.h.classes[0].seen = 1, 1e9
 	add := func(vol uint64, units float64) Event {
-		return r.ask(func(q *Request) { q.Volume, q.Units, q.Expires = vol, units, r.now+200*time.Second })
+		return r.ask(func(q *Request) { q.Volume, q.Units, q.ExpiresAt = vol, units, r.now+200*time.Second })
 	}
 	r.h.shards[0].vt = 1
 	got := r.do(add(1, 3), add(2, 3), add(3, 1))
@@ -211,7 +213,7 @@
 func TestElsewhereMovesTheTag(t *testing.T) {
 	r := start(t, settings(), 1)
 	r.do(r.ask(nil))
-	r.do(Outcome{ID: 1, Server: server(0), Code: OK, Took: ms, Ended: true, Elsewhere: 5})
+	r.do(AttemptResult{ID: 1, Server: server(0), Code: OK, Latency: ms, RequestDone: true, ElsewhereUnits: 5})
 	want(t, "finish tag counts service through other hosts", []float64{r.h.vols[1].finish[r.h.shards[0]]}, 6)
 }
 
@@ -228,7 +230,7 @@
 
 func TestDepthLearnsFromLatency(t *testing.T) {
 	set := settings()
-	set.Hosts = 6
+	set.Instances = 6
 	r := start(t, set, 1)
 	n := r.h.nodes[server(0)]
 	for range 30 {
@@ -245,7 +247,7 @@
 
 func TestEveryRequestGetsOneAnswerInTime(t *testing.T) {
 	r := start(t, settings(), 1)
-	r.do(Members{Form: ListFull}) // no node at all
+	r.do(EndpointUpdate{Kind: UpdateFull}) // no node at all
 	for range 20 {
 		r.do(r.ask(nil))
 		r.pass(100 * ms)
@@ -261,8 +263,8 @@
 // A host just restarted may see only retries, whose wait is short; it must not hold them beyond that wait.
 func TestHoldsNoRetryBeyondItsWait(t *testing.T) {
 	r := start(t, settings(), 1)
-	r.do(Members{Form: ListFull})
-	r.do(r.ask(func(q *Request) { q.Expires = r.now + 200*ms }))
+	r.do(EndpointUpdate{Kind: UpdateFull})
+	r.do(r.ask(func(q *Request) { q.ExpiresAt = r.now + 200*ms }))
 	for range 19 {
 		r.pass(10 * ms)
 	}
@@ -274,10 +276,10 @@
 	r := start(t, settings(), 1)
 	r.fix(1)
 	r.do(r.ask(nil), r.ask(func(q *Request) { q.Units = 8 }))
-	r.do(Left{ID: 2}, Left{ID: 99})
+	r.do(ClientGone{ID: 2}, ClientGone{ID: 99})
 	want(t, "sent", sends(r.done(1, 0, 0, OK, ms)))
 	r.done(1, 0, 0, OK, ms) // an outcome for an ended request
-	r.do(Left{ID: 1})       // a late one
+	r.do(ClientGone{ID: 1}) // a late one
 }
 
 func TestTimeOutAtTheDeadlineIsAnswered(t *testing.T) {
@@ -288,26 +290,31 @@
 }
 
 func TestEffects(t *testing.T) {
-	keyed := Class{Aim: time.Second, Deadline: 4 * time.Second, Repeat: Keyed, Group: GroupCell,
-		Window: 500 * ms}
+	keyed := Class{
+		LatencyObjective: time.Second,
+		Deadline:         4 * time.Second,
+		Idempotency:      IdempotentByKey,
+		DedupScope:       DedupCell,
+		DedupWindow:      500 * ms,
+	}
 	all := keyed
-	all.Group = GroupAll
-	unsafe := Class{Aim: time.Second, Deadline: 4 * time.Second, Repeat: Unsafe}
+	all.DedupScope = DedupAll
+	unsafe := Class{LatencyObjective: time.Second, Deadline: 4 * time.Second, Idempotency: NotIdempotent}
 	for _, c := range []struct {
 		name  string
 		class Class
-		code  Code
+		code  ResultCode
 		after time.Duration
 		again int
 		end   string
 	}{
 		{"safe, reset", settings().Classes[0], Reset, 100 * ms, 1, ""},
 		{"unsafe, may have run", unsafe, Reset, 100 * ms, 0, "fail 1"},
-		{"unsafe, never ran", unsafe, Full, 100 * ms, 1, ""},
+		{"unsafe, never ran", unsafe, Overloaded, 100 * ms, 1, ""},
 		{"keyed in its window", keyed, Error, 100 * ms, 1, ""},
 		{"keyed past its window", keyed, Error, 600 * ms, 0, "fail 1"},
 		{"keyed by all past its window", all, Error, 600 * ms, 0, "refuse 1"},
-		{"keyed, never ran", keyed, Full, 600 * ms, 1, ""},
+		{"keyed, never ran", keyed, Overloaded, 600 * ms, 1, ""},
 	} {
 		set := settings()
 		set.Classes[0] = c.class
@@ -326,9 +333,10 @@
 
 func TestKeyedStaysInItsGroup(t *testing.T) {
 	set := settings()
-	set.Classes[0].Repeat, set.Classes[0].Group, set.Classes[0].Window = Keyed, GroupZone, time.Minute
+	set.Classes[0].Idempotency, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentByKey,
+		DedupZone, time.Minute
 	r := start(t, set, 2)
-	q := &request{class: r.h.classes[0], attempts: 1, ranAt: &node{Entry: Entry{Zone: 1}}}
+	q := &request{class: r.h.classes[0], attempts: 1, ranAt: &node{Endpoint: Endpoint{Zone: 1}}}
 	n := r.h.nodes[server(0)]
 	r.h.now = r.now
 	q.ranFrom = r.now
@@ -344,25 +352,30 @@
 func TestDrainingAndGoneNodesGetNothing(t *testing.T) {
 	for _, st := range []Status{Draining, Gone} {
 		r := start(t, settings(), 1)
-		r.do(Members{Form: ListDelta, Entries: []Entry{entry(0, st)}})
+		r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry(0, st)}})
 		want(t, "sent", sends(r.do(r.ask(nil))))
-		r.do(Members{Form: ListDelta, Entries: []Entry{{Server: server(7), Status: Ready, Cell: 0}}})
+		r.do(
+			EndpointUpdate{
+				Kind:      UpdateDelta,
+				Endpoints: []Endpoint{{Server: server(7), Status: Ready, Cell: 0}},
+			},
+		)
 		want(t, "the node in its place serves the shard", sends(r.acts), 1)
 	}
 	r := start(t, settings(), 1)
-	r.do(Members{Form: ListFull})
+	r.do(EndpointUpdate{Kind: UpdateFull})
 	want(t, "left out of a full list", sends(r.do(r.ask(nil))))
 }
 
 func TestWatchIsOpenedAndReopened(t *testing.T) {
 	set := settings()
-	set.Ask = true
+	set.PollEndpoints = true
 	r := start(t, set, 1)
-	if !slices.Contains(r.acts, Action(Watch{On: true})) {
+	if !slices.Contains(r.acts, Action(WatchEndpoints{On: true})) {
 		t.Fatalf("no watch at the start: %v", r.acts)
 	}
-	r.do(Members{Form: ListFull})
-	acts := r.do(Members{Form: ListFailed}, Members{Form: ListFailed})
+	r.do(EndpointUpdate{Kind: UpdateFull})
+	acts := r.do(EndpointUpdate{Kind: UpdateFailed}, EndpointUpdate{Kind: UpdateFailed})
 	timers := 0
 	for _, a := range acts {
 		if s, ok := a.(SetTimer); ok && s.Token == tokenWatch {
@@ -373,12 +386,12 @@
 		t.Errorf("%d timers for a new watch, want 1", timers)
 	}
 	r.now += 2 * watchAgain
-	if acts := r.do(Timer{Token: tokenWatch}); !slices.Contains(acts, Action(Watch{On: true})) {
+	if acts := r.do(TimerFired{Token: tokenWatch}); !slices.Contains(acts, Action(WatchEndpoints{On: true})) {
 		t.Errorf("not asked again: %v", acts)
 	}
-	r.do(Members{Form: ListDelta})
+	r.do(EndpointUpdate{Kind: UpdateDelta})
 	r.now += time.Minute
-	if acts := r.do(Timer{Token: tokenWatch}); slices.Contains(acts, Action(Watch{On: true})) {
+	if acts := r.do(TimerFired{Token: tokenWatch}); slices.Contains(acts, Action(WatchEndpoints{On: true})) {
 		t.Error("asked again though the watch stands")
 	}
 }
@@ -386,10 +399,10 @@
 // The answer to a watch may get lost: silence is no watch.
 func TestWatchIsAskedForAgainAfterSilence(t *testing.T) {
 	set := settings()
-	set.Ask, set.AskWithin = true, 10*time.Second
+	set.PollEndpoints, set.PollTimeout = true, 10*time.Second
 	r := start(t, set, 1)
 	r.now += 5 * time.Second
-	if acts := r.do(Timer{Token: tokenWatch}); !slices.Contains(acts, Action(Watch{On: true})) {
+	if acts := r.do(TimerFired{Token: tokenWatch}); !slices.Contains(acts, Action(WatchEndpoints{On: true})) {
 		t.Errorf("not asked again: %v", acts)
 	}
 }
@@ -397,12 +410,12 @@
 // A restarted host does not know what it sent to a cold node before.
 func TestRestartedHostSpendsNothingOnAColdNodeAtFirst(t *testing.T) {
 	r := start(t, coldSettings(), 0)
-	r.do(Members{Form: ListCached, Entries: []Entry{{Server: server(0), Status: Ready,
-		Boot: r.now - time.Second}}})
+	r.do(EndpointUpdate{Kind: UpdateCached, Endpoints: []Endpoint{{Server: server(0), Status: Ready,
+		StartedAt: r.now - time.Second}}})
 	want(t, "not yet", sends(r.do(r.ask(nil))))
 	r.now += 500 * ms
-	want(t, "not yet", sends(r.do(Timer{Token: tokenReview})))
-	r.do(r.ask(func(q *Request) { q.Expires += 4 * time.Second }))
+	want(t, "not yet", sends(r.do(TimerFired{Token: tokenReview})))
+	r.do(r.ask(func(q *Request) { q.ExpiresAt += 4 * time.Second }))
 	r.now += 500 * ms
 	if got := len(sends(r.do(r.ask(nil)))); got == 0 {
 		t.Error("nothing after the window")
@@ -411,14 +424,20 @@
 
 func coldSettings() Settings {
 	set := settings()
-	set.Hosts, set.ColdUnits, set.ColdShare, set.Ramp, set.FallWindow = 2, 20, 0.25, 10*time.Second,
+	set.Instances, set.ColdCapacity, set.ColdFraction, set.SlowStartPeriod, set.OverloadWindow = 2, 20,
+		0.25, 10*time.Second,
 		time.Second
 	return set
 }
 
 func TestColdNodeGetsThisHostsPart(t *testing.T) {
 	r := start(t, coldSettings(), 0)
-	r.do(Members{Form: ListFull, Entries: []Entry{{Server: server(0), Status: Ready, Boot: r.now}}})
+	r.do(
+		EndpointUpdate{
+			Kind:      UpdateFull,
+			Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}},
+		},
+	)
 	r.fix(64).latency = 250 * ms
 	var evs []Event
 	for range 15 {
@@ -441,9 +460,14 @@
 // Where the part is less than a request, one may go in a window, up to the rule's multiple of the part.
 func TestColdNodeIsServedByManyHosts(t *testing.T) {
 	set := coldSettings()
-	set.Hosts, set.FallMultiple = 40, 2
+	set.Instances, set.OverloadFactor = 40, 2
 	r := start(t, set, 0)
-	r.do(Members{Form: ListFull, Entries: []Entry{{Server: server(0), Status: Ready, Boot: r.now}}})
+	r.do(
+		EndpointUpdate{
+			Kind:      UpdateFull,
+			Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}},
+		},
+	)
 	r.fix(64).latency = 250 * ms
 	units := func(u float64) Event { return r.ask(func(q *Request) { q.Units, q.Volume = u, uint64(u) }) }
 	want(t, "part of half a unit, in its turn: 2 units, not 3", sends(r.do(units(3), units(2), units(1))), 2)
@@ -452,10 +476,15 @@
 // What a cold node serves counts less, what it does not answer counts in full.
 func TestColdNodeThatKeepsUpGetsMore(t *testing.T) {
 	set := coldSettings()
-	set.FallMultiple = 2
-	for code, more := range map[Code]int{OK: 5, Full: 0} {
+	set.OverloadFactor = 2
+	for code, more := range map[ResultCode]int{OK: 5, Overloaded: 0} {
 		r := start(t, set, 0)
-		r.do(Members{Form: ListFull, Entries: []Entry{{Server: server(0), Status: Ready, Boot: r.now}}})
+		r.do(
+			EndpointUpdate{
+				Kind:      UpdateFull,
+				Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}},
+			},
+		)
 		n := r.fix(64)
 		n.latency = 250 * ms
 		var evs []Event
@@ -464,7 +493,10 @@
 		}
 		ids := sends(r.do(evs...))
 		for _, id := range ids {
-			r.h.Handle(r.now, Outcome{ID: id, Server: server(0), Code: code, Took: ms, Ended: code == OK})
+			r.h.Handle(
+				r.now,
+				AttemptResult{ID: id, Server: server(0), Code: code, Latency: ms, RequestDone: code == OK},
+			)
 		}
 		n.fails = 0
 		if got := len(sends(r.do())); len(ids) != 10 || got != more {
@@ -481,7 +513,7 @@
 
 func TestLimitIsSharedEvenlyAndStartsEmpty(t *testing.T) {
 	r := start(t, limitSettings(), 1)
-	q := func() Event { return r.ask(func(q *Request) { q.Writers, q.Units = 2, 4 }) }
+	q := func() Event { return r.ask(func(q *Request) { q.VolumeInstances, q.Units = 2, 4 }) }
 	want(t, "nothing at the start: it may have been spent before", sends(r.do(q())))
 	want(t, "10 a second for 2 hosts fill 4 units in 0.8 s", sends(r.pass(790*ms)))
 	want(t, "then it leaves", sends(r.pass(10*ms)), 1)
@@ -508,21 +540,21 @@
 
 func TestOrderByKey(t *testing.T) {
 	set := settings()
-	set.Classes[0].InOrder, set.OrderPause = true, 100*ms
+	set.Classes[0].OrderedByKey, set.OrderingPause = true, 100*ms
 	r := start(t, set, 1)
 	key := func(q *Request) { q.Key = 5 }
 	want(t, "one at a time", sends(r.do(r.ask(key), r.ask(key), r.ask(key), r.ask(nil))), 1, 4)
 	want(t, "the next after its end", sends(r.done(1, 0, 0, OK, ms)), 2)
-	r.do(Left{ID: 2})
+	r.do(ClientGone{ID: 2})
 	want(t, "not while an attempt has no outcome", sends(r.pass(10*ms)))
-	r.do(Outcome{ID: 2, Server: server(0), Code: TimedOut, Took: 20 * ms, Ended: true})
+	r.do(AttemptResult{ID: 2, Server: server(0), Code: TimedOut, Latency: 20 * ms, RequestDone: true})
 	want(t, "the key rests", sends(r.pass(95*ms)))
 	want(t, "then goes on", sends(r.pass(5*ms)), 3)
 }
 
 func TestKeysAreForgottenAfterTheirRest(t *testing.T) {
 	set := settings()
-	set.Classes[0].InOrder, set.OrderPause = true, 100*ms
+	set.Classes[0].OrderedByKey, set.OrderingPause = true, 100*ms
 	r := start(t, set, 1)
 	for key := range uint64(50) {
 		r.do(r.ask(func(q *Request) { q.Key, q.Volume = key+1, key }))
@@ -531,7 +563,7 @@
 		if key%2 == 0 {
 			code = TimedOut
 		}
-		r.do(Outcome{ID: r.id, Server: server(0), Code: code, Took: 10 * ms, Ended: true})
+		r.do(AttemptResult{ID: r.id, Server: server(0), Code: code, Latency: 10 * ms, RequestDone: true})
 	}
 	if got := len(r.h.keys); got > 12 {
 		t.Errorf("%d keys are remembered, want those of the last 100 ms", got)
@@ -540,7 +572,8 @@
 
 func TestBudgetOfFurtherAttempts(t *testing.T) {
 	set := settings()
-	set.Budget, set.BudgetFloor, set.BudgetRatio, set.BudgetWindow = true, 1, 0.5, time.Second
+	set.RetryBudget, set.RetryBudgetFloor, set.RetryBudgetRatio, set.RetryBudgetWindow = true, 1, 0.5,
+		time.Second
 	r := start(t, set, 1)
 	r.do(r.ask(nil), r.ask(nil), r.ask(nil), r.ask(nil))
 	for id := uint32(1); id <= 4; id++ {
@@ -591,7 +624,12 @@
 func TestNoSlotsForWhatTheClientWillNotWaitFor(t *testing.T) {
 	r := start(t, settings(), 1)
 	r.fix(8).latency = 100 * ms
-	want(t, "refused at once", ends(r.do(r.ask(func(q *Request) { q.Expires = r.now + 50*ms }))), "refuse 1")
+	want(
+		t,
+		"refused at once",
+		ends(r.do(r.ask(func(q *Request) { q.ExpiresAt = r.now + 50*ms }))),
+		"refuse 1",
+	)
 }
 
 func TestNewObjectGoesWhereTheLeastWorkIs(t *testing.T) {
@@ -614,8 +652,8 @@
 		"nothing":  {},
 		"no plans": {Classes: settings().Classes, MaxAttempts: 1},
 		"zero plan": {Classes: settings().Classes, MaxAttempts: 1, Plans: []Plan{{Reserve: 1, Limit: 1}},
-			Ramp: time.Second},
-		"class without times": {Classes: []Class{{InOrder: true}}, Plans: []Plan{{}}, MaxAttempts: 1},
+			SlowStartPeriod: time.Second},
+		"class without times": {Classes: []Class{{OrderedByKey: true}}, Plans: []Plan{{}}, MaxAttempts: 1},
 	} {
 		r := start(t, set, 1)
 		var evs []Event
@@ -623,14 +661,22 @@
 			for _, units := range []float64{0, 1, 1000} {
 				for _, left := range []time.Duration{-1, 0, ms, time.Second} {
 					evs = append(evs, r.ask(func(q *Request) {
-						q.Cell, q.Units, q.Expires, q.Key, q.Writers, q.Plan = cell, units, r.now+left, 1,
+						q.Cell, q.Units, q.ExpiresAt, q.Key, q.VolumeInstances, q.Plan = cell, units,
+							r.now+left, 1,
 							0, cell+1
 					}))
 				}
 			}
 		}
 		r.do(evs...)
-		r.do(Members{Form: ListFull}, Outcome{ID: 77}, Probed{}, Peer{}, First{}, Timer{Token: 9})
+		r.do(
+			EndpointUpdate{Kind: UpdateFull},
+			AttemptResult{ID: 77},
+			HealthCheckResult{},
+			PeerMessage{},
+			ResponseStarted{},
+			TimerFired{Token: 9},
+		)
 		for range 300 {
 			r.pass(10 * ms)
 		}
@@ -668,7 +714,10 @@
 // An attempt is given up once its answer would earn little, but only where that leaves nothing unsure.
 func TestAttemptsAreGivenUpAtTheAim(t *testing.T) {
 	set := settings()
-	set.Classes = append(set.Classes, Class{Aim: time.Second, Deadline: 4 * time.Second, Repeat: Unsafe})
+	set.Classes = append(
+		set.Classes,
+		Class{LatencyObjective: time.Second, Deadline: 4 * time.Second, Idempotency: NotIdempotent},
+	)
 	r := start(t, set, 1)
 	for _, c := range []struct {
 		what   string
@@ -676,13 +725,13 @@
 		want   time.Duration
 	}{
 		{"safe, in time", nil, time.Second},
-		{"a retry that is late already", func(q *Request) { q.Expires -= 2 * time.Second }, 0},
+		{"a retry that is late already", func(q *Request) { q.ExpiresAt -= 2 * time.Second }, 0},
 		{"unsafe", func(q *Request) { q.Class = 1 }, 0},
 		{"a new object", func(q *Request) { q.Cell = NewObject }, time.Second},
 	} {
 		for _, a := range r.do(r.ask(c.change)) {
-			if s, ok := a.(Send); ok && s.Allow != c.want {
-				t.Errorf("%s: may take %v, want %v", c.what, s.Allow, c.want)
+			if s, ok := a.(Send); ok && s.Timeout != c.want {
+				t.Errorf("%s: may take %v, want %v", c.what, s.Timeout, c.want)
 			}
 		}
 	}
@@ -706,7 +755,7 @@
 	r := start(t, settings(), 2)
 	r.do(r.ask(func(q *Request) { q.Cell = NewObject }))
 	first := r.h.reqs[1].node
-	acts := r.done(1, 0, int(first.Cell), Full, 3*ms)
+	acts := r.done(1, 0, int(first.Cell), Overloaded, 3*ms)
 	for _, a := range acts {
 		if s, ok := a.(Send); ok && s.Server == first.Server {
 			t.Error("sent again to the node that turned it away")
@@ -719,7 +768,7 @@
 // time.
 func TestSlotsFallWithLatency(t *testing.T) {
 	set := settings()
-	set.Hosts = 256
+	set.Instances = 256
 	r := start(t, set, 1)
 	n, s := r.fix(8), r.h.shards[0]
 	s.vt = 1
@@ -760,12 +809,12 @@
 
 func TestManyHostsPaceTheirSends(t *testing.T) {
 	set := settings()
-	set.Hosts = 512
+	set.Instances = 512
 	r := start(t, set, 1)
 	n := r.fix(r.h.leastDepth())
 	n.latency = 200 * ms
 	want(t, "least depth is a quarter of a slot", []float64{n.depth}, 0.25)
-	set.Hosts = 2
+	set.Instances = 2
 	want(t, "and one slot where hosts are few", []float64{New(1, set).leastDepth()}, 1)
 	r.h.shards[0].vt = 1
 	r.do(r.ask(nil), r.ask(nil))
@@ -778,7 +827,7 @@
 // while they wait, unless their size says that they cannot be back in time.
 func TestShortPatienceIsServedBySize(t *testing.T) {
 	set := settings()
-	set.Classes[0].Aim = 200 * ms
+	set.Classes[0].LatencyObjective = 200 * ms
 	r := start(t, set, 2)
 	r.do(r.ask(nil)) // a first try shows the usual wait
 	n := r.h.nodes[server(1)]
@@ -788,7 +837,7 @@
 		r.h.classes[0].fit.add(size, 0.010*size)
 		r.h.usual.add(size, 0.010*size)
 	}
-	short := func(q *Request) { q.Cell, q.Expires = 1, r.now+50*ms }
+	short := func(q *Request) { q.Cell, q.ExpiresAt = 1, r.now+50*ms }
 	a := r.ask(short)
 	want(t, "a small one leaves", sends(r.do(a)), a.ID)
 	b := r.ask(func(q *Request) { short(q); q.Units = 8 })
@@ -799,7 +848,7 @@
 func TestRetryPastItsAimIsRefusedAtOnce(t *testing.T) {
 	r := start(t, settings(), 1)
 	r.do(r.ask(nil))
-	late := r.ask(func(q *Request) { q.Expires = r.now + 2*time.Second })
+	late := r.ask(func(q *Request) { q.ExpiresAt = r.now + 2*time.Second })
 	want(t, "late retry", ends(r.do(late)), fmt.Sprint("refuse ", late.ID))
 }
 
@@ -822,17 +871,22 @@
 func TestAllHostsTogetherStayWithinTheColdFigure(t *testing.T) {
 	for _, hosts := range []int{2, 10, 19, 30, 57, 170, 230, 300} {
 		set := coldSettings()
-		set.Hosts, set.FallMultiple = hosts, 2.5
+		set.Instances, set.OverloadFactor = hosts, 2.5
 		var sent []mark
 		var all []*rig
 		for me := range hosts {
-			set.Me = me
+			set.InstanceIndex = me
 			r := start(t, set, 0)
-			r.do(Members{Form: ListFull, Entries: []Entry{{Server: server(0), Status: Ready, Boot: r.now}}})
+			r.do(
+				EndpointUpdate{
+					Kind:      UpdateFull,
+					Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}},
+				},
+			)
 			all = append(all, r)
 		}
 		boot := all[0].now
-		for now := boot; now < boot+set.Ramp; now += 50 * ms {
+		for now := boot; now < boot+set.SlowStartPeriod; now += 50 * ms {
 			for i, r := range all {
 				n := r.h.nodes[server(0)]
 				r.h.now = now
@@ -846,12 +900,12 @@
 		for i, first := range sent {
 			sum := 0.0
 			for _, m := range sent[i:] {
-				if m.at > first.at+set.FallWindow {
+				if m.at > first.at+set.OverloadWindow {
 					break
 				}
 				sum += m.units
 			}
-			most := set.ColdUnits * (1 + 3*(first.at-boot).Seconds()/set.Ramp.Seconds())
+			most := set.ColdCapacity * (1 + 3*(first.at-boot).Seconds()/set.SlowStartPeriod.Seconds())
 			if sum > most+1e-9 {
 				t.Fatalf("%d hosts: %v units from %v on, %v at most", hosts, sum, first.at-boot, most)
 			}
@@ -882,7 +936,7 @@
 				r.h.born, r.h.now = now, now
 			}
 			r.h.now = now
-			v := r.h.volumeOf(Request{Volume: 1, Writers: hosts})
+			v := r.h.volumeOf(Request{Volume: 1, VolumeInstances: hosts})
 			for u := float64(1 + i); r.h.limitLeft(v) >= u; {
 				v.limit.level -= u
 				level -= u
@@ -901,19 +955,19 @@
 // A host that had no turn for a while finds answers that seem to have taken as long: they say nothing of the
 // nodes, which must not be taken for slow, hung or failing.
 func TestOwnStallSaysNothingOfTheNodes(t *testing.T) {
-	for _, code := range []Code{OK, TimedOut} {
+	for _, code := range []ResultCode{OK, TimedOut} {
 		r := start(t, settings(), 1)
 		n := r.h.nodes[server(0)]
 		before := n.latency
 		r.do(r.ask(nil))
 		r.now += 900 * ms
-		r.do(Outcome{ID: 1, Server: server(0), Code: code, Took: 900 * ms, Ended: code == OK},
-			Timer{Token: tokenReview})
+		r.do(AttemptResult{ID: 1, Server: server(0), Code: code, Latency: 900 * ms, RequestDone: code == OK},
+			TimerFired{Token: tokenReview})
 		if n.latency != before || n.fails != 0 {
 			t.Errorf("code %d: latency %v, was %v; fails %d", code, n.latency, before, n.fails)
 		}
 		r.now += 10 * ms
-		r.do(Timer{Token: tokenReview})
+		r.do(TimerFired{Token: tokenReview})
 		if r.h.stalled {
 			t.Error("still held to have stalled")
 		}
@@ -923,14 +977,14 @@
 // Odd input at full size: writers beyond the fleet, no shard for the data, an idle hour, a very long batch.
 func TestOddTrafficAtFullSize(t *testing.T) {
 	set := settings()
-	set.Hosts, set.Me = 220, 219
+	set.Instances, set.InstanceIndex = 220, 219
 	set.Plans[0].Limit, set.Plans[0].Burst = 10, 30
 	r := start(t, set, 3)
 	var evs []Event
 	for i := range 5000 {
 		evs = append(evs, r.ask(func(q *Request) {
-			q.Cell, q.Writers, q.Volume, q.Units = i%9-1, (i%3)*500, uint64(i%50), float64(i%9)
-			q.Expires = r.now + time.Duration(i%5)*ms
+			q.Cell, q.VolumeInstances, q.Volume, q.Units = i%9-1, (i%3)*500, uint64(i%50), float64(i%9)
+			q.ExpiresAt = r.now + time.Duration(i%5)*ms
 		}))
 	}
 	r.do(evs...)
@@ -948,7 +1002,7 @@
 // at leisure. One that never stood is asked for at leisure, as its service is down or has much to do.
 func TestWatchThatBrokeIsReopenedSooner(t *testing.T) {
 	set := settings()
-	set.Ask, set.AskWithin = true, 10*time.Second
+	set.PollEndpoints, set.PollTimeout = true, 10*time.Second
 	r := start(t, set, 1)
 	after := func(acts []Action) time.Duration {
 		for _, a := range acts {
@@ -962,16 +1016,16 @@
 	for _, stood := range []bool{false, true, true} {
 		parts := []time.Duration{1, 1}
 		if stood {
-			r.do(Members{Form: ListDelta})
+			r.do(EndpointUpdate{Kind: UpdateDelta})
 			parts = []time.Duration{8, 4, 2, 1, 1}
 		}
 		for n, part := range parts {
-			d := after(r.do(Members{Form: ListFailed}))
+			d := after(r.do(EndpointUpdate{Kind: UpdateFailed}))
 			if d < watchAgain/part || d > 2*watchAgain/part {
 				t.Errorf("stood %v, failure %d: asked for after %v", stood, n, d)
 			}
 			r.now += 2 * watchAgain
-			r.do(Timer{Token: tokenWatch})
+			r.do(TimerFired{Token: tokenWatch})
 		}
 	}
 }
@@ -986,14 +1040,15 @@
 		for seed := range uint64(4) {
 			rng := rand.New(rand.NewPCG(seed, uint64(hosts)))
 			set := coldSettings()
-			set.Hosts, set.FallMultiple, set.FallWindow, set.ConnectTimeout = hosts, 2.5, window, connect
-			set.ColdUnits, set.MeanUnits, set.MostUnits = 62, 2, 6
+			set.Instances, set.OverloadFactor, set.OverloadWindow, set.ConnectTimeout = hosts, 2.5, window,
+				connect
+			set.ColdCapacity, set.MeanUnits, set.MaxUnits = 62, 2, 6
 			var all []*rig
 			for me := range hosts {
-				set.Me = me
+				set.InstanceIndex = me
 				r := start(t, set, 0)
-				r.do(Members{Form: ListFull,
-					Entries: []Entry{{Server: server(0), Status: Ready, Boot: r.now}}})
+				r.do(EndpointUpdate{Kind: UpdateFull,
+					Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}}})
 				all = append(all, r)
 			}
 			boot, busy := all[0].now, make([]float64, hosts)
@@ -1001,7 +1056,7 @@
 				busy[i] = min(1, 0.02/(0.02+rng.Float64()))
 			}
 			var sent []mark
-			for now := boot; now < boot+set.Ramp; now += 20 * ms {
+			for now := boot; now < boot+set.SlowStartPeriod; now += 20 * ms {
 				for i, r := range all {
 					n, units := r.h.nodes[server(0)], float64(1+rng.IntN(3))
 					r.h.now = now
@@ -1022,7 +1077,8 @@
 					}
 					sum += m.units / set.MeanUnits
 				}
-				n := set.ColdUnits / set.MeanUnits * (1 + 3*(first.at-boot).Seconds()/set.Ramp.Seconds())
+				n := set.ColdCapacity / set.MeanUnits * (1 +
+					3*(first.at-boot).Seconds()/set.SlowStartPeriod.Seconds())
 				if most := n + 2*math.Sqrt(n) + 2; sum > most {
 					t.Fatalf("%d hosts, seed %d: %.1f requests of mean work from %v on, %.1f at most", hosts,
 						seed, sum, first.at-boot, most)
@@ -1041,7 +1097,8 @@
 	for _, keyed := range []bool{true, false} {
 		set := settings()
 		if keyed {
-			set.Classes[0].Repeat, set.Classes[0].Group, set.Classes[0].Window = Keyed, GroupCell, 700*ms
+			set.Classes[0].Idempotency, set.Classes[0].DedupScope,
+				set.Classes[0].DedupWindow = IdempotentByKey, DedupCell, 700*ms
 		}
 		r := start(t, set, 1)
 		q := r.ask(nil)
@@ -1050,7 +1107,7 @@
 			var before time.Duration
 			for _, a := range r.do(evs...) {
 				if s, ok := a.(Send); ok {
-					before = s.Before
+					before = s.StartBefore
 				}
 			}
 			if !keyed {
@@ -1059,7 +1116,10 @@
 			if before != want {
 				t.Errorf("keyed %v, attempt %d: before %v, want %v", keyed, n, before, want)
 			}
-			r.h.Handle(r.now, Outcome{ID: q.ID, Attempt: n, Server: server(0), Code: Reset, Took: ms})
+			r.h.Handle(
+				r.now,
+				AttemptResult{ID: q.ID, Attempt: n, Server: server(0), Code: Reset, Latency: ms},
+			)
 			evs = nil
 			r.now += 20 * ms
 		}
@@ -1070,18 +1130,18 @@
 // nothing came, is asked for again well within the drain's grace, again and again.
 func TestPushedWatchIsBackWithinTheGrace(t *testing.T) {
 	set := settings()
-	set.Ask, set.DrainGrace, set.PushGrace = true, 700*ms, 700*ms
+	set.PollEndpoints, set.DrainGrace, set.PushGrace = true, 700*ms, 700*ms
 	r := start(t, set, 1)
 	for n := range 5 {
 		var after time.Duration
-		for _, a := range r.do(Members{Form: ListFailed}) {
+		for _, a := range r.do(EndpointUpdate{Kind: UpdateFailed}) {
 			if s, ok := a.(SetTimer); ok && s.Token == tokenWatch {
 				after = s.After
 			}
 		}
 		r.now += max(after, set.PushGrace/2)
-		watched := slices.ContainsFunc(r.do(Timer{Token: tokenWatch}), func(a Action) bool {
-			w, ok := a.(Watch)
+		watched := slices.ContainsFunc(r.do(TimerFired{Token: tokenWatch}), func(a Action) bool {
+			w, ok := a.(WatchEndpoints)
 			return ok && w.On
 		})
 		if after > set.PushGrace/2 || !watched {
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -24,7 +24,7 @@
 type chaos struct {
 	t      *testing.T
 	rng    *rand.Rand
-	h      *Host
+	h      *Scheduler
 	set    Settings
 	now    time.Duration
 	timers []chaosTimer
@@ -66,29 +66,37 @@
 // newChaosWith is newChaos under changed settings.
 func newChaosWith(t *testing.T, seed uint64, shape uint8, change func(*Settings)) *chaos {
 	set := scaleSettings()
-	set.Hosts = 1 + int(shape>>4)
-	set.Ask = shape&1 != 0
-	set.Budget = shape&2 != 0
-	set.OrderPause = 20 * ms
+	set.Instances = 1 + int(shape>>4)
+	set.PollEndpoints = shape&1 != 0
+	set.RetryBudget = shape&2 != 0
+	set.OrderingPause = 20 * ms
 	set.Classes = []Class{
-		{Aim: 200 * ms, Deadline: 800 * ms, Worth: 1},
-		{Aim: 200 * ms, Deadline: 800 * ms, Repeat: Keyed, Group: Group(shape >> 2 & 1), Window: 400 * ms,
-			InOrder: true, Writes: true, Worth: 1},
-		{Aim: 200 * ms, Deadline: 800 * ms, Repeat: Unsafe, Worth: 1}}
+		{LatencyObjective: 200 * ms, Deadline: 800 * ms, PriorityWeight: 1},
+		{
+			LatencyObjective: 200 * ms,
+			Deadline:         800 * ms,
+			Idempotency:      IdempotentByKey,
+			DedupScope:       DedupScope(shape >> 2 & 1),
+			DedupWindow:      400 * ms,
+			OrderedByKey:     true,
+			Writes:           true,
+			PriorityWeight:   1,
+		},
+		{LatencyObjective: 200 * ms, Deadline: 800 * ms, Idempotency: NotIdempotent, PriorityWeight: 1}}
 	set.Plans = []Plan{{Rate: 10, Weight: 1}, {Rate: 10, Weight: 2, Reserve: 5, Limit: 50, Burst: 50}}
 	change(&set)
 	c := &chaos{t: t, rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Hour, h: New(seed, set),
 		reqs: map[uint32]*chaosRequest{}, status: map[Server]Status{}}
 	if shape&8 != 0 {
-		c.h.Accompany(c)
+		c.h.SetBatcher(c)
 	}
-	c.handle(Members{Form: ListCached, Entries: c.entries(6)})
+	c.handle(EndpointUpdate{Kind: UpdateCached, Endpoints: c.entries(6)})
 	c.decide()
 	return c
 }
 
 // Beside offers whatever was asked lately, known or not, held or out.
-func (c *chaos) Beside(id uint32, join func(uint32, float64) bool) {
+func (c *chaos) Propose(id uint32, join func(uint32, float64) bool) {
 	units := c.reqs[id].Units
 	for range c.rng.IntN(12) {
 		other := c.nextID - c.rng.Uint32N(min(c.nextID, 40))
@@ -99,11 +107,16 @@
 	}
 }
 
-func (c *chaos) entries(n int) (out []Entry) {
+func (c *chaos) entries(n int) (out []Endpoint) {
 	for i := range n {
-		e := Entry{Server: server(i), Cell: uint16(i % 4), Zone: uint8(i % 2), Status: Status(c.rng.IntN(3))}
+		e := Endpoint{
+			Server: server(i),
+			Cell:   uint16(i % 4),
+			Zone:   uint8(i % 2),
+			Status: Status(c.rng.IntN(3)),
+		}
 		if c.rng.IntN(3) == 0 {
-			e.Boot = c.now - time.Duration(c.rng.Int64N(int64(20*time.Second)))
+			e.StartedAt = c.now - time.Duration(c.rng.Int64N(int64(20*time.Second)))
 		}
 		out = append(out, e)
 	}
@@ -111,11 +124,11 @@
 }
 
 func (c *chaos) handle(ev Event) {
-	if m, ok := ev.(Members); ok && m.Form != ListFailed {
-		if m.Form != ListDelta {
+	if m, ok := ev.(EndpointUpdate); ok && m.Kind != UpdateFailed {
+		if m.Kind != UpdateDelta {
 			clear(c.status)
 		}
-		for _, e := range m.Entries {
+		for _, e := range m.Endpoints {
 			c.status[e.Server] = e.Status
 		}
 	}
@@ -157,24 +170,26 @@
 	case x < 16:
 		c.nextID++
 		r := &chaosRequest{Request: Request{ID: c.nextID, Class: c.rng.IntN(3), Cell: c.rng.IntN(6) - 1,
-			Plan: c.rng.IntN(2), Volume: uint64(c.rng.IntN(9)), Units: float64(1 + c.rng.IntN(8)), Writers: 1,
-			Expires: c.now + time.Duration(c.rng.Int64N(int64(800*ms)))}}
+			Plan: c.rng.IntN(
+				2,
+			), Volume: uint64(c.rng.IntN(9)), Units: float64(1 + c.rng.IntN(8)), VolumeInstances: 1,
+			ExpiresAt: c.now + time.Duration(c.rng.Int64N(int64(800*ms)))}}
 		if r.Class == 1 {
 			r.Key = uint64(1 + c.rng.IntN(3))
 		}
 		c.reqs[r.ID] = r
 		c.handle(r.Request)
 	case x == 16:
-		c.handle(Members{Form: ListDelta, Entries: c.entries(6)[c.rng.IntN(6):]})
+		c.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: c.entries(6)[c.rng.IntN(6):]})
 	case x == 17 && c.rng.IntN(4) == 0:
-		c.handle(Members{Form: ListFull, Entries: c.entries(1 + c.rng.IntN(6))})
+		c.handle(EndpointUpdate{Kind: UpdateFull, Endpoints: c.entries(1 + c.rng.IntN(6))})
 	case x == 18:
-		c.handle(Members{Form: ListFailed})
+		c.handle(EndpointUpdate{Kind: UpdateFailed})
 	case x == 19 && c.nextID > 0:
 		id := 1 + c.rng.Uint32N(c.nextID)
 		if r := c.reqs[id]; !r.answered {
 			r.answered, r.left = true, c.now
-			c.handle(Left{ID: id})
+			c.handle(ClientGone{ID: id})
 		}
 	}
 }
@@ -188,27 +203,27 @@
 			c.timers = append(c.timers, x)
 			continue
 		}
-		c.handle(Timer{Token: x.token})
+		c.handle(TimerFired{Token: x.token})
 	}
 	sends := c.out
 	c.out = nil
 	for _, s := range sends {
 		r := c.reqs[s.ID]
-		code := []Code{OK, OK, OK, OK, Error, Full, ConnectFailed, Reset, TimedOut}[c.rng.IntN(9)]
-		if r.Expires <= c.now {
+		code := []ResultCode{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, TimedOut}[c.rng.IntN(9)]
+		if r.ExpiresAt <= c.now {
 			code = TimedOut
 		} else if s.end > c.now {
 			c.out = append(c.out, s)
 			continue
 		}
-		if code != Full && code != ConnectFailed {
+		if code != Overloaded && code != ConnectFailed {
 			r.mayRun = true
 		}
 		r.answered = r.answered || code == OK
-		out := Outcome{ID: s.ID, Attempt: s.attempt, Server: s.Server, Code: code, Took: 10 * ms,
-			Ended: r.answered}
+		out := AttemptResult{ID: s.ID, Attempt: s.attempt, Server: s.Server, Code: code, Latency: 10 * ms,
+			RequestDone: r.answered}
 		if c.extra != nil {
-			out.Elsewhere = float64(c.extra.IntN(3))
+			out.ElsewhereUnits = float64(c.extra.IntN(3))
 		}
 		c.handle(out)
 	}
@@ -222,9 +237,9 @@
 		switch x := a.(type) {
 		case Send:
 			c.send(x)
-		case Refuse:
+		case Reject:
 			r := c.final(x.ID)
-			untold := r.Class == 2 || r.Class == 1 && c.set.Classes[1].Group != GroupAll
+			untold := r.Class == 2 || r.Class == 1 && c.set.Classes[1].DedupScope != DedupAll
 			if r.mayRun && untold {
 				c.t.Fatalf("request %d refused while it may have run", x.ID)
 			}
@@ -235,7 +250,7 @@
 		}
 	}
 	for id, r := range c.reqs {
-		if !r.answered && c.now > r.Expires+400*ms {
+		if !r.answered && c.now > r.ExpiresAt+400*ms {
 			c.t.Fatalf("request %d is overdue", id)
 		}
 	}
@@ -262,15 +277,15 @@
 	case c.status[s.Server] != Ready:
 		c.t.Fatalf("request %d sent to a node that is not ready", s.ID)
 	}
-	if s.With == 0 {
+	if s.Leader == 0 {
 		c.lead = s
-	} else if s.With != c.lead.ID || s.Server != c.lead.Server || r.sends > 0 ||
-		r.Class != c.reqs[s.With].Class {
-		c.t.Fatalf("request %d sent as a member with %d: %+v after %+v", s.ID, s.With, s, c.lead)
+	} else if s.Leader != c.lead.ID || s.Server != c.lead.Server || r.sends > 0 ||
+		r.Class != c.reqs[s.Leader].Class {
+		c.t.Fatalf("request %d sent as a member with %d: %+v after %+v", s.ID, s.Leader, s, c.lead)
 	}
 	end := time.Duration(c.rng.Int64N(int64(150 * ms)))
-	if s.Allow > 0 {
-		end = min(end, s.Allow)
+	if s.Timeout > 0 {
+		end = min(end, s.Timeout)
 	}
 	c.out = append(c.out, chaosSend{s, r.sends, c.now + end})
 	r.sends++
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -68,20 +68,23 @@
 // node, all classes, plans and parts of the reserve get the same slots.
 func TestSlotsFallEarlierForWhatEarnsLess(t *testing.T) {
 	set := settings()
-	set.Hosts, set.ShareWorth = 256, 0.3
-	set.Classes[0].Worth = 3
-	set.Classes = append(set.Classes, Class{Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1})
-	set.Plans[0].Worth = 1.5
+	set.Instances, set.ShareWeight = 256, 0.3
+	set.Classes[0].PriorityWeight = 3
+	set.Classes = append(
+		set.Classes,
+		Class{LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
+	)
+	set.Plans[0].PriorityWeight = 1.5
 	r := start(t, set, 1)
 	n, s := r.fix(8), r.h.shards[0]
 	r.h.calm, s.vt = 200*ms, 1
 	dear := func() *request {
 		return &request{Request: Request{Units: 2}, class: r.h.classes[0], covered: 2, start: 2,
-			vol: &volume{plan: Plan{Worth: 1.5}}}
+			vol: &volume{plan: Plan{PriorityWeight: 1.5}}}
 	}
 	others := map[string]func(*request){
 		"class":   func(q *request) { q.class = r.h.classes[1] },
-		"plan":    func(q *request) { q.vol.plan.Worth = 0.9 },
+		"plan":    func(q *request) { q.vol.plan.PriorityWeight = 0.9 },
 		"reserve": func(q *request) { q.covered = 0 },
 	}
 	for name, cheaper := range others {
@@ -101,7 +104,7 @@
 // Settings that tell no worths leave all requests alike.
 func TestWorthsNotToldCountAlike(t *testing.T) {
 	set := settings()
-	set.Classes[0].Worth, set.Plans[0].Worth, set.ShareWorth = 0, 0, 0
+	set.Classes[0].PriorityWeight, set.Plans[0].PriorityWeight, set.ShareWeight = 0, 0, 0
 	r := start(t, set, 1)
 	q := &request{Request: Request{Units: 2}, class: r.h.classes[0], vol: &volume{}}
 	if got := r.h.earns(q); got != 1 {
@@ -113,7 +116,7 @@
 // back until then.
 func TestOneSlowAnswerIsForgottenForThePace(t *testing.T) {
 	set := settings()
-	set.Hosts = 256
+	set.Instances = 256
 	r := start(t, set, 1)
 	n, s := r.fix(8), r.h.shards[0]
 	for range int(2 * fitFrom) {
@@ -136,7 +139,7 @@
 		q := r.ask(nil)
 		r.do(q)
 		r.done(q.ID, 0, 0, Error, ms)
-		r.do(Left{ID: q.ID})
+		r.do(ClientGone{ID: q.ID})
 		if a := len(r.h.reqs); a > 0 { // its further attempt
 			r.done(q.ID, 1, 0, Error, ms)
 		}
@@ -157,9 +160,10 @@
 // batch, without a refusal, a further attempt or advice.
 func TestUnsafeWritesThatMayHaveRunFailAtOnce(t *testing.T) {
 	set := settings()
-	set.RetryAfter, set.Budget, set.BudgetFloor, set.BudgetWindow = false, true, 3, 5*time.Second
-	set.Classes[0].Repeat, set.Classes[0].Writes = Unsafe, true
-	for _, code := range []Code{Error, TimedOut, Reset, Cancelled} {
+	set.RetryAfter, set.RetryBudget, set.RetryBudgetFloor, set.RetryBudgetWindow = false, true, 3,
+		5*time.Second
+	set.Classes[0].Idempotency, set.Classes[0].Writes = NotIdempotent, true
+	for _, code := range []ResultCode{Error, TimedOut, Reset, Cancelled} {
 		r := start(t, set, 2)
 		r.do(r.ask(func(q *Request) { q.Cell = NewObject }))
 		n := r.h.reqs[1].node
@@ -167,7 +171,7 @@
 		want(t, fmt.Sprint("answer after ", code), ends(acts), "fail 1")
 		want(t, "further attempts", sends(acts))
 	}
-	for _, code := range []Code{Full, ConnectFailed} {
+	for _, code := range []ResultCode{Overloaded, ConnectFailed} {
 		r := start(t, set, 1)
 		r.do(r.ask(nil))
 		r.h.nodes[server(0)].latency = 3 * time.Second // so long a wait would be the advice
@@ -177,8 +181,8 @@
 			t.Errorf("after %v: answers %v", code, ends(r.acts))
 		}
 		for _, a := range r.acts {
-			if f, ok := a.(Refuse); ok && f.Backoff != 0 {
-				t.Errorf("after %v: advice of %v where none may be given", code, f.Backoff)
+			if f, ok := a.(Reject); ok && f.RetryAfter != 0 {
+				t.Errorf("after %v: advice of %v where none may be given", code, f.RetryAfter)
 			}
 			if _, ok := a.(Fail); ok {
 				t.Errorf("after %v: a failure, though nothing ran", code)
@@ -190,7 +194,8 @@
 // The budget binds at any moment, counted from the host's own start.
 func TestBudgetBindsAtAnyMomentAndAfterAStart(t *testing.T) {
 	set := settings()
-	set.Budget, set.BudgetFloor, set.BudgetRatio, set.BudgetWindow = true, 3, 0.15, 5*time.Second
+	set.RetryBudget, set.RetryBudgetFloor, set.RetryBudgetRatio, set.RetryBudgetWindow = true, 3, 0.15,
+		5*time.Second
 	for range 2 { // a restart knows nothing of what was spent before
 		r := start(t, set, 1)
 		var taken, extra []time.Duration
@@ -233,8 +238,13 @@
 	seen := map[int]int{}
 	for seed := range uint64(40) {
 		r := &rig{t: t, h: New(seed, settings()), now: time.Hour}
-		r.do(Members{Form: ListCached, Entries: []Entry{entry(0, Ready), entry(1, Ready), entry(2, Ready),
-			entry(3, Ready)}})
+		r.do(
+			EndpointUpdate{
+				Kind: UpdateCached,
+				Endpoints: []Endpoint{entry(0, Ready), entry(1, Ready), entry(2, Ready),
+					entry(3, Ready)},
+			},
+		)
 		seen[r.h.place(&request{Request: Request{Units: 1}, class: r.h.classes[0]}).cell]++
 	}
 	for cell := range 4 {
@@ -249,7 +259,7 @@
 // their volume has had; a read of a volume that is not ahead does not wait for it.
 func TestNewObjectsKeepThePaceOfASlowNode(t *testing.T) {
 	set := settings()
-	set.Hosts = 256
+	set.Instances = 256
 	r := start(t, set, 1)
 	n := r.h.nodes[server(0)]
 	n.latency, n.learntAt, n.heardAt = 700*ms, r.now, r.now
@@ -263,7 +273,7 @@
 // reach the node either: nor may a probe.
 func TestADrainWithLittleGraceStopsWhatIsHeld(t *testing.T) {
 	set := settings()
-	set.DrainGrace, set.Probes = 250*ms, true
+	set.DrainGrace, set.HealthChecks = 250*ms, true
 	r := start(t, set, 1)
 	n := r.fix(1)
 	r.do(r.ask(nil), r.ask(nil), r.ask(func(q *Request) { q.Cell = NewObject }))
@@ -271,14 +281,14 @@
 		t.Fatalf("%d out, %d held: the test needs both", len(n.out), len(r.h.shards[0].queue))
 	}
 	before := len(r.acts)
-	r.do(Members{Form: ListDelta, Entries: []Entry{entry(0, Draining)}})
+	r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry(0, Draining)}})
 	r.done(1, 0, 0, Error, ms) // would be tried again
 	for range 8 {
 		r.pass(500 * ms)
 	}
 	for _, a := range r.acts[before:] {
 		switch a := a.(type) {
-		case Send, Probe:
+		case Send, CheckHealth:
 			t.Errorf("after the drain was told: %#v", a)
 		}
 	}
--- a/scheduler/scale_test.go
+++ b/scheduler/scale_test.go
@@ -10,14 +10,16 @@
 // scaleSettings are those of a fleet with everything in force that keeps records over time.
 func scaleSettings() Settings {
 	set := settings()
-	set.Ramp, set.FallWindow, set.FallMultiple, set.ColdUnits = 10*time.Second, 3*time.Second, 2, 50
-	set.Budget, set.BudgetFloor, set.BudgetRatio, set.BudgetWindow = true, 5, 0.1, 10*time.Second
+	set.SlowStartPeriod, set.OverloadWindow, set.OverloadFactor, set.ColdCapacity = 10*time.Second,
+		3*time.Second, 2, 50
+	set.RetryBudget, set.RetryBudgetFloor, set.RetryBudgetRatio, set.RetryBudgetWindow = true, 5, 0.1,
+		10*time.Second
 	return set
 }
 
 // steady drives one host at a rate: each request is answered a little later by its node.
 type steady struct {
-	h     *Host
+	h     *Scheduler
 	now   time.Duration
 	gap   time.Duration
 	nodes int
@@ -27,10 +29,13 @@
 
 func newSteady(set Settings, rate, nodes int, boot time.Duration) *steady {
 	s := &steady{h: New(1, set), now: time.Hour, gap: time.Second / time.Duration(rate), nodes: nodes}
-	m := Members{Form: ListFull}
+	m := EndpointUpdate{Kind: UpdateFull}
 	for i := range nodes {
 		at := Server{Addr: [4]byte{10, 0, byte(i >> 8), byte(i)}, Port: 1}
-		m.Entries = append(m.Entries, Entry{Server: at, Status: Ready, Cell: uint16(i), Boot: boot})
+		m.Endpoints = append(
+			m.Endpoints,
+			Endpoint{Server: at, Status: Ready, Cell: uint16(i), StartedAt: boot},
+		)
 	}
 	s.h.Handle(s.now, m)
 	s.h.Decide(s.now)
@@ -40,14 +45,17 @@
 // step takes one request of the volume in and, once a few are out, ends the oldest attempt.
 func (s *steady) step(volume uint64) {
 	s.now += s.gap
-	s.h.Handle(s.now, Request{ID: s.next, Cell: int(s.next) % s.nodes, Writers: 1, Volume: volume,
-		Expires: s.now + time.Second, Units: 1})
+	s.h.Handle(s.now, Request{ID: s.next, Cell: int(s.next) % s.nodes, VolumeInstances: 1, Volume: volume,
+		ExpiresAt: s.now + time.Second, Units: 1})
 	s.next++
 	s.decide()
 	if len(s.out) > 4 {
 		done := s.out[0]
 		s.out = s.out[1:]
-		s.h.Handle(s.now, Outcome{ID: done.ID, Server: done.Server, Code: OK, Took: ms, Ended: true})
+		s.h.Handle(
+			s.now,
+			AttemptResult{ID: done.ID, Server: done.Server, Code: OK, Latency: ms, RequestDone: true},
+		)
 		s.decide()
 	}
 }
@@ -132,7 +140,7 @@
 // A volume that is forgotten and comes again is held to its limit as one that was known all along.
 func TestAForgottenVolumeGetsNothingNew(t *testing.T) {
 	set := scaleSettings()
-	set.Plans[0].Limit, set.Plans[0].Burst, set.Plans[0].Reserve, set.MostUnits = 10, 20, 2, 4
+	set.Plans[0].Limit, set.Plans[0].Burst, set.Plans[0].Reserve, set.MaxUnits = 10, 20, 2, 4
 	s := newSteady(set, 1000, 4, 0)
 	for range 10_000 {
 		s.step(7)
@@ -153,7 +161,7 @@
 	if s.h.vols[7] != nil {
 		t.Fatal("still known long after its stores filled")
 	}
-	if v := s.h.volumeOf(Request{Volume: 7, Writers: 1}); s.h.limitLeft(v) > 20 {
+	if v := s.h.volumeOf(Request{Volume: 7, VolumeInstances: 1}); s.h.limitLeft(v) > 20 {
 		t.Errorf("a forgotten volume has %v units, its store holds 20", s.h.limitLeft(v))
 	}
 }
@@ -162,21 +170,21 @@
 // attempt is still out stays until that is over.
 func TestGoneNodesAreForgotten(t *testing.T) {
 	s := newSteady(scaleSettings(), 1000, 3, 0)
-	all := []Entry{}
+	all := []Endpoint{}
 	for _, n := range s.h.nodes {
-		all = append(all, n.Entry)
+		all = append(all, n.Endpoint)
 	}
 	one := all[:1]
-	s.h.Handle(s.now, Members{Form: ListFull, Entries: one})
+	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
 	s.now += goneKeep / 2
-	s.h.Handle(s.now, Members{Form: ListFull, Entries: all[:2]})
+	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: all[:2]})
 	s.now += goneKeep/2 + time.Second
-	s.h.Handle(s.now, Members{Form: ListFull, Entries: one})
+	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
 	if len(s.h.nodes) != 2 {
 		t.Fatalf("%d nodes known, want the listed one and the one that went just now", len(s.h.nodes))
 	}
 	s.now += goneKeep + time.Second
-	s.h.Handle(s.now, Members{Form: ListFull, Entries: one})
+	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
 	if len(s.h.nodes) != 1 || len(s.h.departed) != 0 {
 		t.Fatalf("%d nodes known and %d departures, want 1 and 0", len(s.h.nodes), len(s.h.departed))
 	}
