--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -170,7 +170,7 @@
 }
 
 // Accompany lets what is held leave with others, as a company proposes; without one each leaves alone.
-func (h *Scheduler) SetBatcher(c Batcher) { h.company = c }
+func (h *Scheduler) SetBatcher(c Batcher) { h.batcher = c }
 
 // Code tells how an attempt ended.
 type ResultCode uint16
--- a/scheduler/belief.go
+++ b/scheduler/belief.go
@@ -19,8 +19,11 @@
 func (h *Scheduler) NodeStates() []NodeState {
 	var all []NodeState
 	for id, n := range h.nodes {
-		if n.Status != Gone || len(n.out) > 0 {
-			all = append(all, NodeState{id, n.Status, len(n.out), n.used, n.depth, n.latency, n.fails})
+		if n.Status != Gone || len(n.inFlight) > 0 {
+			all = append(
+				all,
+				NodeState{id, n.Status, len(n.inFlight), n.slotsUsed, n.depth, n.latency, n.failures},
+			)
 		}
 	}
 	slices.SortFunc(all, func(a, b NodeState) int { return a.Server.Compare(b.Server) })
--- a/scheduler/company_test.go
+++ b/scheduler/company_test.go
@@ -68,16 +68,24 @@
 		qs = append(qs, c.add(r.ask(nil)))
 	}
 	want(t, "members", with(r.do(qs...))[1], 2, 3, 4)
-	want(t, "slots, out, depth of the queue", []float64{n.used, float64(len(n.out)), float64(r.h.out),
-		float64(len(r.h.shards[0].queue))}, 4, 1, 4, 0)
-	fit := r.h.classes[0].fit.n
+	want(
+		t,
+		"slots, out, depth of the queue",
+		[]float64{n.slotsUsed, float64(len(n.inFlight)), float64(r.h.inFlight),
+			float64(len(r.h.shards[0].queue))},
+		4,
+		1,
+		4,
+		0,
+	)
+	fit := r.h.classes[0].latency.count
 	for id := uint32(1); id <= 3; id++ {
 		r.do(AttemptResult{ID: id, Server: server(0), Code: OK, Latency: 10 * ms, RequestDone: true})
 	}
-	want(t, "slots, answers learnt from", []float64{n.used, r.h.classes[0].fit.n - fit}, 0, 1)
+	want(t, "slots, answers learnt from", []float64{n.slotsUsed, r.h.classes[0].latency.count - fit}, 0, 1)
 	want(t, "repeats", sends(r.done(4, 0, 0, Error, 10*ms)), 4)
-	if _, known := r.h.reqs[1]; known || len(r.h.reqs) != 1 {
-		t.Errorf("%d requests are known", len(r.h.reqs))
+	if _, known := r.h.requests[1]; known || len(r.h.requests) != 1 {
+		t.Errorf("%d requests are known", len(r.h.requests))
 	}
 }
 
@@ -88,10 +96,10 @@
 	r.do(c.add(r.ask(nil)), c.add(r.ask(nil)), c.add(r.ask(nil)))
 	r.now += time.Second
 	for id := uint32(1); id <= 3; id++ {
-		r.h.review = false
+		r.h.reviewPending = false
 		r.h.Handle(r.now, AttemptResult{ID: id, Server: server(0), Code: TimedOut, Latency: time.Second})
 	}
-	if want := 100*ms + time.Duration(lostWeight*float64(time.Second)); n.latency != want {
+	if want := 100*ms + time.Duration(lossGain*float64(time.Second)); n.latency != want {
 		t.Errorf("latency %v, want %v", n.latency, want)
 	}
 }
@@ -103,10 +111,10 @@
 	for id := uint32(1); id <= 3; id++ {
 		r.h.Handle(r.now, AttemptResult{ID: id, Server: server(0), Code: Overloaded, Latency: ms})
 	}
-	if n.fails != 1 {
-		t.Errorf("%d failures of the node, want 1", n.fails)
+	if n.failures != 1 {
+		t.Errorf("%d failures of the node, want 1", n.failures)
 	}
-	n.fails = 0
+	n.failures = 0
 	n.depth = 8
 	for lead, members := range with(r.do()) {
 		if len(members) > 0 {
@@ -130,9 +138,9 @@
 	r, c, n := crowded(t, settings())
 	n.latency, n.deviation = 100*ms, 10*time.Second
 	for range 20 {
-		r.h.usual.add(1, 0.1)
+		r.h.allClasses.add(1, 0.1)
 	}
-	r.h.tide = 100 * ms
+	r.h.recentMean = 100 * ms
 	r.do(c.add(r.ask(nil)), c.add(r.ask(func(q *Request) { q.ExpiresAt = r.now + 40*ms })))
 	if got := with(r.acts); len(got[1]) != 0 {
 		t.Errorf("a request of 40 ms patience joined one that takes 100 ms: %v", got)
@@ -156,10 +164,10 @@
 	r, c, n := crowded(t, settings())
 	for i := range 64 { // a unit takes 10 ms here
 		units := float64(1 + i%4)
-		r.h.usual.add(units, 0.01*units)
-		r.h.classes[0].fit.add(units, 0.01*units)
+		r.h.allClasses.add(units, 0.01*units)
+		r.h.classes[0].latency.add(units, 0.01*units)
 	}
-	r.h.tide = seconds(r.h.usual.took)
+	r.h.recentMean = seconds(r.h.allClasses.meanTime)
 	n.deviation = 15 * ms
 	var qs []Event
 	for range 6 {
@@ -186,7 +194,7 @@
 		h.SetBatcher(c)
 		n := h.nodes[server(0)]
 		// One slot each: backfill, which lets a volume be ahead by some more, is not what this is about.
-		h.classes[0].seen, h.classes[0].mean = 1e9, set.MaxUnits
+		h.classes[0].count, h.classes[0].meanUnits = 1e9, set.MaxUnits
 		id, volume := uint32(0), map[uint32]int{}
 		held, served, out := make([]int, 3), make([]float64, 3), []uint32{}
 		fill := func() {
@@ -236,7 +244,7 @@
 				}
 			}
 		}
-		if math.IsNaN(h.shards[0].vt) {
+		if math.IsNaN(h.shards[0].virtualTime) {
 			t.Fatal("virtual time is lost")
 		}
 	})
--- a/scheduler/control_test.go
+++ b/scheduler/control_test.go
@@ -69,7 +69,7 @@
 }
 
 func (r *rig) done(id uint32, attempt, node int, code ResultCode, took time.Duration) []Action {
-	r.h.review = false // the rig hands in no reviews that lead up to this moment
+	r.h.reviewPending = false // the rig hands in no reviews that lead up to this moment
 	return r.do(AttemptResult{ID: id, Attempt: attempt, Server: server(node), Code: code, Latency: took,
 		RequestDone: code == OK})
 }
@@ -106,7 +106,8 @@
 // fix pins the depth of node 0, so that a test speaks of the queue alone.
 func (r *rig) fix(depth float64) *node {
 	n := r.h.nodes[server(0)]
-	n.depth, n.latency, n.deviation, n.adaptedAt = depth, r.h.leastAim/2, time.Hour, math.MaxInt64
+	n.depth, n.latency, n.deviation, n.depthAdaptedAt = depth, r.h.shortestObjective/2, time.Hour,
+		math.MaxInt64
 	return n
 }
 
@@ -129,10 +130,10 @@
 	r.do(evs...)
 	count := map[uint64]int{}
 	for range 40 {
-		for id, q := range r.h.reqs {
+		for id, q := range r.h.requests {
 			if q.node != nil {
 				count[q.Volume]++
-				r.done(id, 0, 0, OK, r.h.leastAim)
+				r.done(id, 0, 0, OK, r.h.shortestObjective)
 				break
 			}
 		}
@@ -150,30 +151,36 @@
 	s := r.h.shards[0]
 	var tags []float64
 	for id := uint32(1); id <= 3; id++ {
-		tags = append(tags, r.h.reqs[id].start)
+		tags = append(tags, r.h.requests[id].startTag)
 	}
 	want(t, "start tags", tags, 0, 4, 0)
-	want(t, "finish tags", []float64{r.h.vols[1].finish[s], r.h.vols[2].finish[s]}, 6, 1)
+	want(
+		t,
+		"finish tags",
+		[]float64{r.h.volumesByID[1].finishTags[s], r.h.volumesByID[2].finishTags[s]},
+		6,
+		1,
+	)
 	r.done(1, 0, 0, OK, ms)
 	r.done(3, 0, 0, OK, ms)
-	want(t, "virtual time is the start tag of the last one sent", []float64{s.vt}, 4)
+	want(t, "virtual time is the start tag of the last one sent", []float64{s.virtualTime}, 4)
 }
 
 func TestIdleVolumeEarnsNoCredit(t *testing.T) {
 	r := start(t, settings(), 1)
 	s := r.h.shards[0]
-	s.vt = 50
+	s.virtualTime = 50
 	r.do(r.ask(nil))
-	want(t, "start and finish", []float64{r.h.reqs[1].start, r.h.vols[1].finish[s]}, 50, 51)
+	want(t, "start and finish", []float64{r.h.requests[1].startTag, r.h.volumesByID[1].finishTags[s]}, 50, 51)
 }
 
 func TestSlotCost(t *testing.T) {
 	c := &class{}
 	var costs []float64
 	for _, units := range []float64{2, 2, 6, 1, 40} { // running means before each: none, 2, 2, 10/3, 11/4
-		costs = append(costs, c.slots(units))
-		c.seen++
-		c.mean += (units - c.mean) / c.seen
+		costs = append(costs, c.slotCost(units))
+		c.count++
+		c.meanUnits += (units - c.meanUnits) / c.count
 	}
 	want(t, "slot costs", costs, 1, 1, 3, 1, 4)
 }
@@ -183,21 +190,21 @@
 	set.Classes[0].LatencyObjective = 100 * time.Second
 	r := start(t, set, 1)
 	r.fix(4)
-	r.h.classes[0].mean, r.h.classes[0].seen = 1, 1e9
+	r.h.classes[0].meanUnits, r.h.classes[0].count = 1, 1e9
 	add := func(vol uint64, units float64) Event {
 		return r.ask(func(q *Request) { q.Volume, q.Units, q.ExpiresAt = vol, units, r.now+200*time.Second })
 	}
-	r.h.shards[0].vt = 1
+	r.h.shards[0].virtualTime = 1
 	got := r.do(add(1, 3), add(2, 3), add(3, 1))
 	want(t, "3 slots of 4 leave room for 1: the small one passes the head", sends(got), 1, 3)
 	got = r.do(add(4, 1), add(5, 1))
 	want(t, "nothing more fits", sends(got))
 	want(t, "two more small ones pass, then the head's cost is reached", sends(r.done(3, 0, 0, OK,
-		r.h.leastAim/2)), 4)
-	want(t, "second", sends(r.done(4, 0, 0, OK, r.h.leastAim/2)), 5)
+		r.h.shortestObjective/2)), 4)
+	want(t, "second", sends(r.done(4, 0, 0, OK, r.h.shortestObjective/2)), 5)
 	r.do(add(6, 1))
-	want(t, "third is not promoted", sends(r.done(5, 0, 0, OK, r.h.leastAim/2)))
-	want(t, "head and the next leave when it fits", sends(r.done(1, 0, 0, OK, r.h.leastAim/2)), 2, 6)
+	want(t, "third is not promoted", sends(r.done(5, 0, 0, OK, r.h.shortestObjective/2)))
+	want(t, "head and the next leave when it fits", sends(r.done(1, 0, 0, OK, r.h.shortestObjective/2)), 2, 6)
 }
 
 func TestReserveDoesNotMoveTheTag(t *testing.T) {
@@ -207,14 +214,19 @@
 	r.do(r.ask(func(q *Request) { q.Units = 8 }), r.ask(func(q *Request) { q.Units = 3 }))
 	// The store holds a second of 2 units and one largest request of 8: 10 in all, so 1 of the 11 is beyond
 	// it.
-	want(t, "finish tag", []float64{r.h.vols[1].finish[r.h.shards[0]]}, 1)
+	want(t, "finish tag", []float64{r.h.volumesByID[1].finishTags[r.h.shards[0]]}, 1)
 }
 
 func TestElsewhereMovesTheTag(t *testing.T) {
 	r := start(t, settings(), 1)
 	r.do(r.ask(nil))
 	r.do(AttemptResult{ID: 1, Server: server(0), Code: OK, Latency: ms, RequestDone: true, ElsewhereUnits: 5})
-	want(t, "finish tag counts service through other hosts", []float64{r.h.vols[1].finish[r.h.shards[0]]}, 6)
+	want(
+		t,
+		"finish tag counts service through other hosts",
+		[]float64{r.h.volumesByID[1].finishTags[r.h.shards[0]]},
+		6,
+	)
 }
 
 func TestHeadroomIsForVolumesNotAhead(t *testing.T) {
@@ -255,8 +267,8 @@
 	for range 400 {
 		r.pass(10 * ms)
 	}
-	if got := ends(r.acts); len(got) != 20 || len(r.h.reqs) != 0 {
-		t.Errorf("%d answers for 20 requests, %d still known", len(got), len(r.h.reqs))
+	if got := ends(r.acts); len(got) != 20 || len(r.h.requests) != 0 {
+		t.Errorf("%d answers for 20 requests, %d still known", len(got), len(r.h.requests))
 	}
 }
 
@@ -322,7 +334,7 @@
 		r.do(r.ask(nil))
 		r.now += c.after
 		acts := r.done(1, 0, 0, c.code, ms)
-		acts = append(acts, r.pass(2*downFirst)...)
+		acts = append(acts, r.pass(2*initialBackoff)...)
 		got := append(ends(acts), "")
 		if len(sends(acts)) != c.again || got[0] != c.end {
 			t.Errorf("%s: %d further attempts and %q; want %d and %q", c.name, len(sends(acts)), got[0],
@@ -336,15 +348,15 @@
 	set.Classes[0].Idempotency, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentByKey,
 		DedupZone, time.Minute
 	r := start(t, set, 2)
-	q := &request{class: r.h.classes[0], attempts: 1, ranAt: &node{Endpoint: Endpoint{Zone: 1}}}
+	q := &request{class: r.h.classes[0], attempts: 1, mayHaveRunOn: &node{Endpoint: Endpoint{Zone: 1}}}
 	n := r.h.nodes[server(0)]
 	r.h.now = r.now
-	q.ranFrom = r.now
-	if r.h.mayRepeat(q, n) {
+	q.mayHaveRunSince = r.now
+	if r.h.mayRetry(q, n) {
 		t.Error("sent again outside its zone")
 	}
 	n.Zone = 1
-	if !r.h.mayRepeat(q, n) {
+	if !r.h.mayRetry(q, n) {
 		t.Error("not sent again inside its zone")
 	}
 }
@@ -385,7 +397,7 @@
 	if timers != 1 {
 		t.Errorf("%d timers for a new watch, want 1", timers)
 	}
-	r.now += 2 * watchAgain
+	r.now += 2 * watchReopenDelay
 	if acts := r.do(TimerFired{Token: tokenWatch}); !slices.Contains(acts, Action(WatchEndpoints{On: true})) {
 		t.Errorf("not asked again: %v", acts)
 	}
@@ -448,11 +460,11 @@
 	}
 	n := r.h.nodes[server(0)]
 	r.h.now += 6 * time.Second // the window then starts 5 s after the boot: a quarter and half of the rest
-	if !r.h.bears(n, 25) || r.h.bears(n, 26) {
+	if !r.h.slowStartAllows(n, 25) || r.h.slowStartAllows(n, 26) {
 		t.Error("later it bears 10 x 0.625 / 0.25 = 25")
 	}
 	r.h.now += 6 * time.Second
-	if !r.h.bears(n, 1000) {
+	if !r.h.slowStartAllows(n, 1000) {
 		t.Error("warm, it bears anything")
 	}
 }
@@ -498,7 +510,7 @@
 				AttemptResult{ID: id, Server: server(0), Code: code, Latency: ms, RequestDone: code == OK},
 			)
 		}
-		n.fails = 0
+		n.failures = 0
 		if got := len(sends(r.do())); len(ids) != 10 || got != more {
 			t.Errorf("after %d answers %d: %d more, want %d", len(ids), code, got, more)
 		}
@@ -533,7 +545,7 @@
 	r.now += time.Second
 	r.do(r.ask(nil))
 	r.done(1, 0, 0, Error, ms)
-	if got := r.h.vols[1].limit.level; got != 9 {
+	if got := r.h.volumesByID[1].limit.level; got != 9 {
 		t.Errorf("the store holds %v after two attempts of one request, want 9", got)
 	}
 }
@@ -578,7 +590,7 @@
 	r.do(r.ask(nil), r.ask(nil), r.ask(nil), r.ask(nil))
 	for id := uint32(1); id <= 4; id++ {
 		r.done(id, 0, 0, Error, ms)
-		r.h.nodes[server(0)].fails = 0
+		r.h.nodes[server(0)].failures = 0
 		r.do()
 	}
 	if got := len(sends(r.acts)) - 4; got != 3 {
@@ -606,8 +618,8 @@
 	r.done(2, 0, 0, OK, 10*ms)
 	r.now += 4 * time.Second
 	r.done(1, 0, 0, TimedOut, 4*time.Second)
-	if n := r.h.nodes[server(0)]; n.fails != 0 || n.latency > time.Second {
-		t.Errorf("fails %d, latency %v", n.fails, n.latency)
+	if n := r.h.nodes[server(0)]; n.failures != 0 || n.latency > time.Second {
+		t.Errorf("fails %d, latency %v", n.failures, n.latency)
 	}
 }
 
@@ -616,7 +628,7 @@
 	r.do(r.ask(nil), r.ask(nil))
 	r.done(1, 0, 0, ConnectFailed, 250*ms)
 	r.done(2, 0, 0, ConnectFailed, 250*ms)
-	if got := len(sends(r.pass(8 * downFirst))); got != 1 {
+	if got := len(sends(r.pass(8 * initialBackoff))); got != 1 {
 		t.Errorf("%d at once to a node that fails, want 1", got)
 	}
 }
@@ -635,7 +647,7 @@
 func TestNewObjectGoesWhereTheLeastWorkIs(t *testing.T) {
 	r := start(t, settings(), 3)
 	r.h.nodes[server(0)].latency = 300 * ms
-	r.h.nodes[server(2)].fails = 1
+	r.h.nodes[server(2)].failures = 1
 	acts := r.do(r.ask(func(q *Request) { q.Cell = NewObject }))
 	for _, a := range acts {
 		if s, ok := a.(Send); ok && s.Server != server(1) {
@@ -698,7 +710,7 @@
 			r.do(r.ask(func(q *Request) { q.Cell, q.Volume, q.Units = i%6-1, uint64(i%7), float64(1+i%4) }))
 			if i%3 == 0 {
 				for _, id := range []uint32{r.id, r.id / 2} {
-					if q := r.h.reqs[id]; q != nil && q.node != nil {
+					if q := r.h.requests[id]; q != nil && q.node != nil {
 						r.done(id, 0, int(q.node.Cell), OK, time.Duration(i)*ms)
 					}
 				}
@@ -745,7 +757,7 @@
 	r.h.nodes[server(1)].latency *= 3
 	r.now += 500 * ms
 	r.do(r.ask(func(q *Request) { q.Cell = NewObject }))
-	if got := r.h.reqs[2].node.Cell; got != 1 {
+	if got := r.h.requests[2].node.Cell; got != 1 {
 		t.Errorf("put on the node of cell %d", got)
 	}
 }
@@ -754,7 +766,7 @@
 func TestFastRefusalsDoNotAttract(t *testing.T) {
 	r := start(t, settings(), 2)
 	r.do(r.ask(func(q *Request) { q.Cell = NewObject }))
-	first := r.h.reqs[1].node
+	first := r.h.requests[1].node
 	acts := r.done(1, 0, int(first.Cell), Overloaded, 3*ms)
 	for _, a := range acts {
 		if s, ok := a.(Send); ok && s.Server == first.Server {
@@ -771,19 +783,20 @@
 	set.Instances = 256
 	r := start(t, set, 1)
 	n, s := r.fix(8), r.h.shards[0]
-	s.vt = 1
+	s.virtualTime = 1
 	for _, c := range []struct {
 		latency time.Duration
 		ahead   bool
 		want    float64
-	}{{200 * ms, true, 0.5}, {2 * slowFrom * 1000 * ms, true, 0.5 / 16}, {2 * time.Second, true, 1. / 256},
-		{0, false, 8.5}, {2 * slowFrom * 1000 * ms, false, 0.5 / 16}} {
+	}{{200 * ms, true, 0.5}, {2 * congestionThreshold * 1000 * ms, true, 0.5 / 16}, {2 * time.Second, true,
+		1. / 256},
+		{0, false, 8.5}, {2 * congestionThreshold * 1000 * ms, false, 0.5 / 16}} {
 		n.latency = c.latency
-		q := &request{Request: Request{Units: 1}, class: r.h.classes[0], vol: &volume{}, covered: 1}
+		q := &request{Request: Request{Units: 1}, class: r.h.classes[0], volume: &volume{}, reservedUnits: 1}
 		if c.ahead {
-			q.start = 2
+			q.startTag = 2
 		}
-		if got := r.h.bound(s, q); got != c.want {
+		if got := r.h.slotLimit(s, q); got != c.want {
 			t.Errorf("latency %v, ahead %v: %v slots, want %v", c.latency, c.ahead, got, c.want)
 		}
 	}
@@ -793,11 +806,11 @@
 func TestTrialsOfAFailingNodeAreNotInStep(t *testing.T) {
 	r := start(t, settings(), 1)
 	n := r.h.nodes[server(0)]
-	n.fails = 20
+	n.failures = 20
 	seen := map[time.Duration]bool{}
 	for range 20 {
-		d := r.h.pause(n)
-		if d < downMost/2 || d > downMost*3/2 {
+		d := r.h.backoff(n)
+		if d < maxBackoff/2 || d > maxBackoff*3/2 {
 			t.Errorf("pause %v", d)
 		}
 		seen[d] = true
@@ -811,12 +824,12 @@
 	set := settings()
 	set.Instances = 512
 	r := start(t, set, 1)
-	n := r.fix(r.h.leastDepth())
+	n := r.fix(r.h.minDepth())
 	n.latency = 200 * ms
 	want(t, "least depth is a quarter of a slot", []float64{n.depth}, 0.25)
 	set.Instances = 2
-	want(t, "and one slot where hosts are few", []float64{New(1, set).leastDepth()}, 1)
-	r.h.shards[0].vt = 1
+	want(t, "and one slot where hosts are few", []float64{New(1, set).minDepth()}, 1)
+	r.h.shards[0].virtualTime = 1
 	r.do(r.ask(nil), r.ask(nil))
 	r.now += 200 * ms
 	want(t, "the next of a volume ahead waits four latencies", sends(r.done(1, 0, 0, OK, 200*ms)))
@@ -834,8 +847,8 @@
 	n.latency, n.depth = 10*ms, 8
 	for i := range 40 {
 		size := float64(1 + i%4)
-		r.h.classes[0].fit.add(size, 0.010*size)
-		r.h.usual.add(size, 0.010*size)
+		r.h.classes[0].latency.add(size, 0.010*size)
+		r.h.allClasses.add(size, 0.010*size)
 	}
 	short := func(q *Request) { q.Cell, q.ExpiresAt = 1, r.now+50*ms }
 	a := r.ask(short)
@@ -857,11 +870,11 @@
 	r := start(t, settings(), 1)
 	n := r.h.nodes[server(0)]
 	for range 20 {
-		r.h.usual.add(1, 0.1)
+		r.h.allClasses.add(1, 0.1)
 	}
-	n.latency, n.learntAt, r.h.tide = 900*ms, r.now, 100*ms
-	r.h.now = r.now + 3*forgetIn
-	if got := r.h.lately(n); got != 200*ms {
+	n.latency, n.latencyUpdatedAt, r.h.recentMean = 900*ms, r.now, 100*ms
+	r.h.now = r.now + 3*latencyHalfLife
+	if got := r.h.recentLatency(n); got != 200*ms {
 		t.Errorf("got %v, want 200 ms", got)
 	}
 }
@@ -872,7 +885,7 @@
 	for _, hosts := range []int{2, 10, 19, 30, 57, 170, 230, 300} {
 		set := coldSettings()
 		set.Instances, set.OverloadFactor = hosts, 2.5
-		var sent []mark
+		var sent []sendRecord
 		var all []*rig
 		for me := range hosts {
 			set.InstanceIndex = me
@@ -890,10 +903,10 @@
 			for i, r := range all {
 				n := r.h.nodes[server(0)]
 				r.h.now = now
-				for units := float64(1 + i%3); r.h.bears(n, units); {
-					n.sent.push(mark{now, units})
-					n.sum += units
-					sent = append(sent, mark{at: now, units: units})
+				for units := float64(1 + i%3); r.h.slowStartAllows(n, units); {
+					n.sends.push(sendRecord{now, units})
+					n.unitsSent += units
+					sent = append(sent, sendRecord{at: now, units: units})
 				}
 			}
 		}
@@ -933,11 +946,11 @@
 			if now == begin+10*time.Second && i%2 == 0 { // killed and back: its store starts empty
 				all[i] = start(t, set, 1)
 				r = all[i]
-				r.h.born, r.h.now = now, now
+				r.h.startedAt, r.h.now = now, now
 			}
 			r.h.now = now
-			v := r.h.volumeOf(Request{Volume: 1, VolumeInstances: hosts})
-			for u := float64(1 + i); r.h.limitLeft(v) >= u; {
+			v := r.h.volumeFor(Request{Volume: 1, VolumeInstances: hosts})
+			for u := float64(1 + i); r.h.quotaRemaining(v) >= u; {
 				v.limit.level -= u
 				level -= u
 				total += u
@@ -963,8 +976,8 @@
 		r.now += 900 * ms
 		r.do(AttemptResult{ID: 1, Server: server(0), Code: code, Latency: 900 * ms, RequestDone: code == OK},
 			TimerFired{Token: tokenReview})
-		if n.latency != before || n.fails != 0 {
-			t.Errorf("code %d: latency %v, was %v; fails %d", code, n.latency, before, n.fails)
+		if n.latency != before || n.failures != 0 {
+			t.Errorf("code %d: latency %v, was %v; fails %d", code, n.latency, before, n.failures)
 		}
 		r.now += 10 * ms
 		r.do(TimerFired{Token: tokenReview})
@@ -992,8 +1005,8 @@
 		r.pass(10 * ms)
 	}
 	r.pass(time.Hour)
-	if got := len(ends(r.acts)); got+r.h.out != 5000 {
-		t.Errorf("%d of 5000 answered, %d still out", got, r.h.out)
+	if got := len(ends(r.acts)); got+r.h.inFlight != 5000 {
+		t.Errorf("%d of 5000 answered, %d still out", got, r.h.inFlight)
 	}
 }
 
@@ -1021,10 +1034,10 @@
 		}
 		for n, part := range parts {
 			d := after(r.do(EndpointUpdate{Kind: UpdateFailed}))
-			if d < watchAgain/part || d > 2*watchAgain/part {
+			if d < watchReopenDelay/part || d > 2*watchReopenDelay/part {
 				t.Errorf("stood %v, failure %d: asked for after %v", stood, n, d)
 			}
-			r.now += 2 * watchAgain
+			r.now += 2 * watchReopenDelay
 			r.do(TimerFired{Token: tokenWatch})
 		}
 	}
@@ -1055,20 +1068,20 @@
 			for i := range busy { // chance of a request in a step: a few ask for several times the mean
 				busy[i] = min(1, 0.02/(0.02+rng.Float64()))
 			}
-			var sent []mark
+			var sent []sendRecord
 			for now := boot; now < boot+set.SlowStartPeriod; now += 20 * ms {
 				for i, r := range all {
 					n, units := r.h.nodes[server(0)], float64(1+rng.IntN(3))
 					r.h.now = now
-					if rng.Float64() > busy[i] || !r.h.bears(n, units) {
+					if rng.Float64() > busy[i] || !r.h.slowStartAllows(n, units) {
 						continue
 					}
-					n.sent.push(mark{now, units})
-					n.sum += units
-					sent = append(sent, mark{now + time.Duration(rng.Int64N(int64(connect))), units})
+					n.sends.push(sendRecord{now, units})
+					n.unitsSent += units
+					sent = append(sent, sendRecord{now + time.Duration(rng.Int64N(int64(connect))), units})
 				}
 			}
-			slices.SortFunc(sent, func(a, b mark) int { return cmp.Compare(a.at, b.at) })
+			slices.SortFunc(sent, func(a, b sendRecord) int { return cmp.Compare(a.at, b.at) })
 			for i, first := range sent {
 				sum := 0.0
 				for _, m := range sent[i:] {
@@ -1103,7 +1116,7 @@
 		r := start(t, set, 1)
 		q := r.ask(nil)
 		first, evs := r.now, []Event{q}
-		for n, want := range []time.Duration{0, first + 700*ms - sureMargin} {
+		for n, want := range []time.Duration{0, first + 700*ms - timingMargin} {
 			var before time.Duration
 			for _, a := range r.do(evs...) {
 				if s, ok := a.(Send); ok {
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -160,8 +160,13 @@
 			c.t.Fatalf("request %d never got an answer", id)
 		}
 	}
-	if len(c.h.reqs) != 0 || c.h.out != 0 || len(c.h.busy) != 0 {
-		c.t.Fatalf("%d requests, %d attempts, %d queues left behind", len(c.h.reqs), c.h.out, len(c.h.busy))
+	if len(c.h.requests) != 0 || c.h.inFlight != 0 || len(c.h.backlogged) != 0 {
+		c.t.Fatalf(
+			"%d requests, %d attempts, %d queues left behind",
+			len(c.h.requests),
+			c.h.inFlight,
+			len(c.h.backlogged),
+		)
 	}
 }
 
--- a/scheduler/learnt.go
+++ b/scheduler/learnt.go
@@ -38,17 +38,17 @@
 func (h *Scheduler) Statistics() Statistics {
 	l := Statistics{
 		Nodes:         map[Server]NodeStatistics{},
-		AllClasses:    h.usual.told(),
-		MedianLatency: h.calm,
-		RecentLatency: h.tide,
+		AllClasses:    h.allClasses.exported(),
+		MedianLatency: h.runningMedian,
+		RecentLatency: h.recentMean,
 	}
 	for id, n := range h.nodes {
-		if n.learntAt > 0 && n.Status == Ready {
+		if n.latencyUpdatedAt > 0 && n.Status == Ready {
 			l.Nodes[id] = NodeStatistics{n.latency, n.deviation}
 		}
 	}
 	for _, c := range h.classes {
-		l.Classes = append(l.Classes, ClassStatistics{c.mean, c.seen, c.fit.told()})
+		l.Classes = append(l.Classes, ClassStatistics{c.meanUnits, c.count, c.latency.exported()})
 	}
 	return l
 }
@@ -57,24 +57,27 @@
 // may be called again as nodes become known. It tells how many nodes it took.
 func (h *Scheduler) RestoreStatistics(l Statistics) (nodes int) {
 	for id, was := range l.Nodes {
-		if n := h.nodes[id]; n != nil && n.learntAt == 0 && n.Status == Ready {
+		if n := h.nodes[id]; n != nil && n.latencyUpdatedAt == 0 && n.Status == Ready {
 			n.latency, n.deviation = was.Latency, was.Deviation
 			nodes++
 		}
 	}
 	for i, was := range l.Classes {
-		if c := h.classes[i]; c.seen == 0 && was.Count > 0 {
-			c.mean, c.seen, c.fit = was.MeanUnits, was.Count, was.Latency.fit()
+		if c := h.classes[i]; c.count == 0 && was.Count > 0 {
+			c.meanUnits, c.count, c.latency = was.MeanUnits, was.Count, was.Latency.internal()
 		}
 	}
-	if h.usual.n == 0 && l.AllClasses.Count > 0 {
-		h.usual, h.calm, h.tide = l.AllClasses.fit(), l.MedianLatency, l.RecentLatency
+	if h.allClasses.count == 0 && l.AllClasses.Count > 0 {
+		h.allClasses, h.runningMedian, h.recentMean = l.AllClasses.internal(), l.MedianLatency,
+			l.RecentLatency
 	}
 	return nodes
 }
 
-func (f fit) told() Regression { return Regression{f.n, f.size, f.took, f.square, f.cross} }
+func (f regression) exported() Regression {
+	return Regression{f.count, f.meanSize, f.meanTime, f.meanSquare, f.meanProduct}
+}
 
-func (l Regression) fit() fit {
-	return fit{l.Count, l.MeanSize, l.MeanTime, l.MeanSquare, l.MeanProduct}
+func (l Regression) internal() regression {
+	return regression{l.Count, l.MeanSize, l.MeanTime, l.MeanSquare, l.MeanProduct}
 }
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -13,18 +13,18 @@
 	n := r.h.nodes[server(0)]
 	r.do(r.ask(nil), r.ask(nil), r.ask(nil))
 	r.done(1, 0, 0, Reset, 10*ms)
-	if n.fails != 0 || !r.h.usable(n) {
-		t.Errorf("after one reset: %d failures, usable %v", n.fails, r.h.usable(n))
+	if n.failures != 0 || !r.h.isUsable(n) {
+		t.Errorf("after one reset: %d failures, usable %v", n.failures, r.h.isUsable(n))
 	}
 	r.done(2, 0, 0, Reset, 10*ms)
-	if n.fails != 1 {
-		t.Errorf("after two resets: %d failures, want 1", n.fails)
+	if n.failures != 1 {
+		t.Errorf("after two resets: %d failures, want 1", n.failures)
 	}
 	r.done(3, 0, 0, OK, 10*ms)
 	r.do(r.ask(nil))
 	r.done(4, 0, 0, Reset, 10*ms)
-	if n.fails != 0 {
-		t.Errorf("a reset after an answer: %d failures, want 0", n.fails)
+	if n.failures != 0 {
+		t.Errorf("a reset after an answer: %d failures, want 0", n.failures)
 	}
 }
 
@@ -33,21 +33,21 @@
 func TestLostAttemptsSayLittleOfTheFleet(t *testing.T) {
 	r := start(t, settings(), 1)
 	n := r.h.nodes[server(0)]
-	for range int(2 * fitFrom) {
-		r.h.usual.add(1, 0.1)
+	for range int(2 * regressionMinCount) {
+		r.h.allClasses.add(1, 0.1)
 	}
-	n.latency, n.deviation, r.h.tide, r.h.calm = 100*ms, 10*ms, 100*ms, 100*ms
+	n.latency, n.deviation, r.h.recentMean, r.h.runningMedian = 100*ms, 10*ms, 100*ms, 100*ms
 	r.do(r.ask(nil))
 	r.now += time.Second
 	r.done(1, 0, 0, TimedOut, time.Second)
 	if n.latency <= 100*ms || n.deviation != 10*ms {
 		t.Errorf("after a lost attempt: mean %v, deviation %v", n.latency, n.deviation)
 	}
-	most := 100*ms + 100*ms/tideOver
-	if r.h.tide <= 100*ms || r.h.tide > most {
-		t.Errorf("the fleet's mean is %v, want over 100 ms and at most %v", r.h.tide, most)
+	most := 100*ms + 100*ms/recentMeanWindow
+	if r.h.recentMean <= 100*ms || r.h.recentMean > most {
+		t.Errorf("the fleet's mean is %v, want over 100 ms and at most %v", r.h.recentMean, most)
 	}
-	tide := r.h.tide
+	tide := r.h.recentMean
 	for range 20 { // the node goes on failing
 		n.retryAt = 0
 		q := r.ask(nil)
@@ -55,11 +55,16 @@
 		r.now += time.Second
 		r.done(q.ID, 0, 0, TimedOut, time.Second)
 	}
-	if n.fails < 10 || r.h.tide != tide {
-		t.Errorf("after %d failures of one node the fleet's mean is %v, was %v", n.fails, r.h.tide, tide)
+	if n.failures < 10 || r.h.recentMean != tide {
+		t.Errorf(
+			"after %d failures of one node the fleet's mean is %v, was %v",
+			n.failures,
+			r.h.recentMean,
+			tide,
+		)
 	}
-	r.h.now += 4 * forgetIn
-	if got := r.h.lately(n); got > n.latency/4 {
+	r.h.now += 4 * latencyHalfLife
+	if got := r.h.recentLatency(n); got > n.latency/4 {
 		t.Errorf("two seconds later the node seems to take %v of its %v", got, n.latency)
 	}
 }
@@ -77,25 +82,25 @@
 	set.Plans[0].PriorityWeight = 1.5
 	r := start(t, set, 1)
 	n, s := r.fix(8), r.h.shards[0]
-	r.h.calm, s.vt = 200*ms, 1
+	r.h.runningMedian, s.virtualTime = 200*ms, 1
 	dear := func() *request {
-		return &request{Request: Request{Units: 2}, class: r.h.classes[0], covered: 2, start: 2,
-			vol: &volume{plan: Plan{PriorityWeight: 1.5}}}
+		return &request{Request: Request{Units: 2}, class: r.h.classes[0], reservedUnits: 2, startTag: 2,
+			volume: &volume{plan: Plan{PriorityWeight: 1.5}}}
 	}
 	others := map[string]func(*request){
 		"class":   func(q *request) { q.class = r.h.classes[1] },
-		"plan":    func(q *request) { q.vol.plan.PriorityWeight = 0.9 },
-		"reserve": func(q *request) { q.covered = 0 },
+		"plan":    func(q *request) { q.volume.plan.PriorityWeight = 0.9 },
+		"reserve": func(q *request) { q.reservedUnits = 0 },
 	}
 	for name, cheaper := range others {
 		q := dear()
 		cheaper(q)
 		n.latency = 200 * ms
-		if got, most := r.h.bound(s, q), r.h.bound(s, dear()); got != most {
+		if got, most := r.h.slotLimit(s, q), r.h.slotLimit(s, dear()); got != most {
 			t.Errorf("%s: %v slots where nothing waits, want %v", name, got, most)
 		}
 		n.latency = 500 * ms
-		if got, most := r.h.bound(s, q), r.h.bound(s, dear()); got >= most/2 {
+		if got, most := r.h.slotLimit(s, q), r.h.slotLimit(s, dear()); got >= most/2 {
 			t.Errorf("%s: %v slots where requests wait, want under half of %v", name, got, most)
 		}
 	}
@@ -106,8 +111,8 @@
 	set := settings()
 	set.Classes[0].PriorityWeight, set.Plans[0].PriorityWeight, set.ShareWeight = 0, 0, 0
 	r := start(t, set, 1)
-	q := &request{Request: Request{Units: 2}, class: r.h.classes[0], vol: &volume{}}
-	if got := r.h.earns(q); got != 1 {
+	q := &request{Request: Request{Units: 2}, class: r.h.classes[0], volume: &volume{}}
+	if got := r.h.relativeWeight(q); got != 1 {
 		t.Errorf("a unit earns %v of the most, want 1", got)
 	}
 }
@@ -119,14 +124,20 @@
 	set.Instances = 256
 	r := start(t, set, 1)
 	n, s := r.fix(8), r.h.shards[0]
-	for range int(2 * fitFrom) {
-		r.h.usual.add(1, 0.05)
+	for range int(2 * regressionMinCount) {
+		r.h.allClasses.add(1, 0.05)
+	}
+	s.virtualTime, n.latency, n.latencyUpdatedAt = 1, 600*ms, r.now
+	q := &request{
+		Request:       Request{Units: 1},
+		class:         r.h.classes[0],
+		volume:        &volume{},
+		reservedUnits: 1,
+		startTag:      2,
 	}
-	s.vt, n.latency, n.learntAt = 1, 600*ms, r.now
-	q := &request{Request: Request{Units: 1}, class: r.h.classes[0], vol: &volume{}, covered: 1, start: 2}
-	slow := r.h.bound(s, q)
-	r.h.now += 4 * forgetIn
-	if later := r.h.bound(s, q); later < 4*slow {
+	slow := r.h.slotLimit(s, q)
+	r.h.now += 4 * latencyHalfLife
+	if later := r.h.slotLimit(s, q); later < 4*slow {
 		t.Errorf("%v slots just after a slow answer, %v later", slow, later)
 	}
 }
@@ -140,18 +151,18 @@
 		r.do(q)
 		r.done(q.ID, 0, 0, Error, ms)
 		r.do(ClientGone{ID: q.ID})
-		if a := len(r.h.reqs); a > 0 { // its further attempt
+		if a := len(r.h.requests); a > 0 { // its further attempt
 			r.done(q.ID, 1, 0, Error, ms)
 		}
 	}
 	other := r.h.shards[1].node
-	bad.out, bad.used, other.heardAt, bad.latency = nil, 0, r.now, other.latency*3/4
+	bad.inFlight, bad.slotsUsed, other.lastAnswerAt, bad.latency = nil, 0, r.now, other.latency*3/4
 	q := &request{Request: Request{Units: 1}, class: r.h.classes[0]}
-	if s := r.h.place(q); s.node == bad {
-		t.Errorf("a new object goes to a node of which %.2f of the answers are errors", bad.errors)
+	if s := r.h.placeNewObject(q); s.node == bad {
+		t.Errorf("a new object goes to a node of which %.2f of the answers are errors", bad.errorRate)
 	}
-	bad.errors = 0
-	if s := r.h.place(q); s.node != bad {
+	bad.errorRate = 0
+	if s := r.h.placeNewObject(q); s.node != bad {
 		t.Error("a new object keeps away from the quicker node without errors")
 	}
 }
@@ -166,7 +177,7 @@
 	for _, code := range []ResultCode{Error, TimedOut, Reset, Cancelled} {
 		r := start(t, set, 2)
 		r.do(r.ask(func(q *Request) { q.Cell = NewObject }))
-		n := r.h.reqs[1].node
+		n := r.h.requests[1].node
 		acts := r.done(1, 0, int(n.Cell), code, 50*ms)
 		want(t, fmt.Sprint("answer after ", code), ends(acts), "fail 1")
 		want(t, "further attempts", sends(acts))
@@ -214,14 +225,14 @@
 			for range 3 {
 				var next []Action
 				for _, id := range sends(acts) {
-					q := r.h.reqs[id]
+					q := r.h.requests[id]
 					if q.attempts > 1 {
 						extra = append(extra, r.now)
 						if got, most := within(extra), 3+0.15*float64(within(taken)); float64(got) > most {
 							t.Fatalf("%d further attempts in 5 s, at most %v", got, most)
 						}
 					}
-					r.h.nodes[server(0)].fails = 0
+					r.h.nodes[server(0)].failures = 0
 					next = append(next, r.done(id, q.attempts-1, 0, Error, ms)...)
 				}
 				acts = next
@@ -245,7 +256,7 @@
 					entry(3, Ready)},
 			},
 		)
-		seen[r.h.place(&request{Request: Request{Units: 1}, class: r.h.classes[0]}).cell]++
+		seen[r.h.placeNewObject(&request{Request: Request{Units: 1}, class: r.h.classes[0]}).cell]++
 	}
 	for cell := range 4 {
 		if seen[cell] > 20 || seen[cell] == 0 {
@@ -262,8 +273,8 @@
 	set.Instances = 256
 	r := start(t, set, 1)
 	n := r.h.nodes[server(0)]
-	n.latency, n.learntAt, n.heardAt = 700*ms, r.now, r.now
-	n.lastSent, n.everSent = r.now, true
+	n.latency, n.latencyUpdatedAt, n.lastAnswerAt = 700*ms, r.now, r.now
+	n.lastSentAt, n.hasSent = r.now, true
 	r.now += 10 * ms
 	want(t, "a read leaves, a new object is held", sends(r.do(r.ask(func(q *Request) { q.Cell = NewObject }),
 		r.ask(func(q *Request) { q.Volume = 2 }))), 2)
@@ -277,8 +288,8 @@
 	r := start(t, set, 1)
 	n := r.fix(1)
 	r.do(r.ask(nil), r.ask(nil), r.ask(func(q *Request) { q.Cell = NewObject }))
-	if len(n.out) == 0 || len(r.h.shards[0].queue) == 0 {
-		t.Fatalf("%d out, %d held: the test needs both", len(n.out), len(r.h.shards[0].queue))
+	if len(n.inFlight) == 0 || len(r.h.shards[0].queue) == 0 {
+		t.Fatalf("%d out, %d held: the test needs both", len(n.inFlight), len(r.h.shards[0].queue))
 	}
 	before := len(r.acts)
 	r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry(0, Draining)}})
--- a/scheduler/scale_test.go
+++ b/scheduler/scale_test.go
@@ -98,7 +98,7 @@
 	for range b.N {
 		s.step(uint64(s.next))
 	}
-	b.ReportMetric(float64(len(s.h.vols)), "volumes-kept")
+	b.ReportMetric(float64(len(s.h.volumesByID)), "volumes-kept")
 }
 
 // Volumes that were seen once are forgotten, so that a million of them take no more memory than those that
@@ -109,21 +109,21 @@
 	for range 200_000 {
 		s.step(uint64(s.next))
 	}
-	kept, heap := len(s.h.vols), heapInUse()
+	kept, heap := len(s.h.volumesByID), heapInUse()
 	for range 800_000 {
 		s.step(uint64(s.next))
 	}
-	if got := len(s.h.vols); got > 2*kept+1000 || got > 500_000 {
+	if got := len(s.h.volumesByID); got > 2*kept+1000 || got > 500_000 {
 		t.Errorf("%d volumes kept after 1,000,000, %d after 200,000", got, kept)
 	}
-	if len(s.h.vols) != len(s.h.volumes) {
-		t.Errorf("%d volumes known, %d looked through", len(s.h.vols), len(s.h.volumes))
+	if len(s.h.volumesByID) != len(s.h.volumes) {
+		t.Errorf("%d volumes known, %d looked through", len(s.h.volumesByID), len(s.h.volumes))
 	}
 	if got := heapInUse(); got > 2*heap+(64<<20) {
 		t.Errorf("heap %d MiB after 1,000,000, %d MiB after 200,000", got>>20, heap>>20)
 	}
 	for _, n := range s.h.nodes {
-		if got, most := len(n.sent.all), 2*100_000*3/10+1000; got > 2*most {
+		if got, most := len(n.sends.items), 2*100_000*3/10+1000; got > 2*most {
 			t.Errorf("%d sends remembered, %d in the window", got, most)
 		}
 	}
@@ -145,24 +145,24 @@
 	for range 10_000 {
 		s.step(7)
 	}
-	spent := s.h.vols[7].limit.level
+	spent := s.h.volumesByID[7].limit.level
 	if spent > 1 {
 		t.Fatalf("the limit of a volume asked for 1000 a second still holds %v", spent)
 	}
 	for range 500 { // others come: not enough time for the limit to fill
 		s.step(8)
 	}
-	if s.h.vols[7] == nil {
+	if s.h.volumesByID[7] == nil {
 		t.Fatal("forgotten while its limit's store is not full")
 	}
 	for i := range 20_000 {
 		s.step(uint64(9 + i%3))
 	}
-	if s.h.vols[7] != nil {
+	if s.h.volumesByID[7] != nil {
 		t.Fatal("still known long after its stores filled")
 	}
-	if v := s.h.volumeOf(Request{Volume: 7, VolumeInstances: 1}); s.h.limitLeft(v) > 20 {
-		t.Errorf("a forgotten volume has %v units, its store holds 20", s.h.limitLeft(v))
+	if v := s.h.volumeFor(Request{Volume: 7, VolumeInstances: 1}); s.h.quotaRemaining(v) > 20 {
+		t.Errorf("a forgotten volume has %v units, its store holds 20", s.h.quotaRemaining(v))
 	}
 }
 
@@ -176,17 +176,17 @@
 	}
 	one := all[:1]
 	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
-	s.now += goneKeep / 2
+	s.now += removedNodeRetention / 2
 	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: all[:2]})
-	s.now += goneKeep/2 + time.Second
+	s.now += removedNodeRetention/2 + time.Second
 	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
 	if len(s.h.nodes) != 2 {
 		t.Fatalf("%d nodes known, want the listed one and the one that went just now", len(s.h.nodes))
 	}
-	s.now += goneKeep + time.Second
+	s.now += removedNodeRetention + time.Second
 	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
-	if len(s.h.nodes) != 1 || len(s.h.departed) != 0 {
-		t.Fatalf("%d nodes known and %d departures, want 1 and 0", len(s.h.nodes), len(s.h.departed))
+	if len(s.h.nodes) != 1 || len(s.h.removals) != 0 {
+		t.Fatalf("%d nodes known and %d departures, want 1 and 0", len(s.h.nodes), len(s.h.removals))
 	}
 }
 
@@ -197,27 +197,27 @@
 	h := New(1, set)
 	a, b := &node{}, &node{}
 	for range 50 {
-		a.sent.push(mark{time.Second, 4})
+		a.sends.push(sendRecord{time.Second, 4})
 	}
-	b.sent.push(mark{time.Second, 4})
-	r := &request{marks: []markRef{{a, 49}, {b, 0}}}
-	h.relieve(b, r)
-	if got := b.sent.list()[0].units; got != 2 {
+	b.sends.push(sendRecord{time.Second, 4})
+	r := &request{sends: []sendRef{{a, 49}, {b, 0}}}
+	h.creditServed(b, r)
+	if got := b.sends.values()[0].units; got != 2 {
 		t.Errorf("the answering node's mark counts %v, want 2", got)
 	}
-	if got := a.sent.list()[49].units; got != 4 {
+	if got := a.sends.values()[49].units; got != 4 {
 		t.Errorf("the other node's mark counts %v, want 4", got)
 	}
 }
 
 // The line forgets from its head, keeps numbers, and takes no more than twice what it holds.
 func TestLine(t *testing.T) {
-	var l line[int]
+	var l slidingWindow[int]
 	for i := range 10_000 {
 		l.push(i)
-		l.drop(func(v int) bool { return v < i-9 })
-		if got := l.list(); got[len(got)-1] != i || len(got) > 10 || len(l.all) > 40 {
-			t.Fatalf("after %d: %v of %d", i, got, len(l.all))
+		l.dropWhile(func(v int) bool { return v < i-9 })
+		if got := l.values(); got[len(got)-1] != i || len(got) > 10 || len(l.items) > 40 {
+			t.Fatalf("after %d: %v of %d", i, got, len(l.items))
 		}
 		if i > 20 {
 			if l.at(i-20) != nil || *l.at(i - 5) != i-5 {
