--- a/carry/carry.go
+++ b/carry/carry.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"landingpaddle/roster"
+	"landingpaddle/endpoints"
 	"landingpaddle/scheduler"
 )
 
@@ -57,7 +57,7 @@
 }
 
 // Keep makes the record of what was learnt, of the nodes that are listed.
-func Keep(wall int64, site Site, l scheduler.Statistics, listed []roster.Entry) Record {
+func Keep(wall int64, site Site, l scheduler.Statistics, listed []endpoints.Entry) Record {
 	r := Record{Written: wall, Site: site, Classes: l.Classes, Usual: l.AllClasses, Median: l.MedianLatency,
 		Lately: l.RecentLatency}
 	for _, e := range listed {
@@ -111,7 +111,7 @@
 }
 
 // Over is what of a checked record still means the same under these settings and this list.
-func (r Record) Over(now Site, listed []roster.Entry) scheduler.Statistics {
+func (r Record) Over(now Site, listed []endpoints.Entry) scheduler.Statistics {
 	out := scheduler.Statistics{Nodes: map[scheduler.Server]scheduler.NodeStatistics{}}
 	if r.Site.Mean != now.Mean || r.Site.Most != now.Most {
 		return out // a unit means something else: so does every size, and every time reckoned by sizes
--- a/carry/carry_test.go
+++ b/carry/carry_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"landingpaddle/roster"
+	"landingpaddle/endpoints"
 	"landingpaddle/scheduler"
 )
 
@@ -16,8 +16,8 @@
 	return Site{Mean: 2, Most: 8, Classes: []Class{{"read", false}, {"write", true}}}
 }
 
-func listed() []roster.Entry {
-	return []roster.Entry{{Server: server(1), Status: scheduler.Ready, Boot: 10},
+func listed() []endpoints.Entry {
+	return []endpoints.Entry{{Server: server(1), Status: scheduler.Ready, Boot: 10},
 		{Server: server(2), Status: scheduler.Ready, Boot: 20},
 		{Server: server(3), Status: scheduler.Ready, Boot: 30}}
 }
--- a/cmd/landingpaddle/standins.go
+++ b/cmd/landingpaddle/standins.go
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/lab"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -71,7 +71,7 @@
 		return err
 	}
 	events := lab.NewLog()
-	told := func(instance uint32, e roster.Entry) {
+	told := func(instance uint32, e endpoints.Entry) {
 		addr := nodelist.AddrOf(e.Server).String()
 		events.Add(lab.Event{Kind: lab.KindTold, Inst: int(instance), Node: -1, Boot: e.Boot,
 			Status: e.Status.String(), Reason: addr})
--- a/roster/roster.go
+++ b/endpoints/roster.go
@@ -6,7 +6,7 @@
 // the list says of the same start of that node. Changes build on the list held, so after a gap, or when
 // another list service speaks (its epoch is new), only a whole list may be believed. Clocks differ: a start
 // may seem to lie in the future, or further back than it does, by up to the stated skew.
-package roster
+package endpoints
 
 import (
 	"maps"
--- a/roster/roster_test.go
+++ b/endpoints/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"testing"
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -17,10 +17,10 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/sched"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -247,7 +247,7 @@
 	}
 }
 
-func (p *player) told(inst uint32, e roster.Entry) {
+func (p *player) told(inst uint32, e endpoints.Entry) {
 	node, ok := p.byAdr[nodelist.AddrOf(e.Server)]
 	if !ok {
 		return
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -13,10 +13,10 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -180,7 +180,7 @@
 	heard    map[uint64]map[int]float64 // and what each instance was told of them
 	last     []uint64                   // keys
 	debt     time.Duration              // deferred work
-	status   chan roster.Entry
+	status   chan endpoints.Entry
 }
 
 type sentUnits struct {
@@ -204,7 +204,7 @@
 	l := &life{n: n, boot: time.Now(), cold: n.cfg.Cold || n.runs > 0, kill: cancel,
 		queue: make(chan *op, n.cfg.Kind.Queue), rng: rand.New(rand.NewPCG(n.cfg.Seed, uint64(2+n.runs))),
 		conns: map[*proto.Conn]map[uint64]*op{}, served: map[uint64]map[int]float64{},
-		heard: map[uint64]map[int]float64{}, status: make(chan roster.Entry, 4)}
+		heard: map[uint64]map[int]float64{}, status: make(chan endpoints.Entry, 4)}
 	n.runs++
 	if l.cold {
 		l.told = n.cfg.Log.Now() + int64(n.cfg.Ahead)
@@ -246,12 +246,12 @@
 	return nil, err
 }
 
-func (l *life) entry(s scheduler.Status) roster.Entry {
+func (l *life) entry(s scheduler.Status) endpoints.Entry {
 	server, err := nodelist.ServerOf(l.n.cfg.Addr)
 	if err != nil {
 		panic(err) // bound as IPv4
 	}
-	return roster.Entry{Server: server, Status: s, Cell: l.n.cfg.Cell, Zone: l.n.cfg.Zone, Boot: l.told,
+	return endpoints.Entry{Server: server, Status: s, Cell: l.n.cfg.Cell, Zone: l.n.cfg.Zone, Boot: l.told,
 		Nominal: 1}
 }
 
--- a/internal/nodelist/client.go
+++ b/internal/nodelist/client.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/proto"
-	"landingpaddle/roster"
 )
 
 // ClientConfig is what an instance's client of the list service needs.
@@ -27,7 +27,7 @@
 	Held func() (epoch, version uint64)
 	// Hear takes news, Failed that a call failed or a watch broke. Both are called from the client's
 	// goroutines and must not block.
-	Hear   func(roster.News)
+	Hear   func(endpoints.News)
 	Failed func(error)
 }
 
--- a/internal/nodelist/kept.go
+++ b/internal/nodelist/kept.go
@@ -6,8 +6,8 @@
 	"io/fs"
 	"os"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/keep"
-	"landingpaddle/roster"
 )
 
 const keptMagic = "LPLIST1\n"
@@ -20,7 +20,7 @@
 }
 
 // Save keeps a list.
-func (f File) Save(k roster.Kept) error {
+func (f File) Save(k endpoints.Kept) error {
 	m := Message{Epoch: k.Epoch, Version: k.Version, Whole: true, Items: itemsOf(k.Entries)}
 	data, err := keep.Encode(keptMagic, m)
 	if err != nil {
@@ -38,29 +38,29 @@
 
 // Load reads the kept list. No file is an empty list. A file cut short or changed is an error that tells
 // where; the instance then starts as if it had none.
-func (f File) Load() (roster.Kept, error) {
+func (f File) Load() (endpoints.Kept, error) {
 	data, err := os.ReadFile(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return roster.Kept{}, nil
+		return endpoints.Kept{}, nil
 	}
 	if err != nil {
-		return roster.Kept{}, err
+		return endpoints.Kept{}, err
 	}
 	k, err := parseKept(data)
 	if err != nil {
-		return roster.Kept{}, fmt.Errorf("%s: %w", f.Path, err)
+		return endpoints.Kept{}, fmt.Errorf("%s: %w", f.Path, err)
 	}
 	return k, nil
 }
 
-func parseKept(data []byte) (roster.Kept, error) {
+func parseKept(data []byte) (endpoints.Kept, error) {
 	var m Message
 	if err := keep.Decode(keptMagic, data, &m); err != nil {
-		return roster.Kept{}, err
+		return endpoints.Kept{}, err
 	}
 	entries, err := m.entries()
 	if err != nil {
-		return roster.Kept{}, fmt.Errorf("%w: %w", keep.ErrBad, err)
+		return endpoints.Kept{}, fmt.Errorf("%w: %w", keep.ErrBad, err)
 	}
-	return roster.Kept{Epoch: m.Epoch, Version: m.Version, Entries: entries}, nil
+	return endpoints.Kept{Epoch: m.Epoch, Version: m.Version, Entries: entries}, nil
 }
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"net/netip"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/proto"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -52,21 +52,21 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(s.Addr), s.Port)
 }
 
-func itemOf(e roster.Entry) Item {
+func itemOf(e endpoints.Entry) Item {
 	a := e.Server.Addr
 	return Item{uint32(a[0])<<24 | uint32(a[1])<<16 | uint32(a[2])<<8 | uint32(a[3]), e.Server.Port,
 		uint8(e.Status), e.Cell, e.Zone, e.Kind, e.Boot, e.Nominal}
 }
 
-func (i Item) entry() (roster.Entry, error) {
+func (i Item) entry() (endpoints.Entry, error) {
 	if i.Status > uint8(scheduler.Draining) {
-		return roster.Entry{}, fmt.Errorf("status %d is not known", i.Status)
+		return endpoints.Entry{}, fmt.Errorf("status %d is not known", i.Status)
 	}
 	if i.Port == 0 {
-		return roster.Entry{}, fmt.Errorf("port 0")
+		return endpoints.Entry{}, fmt.Errorf("port 0")
 	}
 	addr := [4]byte{byte(i.Addr >> 24), byte(i.Addr >> 16), byte(i.Addr >> 8), byte(i.Addr)}
-	return roster.Entry{
+	return endpoints.Entry{
 		Server:  scheduler.Server{Addr: addr, Port: i.Port},
 		Status:  scheduler.Status(i.Status),
 		Cell:    i.Cell,
@@ -77,7 +77,7 @@
 	}, nil
 }
 
-func itemsOf(entries []roster.Entry) []Item {
+func itemsOf(entries []endpoints.Entry) []Item {
 	out := make([]Item, len(entries))
 	for i, e := range entries {
 		out[i] = itemOf(e)
@@ -85,11 +85,11 @@
 	return out
 }
 
-func (m Message) entries() ([]roster.Entry, error) {
+func (m Message) entries() ([]endpoints.Entry, error) {
 	if len(m.Items) > MostEntries {
 		return nil, fmt.Errorf("%d entries; %d at most", len(m.Items), MostEntries)
 	}
-	out := make([]roster.Entry, len(m.Items))
+	out := make([]endpoints.Entry, len(m.Items))
 	for n, i := range m.Items {
 		e, err := i.entry()
 		if err != nil {
@@ -101,15 +101,15 @@
 }
 
 // NewsOf reads a News frame.
-func NewsOf(f proto.Frame) (roster.News, error) {
+func NewsOf(f proto.Frame) (endpoints.News, error) {
 	var m Message
 	if err := f.Decode(&m); err != nil {
-		return roster.News{}, err
+		return endpoints.News{}, err
 	}
 	entries, err := m.entries()
 	if err != nil {
-		return roster.News{}, fmt.Errorf("news: %w", err)
+		return endpoints.News{}, fmt.Errorf("news: %w", err)
 	}
-	return roster.News{Epoch: m.Epoch, Version: m.Version, Since: m.Since, Whole: m.Whole,
+	return endpoints.News{Epoch: m.Epoch, Version: m.Version, Since: m.Since, Whole: m.Whole,
 		Entries: entries}, nil
 }
--- a/internal/nodelist/nodelist_test.go
+++ b/internal/nodelist/nodelist_test.go
@@ -15,26 +15,26 @@
 
 	"go.uber.org/goleak"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/keep"
 	"landingpaddle/internal/proto"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func entry(port int, s scheduler.Status) roster.Entry {
+func entry(port int, s scheduler.Status) endpoints.Entry {
 	server, _ := ServerOf(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)))
-	return roster.Entry{Server: server, Status: s, Cell: uint16(port), Boot: 7, Nominal: 1}
+	return endpoints.Entry{Server: server, Status: s, Cell: uint16(port), Boot: 7, Nominal: 1}
 }
 
 // rig is a list service and one client of it.
 type rig struct {
 	s    *Server
 	c    *Client
-	news chan roster.News
+	news chan endpoints.News
 	errs chan error
-	told chan roster.Entry
+	told chan endpoints.Entry
 	addr string
 }
 
@@ -44,13 +44,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{news: make(chan roster.News, 64), errs: make(chan error, 64), told: make(chan roster.Entry, 64),
-		addr: ln.Addr().String()}
-	cfg.Told = func(inst uint32, e roster.Entry) { r.told <- e }
+	r := &rig{
+		news: make(chan endpoints.News, 64),
+		errs: make(chan error, 64),
+		told: make(chan endpoints.Entry, 64),
+		addr: ln.Addr().String(),
+	}
+	cfg.Told = func(inst uint32, e endpoints.Entry) { r.told <- e }
 	cfg.Epoch = 9
 	r.s = NewServer(cfg)
 	r.c = NewClient(ClientConfig{Addr: r.addr, Push: push, Again: 20 * time.Millisecond, Held: held,
-		Hear: func(n roster.News) { r.news <- n }, Failed: func(err error) { r.errs <- err }})
+		Hear: func(n endpoints.News) { r.news <- n }, Failed: func(err error) { r.errs <- err }})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = r.s.Serve(ctx, ln) })
@@ -125,7 +129,7 @@
 		t.Fatalf("empty list: %+v", n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	changes := make(chan roster.Entry, 1)
+	changes := make(chan endpoints.Entry, 1)
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = Register(ctx, r.addr, proto.Config{}, changes) })
 	began := time.Now()
@@ -169,11 +173,11 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	news, errs := make(chan roster.News, 8), make(chan error, 8)
+	news, errs := make(chan endpoints.News, 8), make(chan error, 8)
 	for _, push := range []bool{false, true} {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := NewClient(ClientConfig{Addr: addr, Push: push, Again: 20 * time.Millisecond,
-			Hear: func(n roster.News) { news <- n }, Failed: func(err error) {
+			Hear: func(n endpoints.News) { news <- n }, Failed: func(err error) {
 				select {
 				case errs <- err:
 				default:
@@ -203,8 +207,12 @@
 	if k, err := f.Load(); err != nil || k.Version != 0 {
 		t.Fatalf("no file: %+v, %v", k, err)
 	}
-	want := roster.Kept{Epoch: 3, Version: 4, Entries: []roster.Entry{entry(1, scheduler.Ready), entry(2,
-		scheduler.Draining)}}
+	want := endpoints.Kept{
+		Epoch:   3,
+		Version: 4,
+		Entries: []endpoints.Entry{entry(1, scheduler.Ready), entry(2,
+			scheduler.Draining)},
+	}
 	if err := f.Save(want); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nodelist/stored_test.go
+++ b/internal/nodelist/stored_test.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"landingpaddle/roster"
+	"landingpaddle/endpoints"
 	"landingpaddle/scheduler"
 )
 
@@ -16,8 +16,8 @@
 	stoppedList = "testdata/list-stop.bin" // written by a process that followed a list service
 )
 
-func storedKept() roster.Kept {
-	return roster.Kept{Epoch: 1_780_000_000_000_000_001, Version: 12, Entries: []roster.Entry{
+func storedKept() endpoints.Kept {
+	return endpoints.Kept{Epoch: 1_780_000_000_000_000_001, Version: 12, Entries: []endpoints.Entry{
 		{
 			Server:  scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
 			Status:  scheduler.Ready,
@@ -68,7 +68,7 @@
 }
 
 // sameListBytes checks that a list is written as the file that it was read from.
-func sameListBytes(t *testing.T, path string, k roster.Kept) {
+func sameListBytes(t *testing.T, path string, k endpoints.Kept) {
 	t.Helper()
 	want, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/platform/book.go
+++ b/internal/platform/book.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/wire"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -80,8 +80,8 @@
 
 // news turns a list into the roster's form and notes the addresses. An entry that cannot be understood is an
 // error for the whole list: half a list would look like servers that are gone.
-func (b *book) news(l List, since uint64, site *wire.Site) (roster.News, error) {
-	n := roster.News{Version: l.Generation, Since: since, Whole: l.Reset}
+func (b *book) news(l List, since uint64, site *wire.Site) (endpoints.News, error) {
+	n := endpoints.News{Version: l.Generation, Since: since, Whole: l.Reset}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range l.Instances {
@@ -118,8 +118,8 @@
 	return n, nil
 }
 
-func entry(l *Listed, site *wire.Site) (roster.Entry, error) {
-	e := roster.Entry{Server: serverOf(l.ID), Cell: uint16(l.Cell), Zone: site.Zone(l.Zone),
+func entry(l *Listed, site *wire.Site) (endpoints.Entry, error) {
+	e := endpoints.Entry{Server: serverOf(l.ID), Cell: uint16(l.Cell), Zone: site.Zone(l.Zone),
 		Kind: site.Kind(l.Kind), Nominal: l.Weight}
 	switch l.Lifecycle {
 	case "ready":
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/sched"
 	"landingpaddle/internal/wire"
-	"landingpaddle/roster"
 )
 
 // A watch that falls silent, and a first call after it that fails, must both be noticed early enough that a
@@ -248,7 +248,7 @@
 	}
 	defer a.close()
 	if version > 0 { // the watch stands: if it has nothing to tell, its heartbeat is all that comes
-		d.core.Hear(roster.News{Version: version, Since: version})
+		d.core.Hear(endpoints.News{Version: version, Since: version})
 	}
 	for messages := json.NewDecoder(a); ; {
 		a.left = maxList
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/sched"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -124,7 +124,7 @@
 	last, end := stopTimes(&cfg.Site.Control)
 	s.core = sched.NewCore(sched.CoreConfig{Seed: cfg.Seed, Settings: cfg.Site.Control,
 		Tick: cfg.Site.Control.BatchInterval, Transit: transit, AnswerSlack: cfg.Site.AnswerSlack + lateSlack,
-		Known:   roster.Kept{Version: news.Version, Entries: news.Entries},
+		Known:   endpoints.Kept{Version: news.Version, Entries: news.Entries},
 		OneList: cfg.Known != nil, Name: s.book.name, StopWithin: end - last, Log: s.log})
 	s.front = newFront(s.core, &s.cfg.Site, s.log, s.lim)
 	return s, nil
--- a/internal/sched/edges_test.go
+++ b/internal/sched/edges_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/proto"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -33,7 +33,10 @@
 	edges := &noEdges{}
 	server := scheduler.Server{Addr: [4]byte{1}, Port: 1}
 	c := NewCore(CoreConfig{AnswerSlack: 8 * time.Millisecond, OneList: true,
-		Known: roster.Kept{Version: 3, Entries: []roster.Entry{{Server: server, Status: scheduler.Ready}}},
+		Known: endpoints.Kept{
+			Version: 3,
+			Entries: []endpoints.Entry{{Server: server, Status: scheduler.Ready}},
+		},
 		Settings: scheduler.Settings{Instances: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 1,
 			Classes: []scheduler.Class{
 				{LatencyObjective: time.Second, Deadline: time.Second, Idempotency: scheduler.NotIdempotent},
@@ -76,13 +79,13 @@
 // kept.
 func TestKeptListOfOneService(t *testing.T) {
 	for _, one := range []bool{true, false} {
-		view := roster.New(0)
-		view.Restore(roster.Clock{Now: time.Hour}, roster.Kept{Version: 3})
+		view := endpoints.New(0)
+		view.Restore(endpoints.Clock{Now: time.Hour}, endpoints.Kept{Version: 3})
 		if one {
 			view.Continue()
 		}
-		_, verdict := view.Hear(roster.Clock{Now: time.Hour}, roster.News{Version: 4, Since: 3})
-		if (verdict == roster.Believed) != one {
+		_, verdict := view.Hear(endpoints.Clock{Now: time.Hour}, endpoints.News{Version: 4, Since: 3})
+		if (verdict == endpoints.Believed) != one {
 			t.Errorf("one service %v: verdict %v", one, verdict)
 		}
 	}
--- a/internal/sched/learnt.go
+++ b/internal/sched/learnt.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"landingpaddle/carry"
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/keep"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -48,7 +48,7 @@
 
 // recall hands the module what still means the same by a list. Nodes of which it has heard since keep what it
 // learnt of them itself.
-func (l *loop) recall(listed []roster.Entry) {
+func (l *loop) recall(listed []endpoints.Entry) {
 	if l.before == nil || len(listed) == 0 {
 		return
 	}
--- a/internal/sched/loop.go
+++ b/internal/sched/loop.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"landingpaddle/carry"
+	"landingpaddle/endpoints"
 	"landingpaddle/extent"
 	"landingpaddle/internal/proto"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -70,7 +70,7 @@
 	before  *carry.Record        // what an earlier life learnt; nil: nothing to believe
 	set     scheduler.Settings
 	plan    *extent.Planner // nil: no ranged requests
-	view    *roster.Roster
+	view    *endpoints.Roster
 	timers  timers
 	nextID  uint32
 	wholes  uint64
@@ -92,8 +92,15 @@
 func newLoop(c *Core, edges Edges) *loop {
 	set := c.cfg.Settings
 	module := scheduler.New(c.cfg.Seed, set)
-	l := &loop{c: c, edges: edges, host: module, module: module, set: set, view: roster.New(c.cfg.ClockSkew),
-		reqs: map[uint32]*request{}}
+	l := &loop{
+		c:      c,
+		edges:  edges,
+		host:   module,
+		module: module,
+		set:    set,
+		view:   endpoints.New(c.cfg.ClockSkew),
+		reqs:   map[uint32]*request{},
+	}
 	if e := c.cfg.Extents; e != nil {
 		l.plan = extent.New(*e)
 		module.SetBatcher(l.plan)
@@ -222,7 +229,7 @@
 					Latency: l.now - a.at})
 			}
 		}
-	case roster.News:
+	case endpoints.News:
 		l.news(x)
 	case listFailed:
 		l.c.log.Warn("list call failed", "error", x.err)
@@ -246,14 +253,14 @@
 	}
 }
 
-func (l *loop) news(n roster.News) {
+func (l *loop) news(n endpoints.News) {
 	m, verdict := l.view.Hear(l.c.clock(), n)
 	switch verdict {
-	case roster.Gap:
+	case endpoints.Gap:
 		l.c.log.Info("list has a gap", "version", n.Version, "since", n.Since)
 		l.c.held.Store(&[2]uint64{})
 		l.edges.List.FetchWhole()
-	case roster.Believed:
+	case endpoints.Believed:
 		l.members(m)
 		if m.Kind == scheduler.UpdateFull { // the first whole list of a life ends what is taken over
 			l.recall(l.view.Keep().Entries)
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -18,12 +18,12 @@
 	"golang.org/x/sync/errgroup"
 
 	"landingpaddle/carry"
+	"landingpaddle/endpoints"
 	"landingpaddle/extent"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/peer"
 	"landingpaddle/internal/proto"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -72,7 +72,7 @@
 	ClockSkew   time.Duration    // of nodes' clocks
 	Extents     *extent.Settings // nil: no ranged requests
 	Kept        nodelist.File    // the list kept from before a restart;
-	Known       roster.Kept      // without such a file, the list as it was told at the start
+	Known       endpoints.Kept   // without such a file, the list as it was told at the start
 	OneList     bool             // the list service goes on as it was: changes to what was kept are believed
 	Learnt      string           // file of what was learnt; "": nothing is kept
 	Facts       carry.Site       // on which the meaning of that hangs
@@ -88,7 +88,7 @@
 	log       *slog.Logger
 	start     time.Time
 	in        *inbox
-	kept      chan roster.Kept
+	kept      chan endpoints.Kept
 	held      atomic.Pointer[[2]uint64] // epoch and version of the list held
 	open      atomic.Int64              // calls admitted and not answered
 	standings standings
@@ -100,7 +100,7 @@
 
 // NewCore prepares a scheduler; Loop makes it work.
 func NewCore(cfg CoreConfig) *Core {
-	c := &Core{cfg: cfg, log: cfg.Log, start: time.Now(), in: newInbox(), kept: make(chan roster.Kept, 1),
+	c := &Core{cfg: cfg, log: cfg.Log, start: time.Now(), in: newInbox(), kept: make(chan endpoints.Kept, 1),
 		ready: make(chan struct{}), stop: make(chan struct{})}
 	if c.log == nil {
 		c.log = slog.New(slog.DiscardHandler)
@@ -198,8 +198,8 @@
 	return i.link.Addr()
 }
 
-func (c *Core) clock() roster.Clock {
-	return roster.Clock{Now: c.Now(), Wall: time.Now().UnixNano()}
+func (c *Core) clock() endpoints.Clock {
+	return endpoints.Clock{Now: c.Now(), Wall: time.Now().UnixNano()}
 }
 
 // Stop ends the scheduler in order: it takes nothing new, answers all that it holds, then Run returns.
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -19,11 +19,11 @@
 
 	"go.uber.org/goleak"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/peer"
 	"landingpaddle/internal/proto"
-	"landingpaddle/roster"
 	"landingpaddle/scheduler"
 )
 
@@ -142,9 +142,9 @@
 	})
 }
 
-func (n *fakeNode) entry(cell uint16, s scheduler.Status) roster.Entry {
+func (n *fakeNode) entry(cell uint16, s scheduler.Status) endpoints.Entry {
 	server, _ := nodelist.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
-	return roster.Entry{Server: server, Status: s, Cell: cell, Nominal: 1}
+	return endpoints.Entry{Server: server, Status: s, Cell: cell, Nominal: 1}
 }
 
 // echo answers each request at once.
