--- a/carry/carry.go
+++ b/carry/carry.go
@@ -57,12 +57,12 @@
 }
 
 // Keep makes the record of what was learnt, of the nodes that are listed.
-func Keep(wall int64, site Site, l scheduler.Statistics, listed []endpoints.Entry) Record {
+func Keep(wall int64, site Site, l scheduler.Statistics, listed []endpoints.Endpoint) Record {
 	r := Record{Written: wall, Site: site, Classes: l.Classes, Usual: l.AllClasses, Median: l.MedianLatency,
 		Lately: l.RecentLatency}
 	for _, e := range listed {
 		if n, ok := l.Nodes[e.Server]; ok {
-			r.Nodes = append(r.Nodes, Node{e.Server, e.Boot, n})
+			r.Nodes = append(r.Nodes, Node{e.Server, e.StartedAt, n})
 		}
 	}
 	return r
@@ -111,7 +111,7 @@
 }
 
 // Over is what of a checked record still means the same under these settings and this list.
-func (r Record) Over(now Site, listed []endpoints.Entry) scheduler.Statistics {
+func (r Record) Over(now Site, listed []endpoints.Endpoint) scheduler.Statistics {
 	out := scheduler.Statistics{Nodes: map[scheduler.Server]scheduler.NodeStatistics{}}
 	if r.Site.Mean != now.Mean || r.Site.Most != now.Most {
 		return out // a unit means something else: so does every size, and every time reckoned by sizes
@@ -119,7 +119,7 @@
 	starts := map[scheduler.Server]int64{}
 	for _, e := range listed {
 		if e.Status == scheduler.Ready {
-			starts[e.Server] = e.Boot
+			starts[e.Server] = e.StartedAt
 		}
 	}
 	for _, n := range r.Nodes {
--- a/carry/carry_test.go
+++ b/carry/carry_test.go
@@ -16,10 +16,10 @@
 	return Site{Mean: 2, Most: 8, Classes: []Class{{"read", false}, {"write", true}}}
 }
 
-func listed() []endpoints.Entry {
-	return []endpoints.Entry{{Server: server(1), Status: scheduler.Ready, Boot: 10},
-		{Server: server(2), Status: scheduler.Ready, Boot: 20},
-		{Server: server(3), Status: scheduler.Ready, Boot: 30}}
+func listed() []endpoints.Endpoint {
+	return []endpoints.Endpoint{{Server: server(1), Status: scheduler.Ready, StartedAt: 10},
+		{Server: server(2), Status: scheduler.Ready, StartedAt: 20},
+		{Server: server(3), Status: scheduler.Ready, StartedAt: 30}}
 }
 
 const wall = int64(time.Hour) * 1000
@@ -51,7 +51,7 @@
 // A node that started anew, drains or is another is learnt afresh.
 func TestOnlyTheSameStartOfANodeCarriesOver(t *testing.T) {
 	list := listed()
-	list[0].Boot++
+	list[0].StartedAt++
 	list[1].Status = scheduler.Draining
 	l := record().Over(site(), list)
 	if _, same := l.Nodes[server(3)]; len(l.Nodes) != 1 || !same {
--- a/cmd/landingpaddle/standins.go
+++ b/cmd/landingpaddle/standins.go
@@ -71,9 +71,9 @@
 		return err
 	}
 	events := lab.NewLog()
-	told := func(instance uint32, e endpoints.Entry) {
+	told := func(instance uint32, e endpoints.Endpoint) {
 		addr := nodelist.AddrOf(e.Server).String()
-		events.Add(lab.Event{Kind: lab.KindTold, Inst: int(instance), Node: -1, Boot: e.Boot,
+		events.Add(lab.Event{Kind: lab.KindTold, Inst: int(instance), Node: -1, Boot: e.StartedAt,
 			Status: e.Status.String(), Reason: addr})
 	}
 	s := nodelist.NewServer(nodelist.ServerConfig{Epoch: uint64(time.Now().UnixNano()), Delay: set.Delay,
--- a/endpoints/roster.go
+++ b/endpoints/roster.go
@@ -23,157 +23,167 @@
 }
 
 // Entry is one node as the list service tells of it.
-type Entry struct {
-	Server  scheduler.Server
-	Status  scheduler.Status
-	Cell    uint16
-	Zone    uint8
-	Kind    uint8
-	Boot    int64 // Unix nanoseconds of the node's clock at its last start; 0: long ago
-	Nominal float64
+type Endpoint struct {
+	Server          scheduler.Server
+	Status          scheduler.Status
+	Cell            uint16
+	Zone            uint8
+	MachineType     uint8
+	StartedAt       int64 // Unix nanoseconds of the node's clock at its last start; 0: long ago
+	NominalCapacity float64
 }
 
 // News is what a list service sends.
-type News struct {
-	Epoch   uint64 // of the list service's life
-	Version uint64 // of the list; grows within an epoch
-	Since   uint64 // of a change: the version it builds on
-	Whole   bool   // the whole list, else only what changed
-	Entries []Entry
+type Update struct {
+	Epoch       uint64 // of the list service's life
+	Version     uint64 // of the list; grows within an epoch
+	BaseVersion uint64 // of a change: the version it builds on
+	Full        bool   // the whole list, else only what changed
+	Endpoints   []Endpoint
 }
 
 // Kept is what a restarted instance may believe.
-type Kept struct {
-	Epoch   uint64
-	Version uint64
-	Entries []Entry
+type Snapshot struct {
+	Epoch     uint64
+	Version   uint64
+	Endpoints []Endpoint
 }
 
 // Roster is the view. Its zero value is not usable; see New.
-type Roster struct {
-	skew    time.Duration
-	epoch   uint64
-	version uint64
-	known   bool // a list was heard in this life
-	entries map[scheduler.Server]Entry
-	notices map[scheduler.Server]int64                   // start of the node that said it drains
-	boots   map[scheduler.Server]map[int64]time.Duration // starts as first turned into this instance's clock
+type View struct {
+	skew         time.Duration
+	epoch        uint64
+	version      uint64
+	trusted      bool // a list was heard in this life
+	listed       map[scheduler.Server]Endpoint
+	drainNotices map[scheduler.Server]int64 // start of the node that said it drains
+	// starts as first turned into this instance's clock
+	startTimes map[scheduler.Server]map[int64]time.Duration
 }
 
 // longAgo is the age from which on a start no longer matters to anybody: warm-ups take seconds or minutes.
-const longAgo = 30 * time.Minute
+const maxStartAge = 30 * time.Minute
 
 // New makes an empty view. Node clocks may differ from this instance's by up to skew.
-func New(skew time.Duration) *Roster {
-	return &Roster{skew: skew, entries: map[scheduler.Server]Entry{}, notices: map[scheduler.Server]int64{},
-		boots: map[scheduler.Server]map[int64]time.Duration{}}
+func New(skew time.Duration) *View {
+	return &View{
+		skew:         skew,
+		listed:       map[scheduler.Server]Endpoint{},
+		drainNotices: map[scheduler.Server]int64{},
+		startTimes:   map[scheduler.Server]map[int64]time.Duration{},
+	}
 }
 
 // Verdict tells what to do with news.
-type Verdict uint8
+type ApplyResult uint8
 
 // The verdicts.
 const (
-	Believed Verdict = iota
-	Old              // older than what is held: nothing to do
-	Gap              // changes to a list that is not held: the whole list must be asked for
+	Applied ApplyResult = iota
+	Stale               // older than what is held: nothing to do
+	Gap                 // changes to a list that is not held: the whole list must be asked for
 )
 
 // Restore takes the list kept from before a restart, and tells the module of it.
-func (r *Roster) Restore(c Clock, k Kept) scheduler.EndpointUpdate {
-	r.epoch, r.version = k.Epoch, k.Version
-	for _, e := range k.Entries {
-		r.entries[e.Server] = e
+func (v *View) Restore(c Clock, k Snapshot) scheduler.EndpointUpdate {
+	v.epoch, v.version = k.Epoch, k.Version
+	for _, e := range k.Endpoints {
+		v.listed[e.Server] = e
 	}
 	return scheduler.EndpointUpdate{
-		Version:   r.version,
+		Version:   v.version,
 		Kind:      scheduler.UpdateCached,
-		Endpoints: r.tell(c, r.sorted()),
+		Endpoints: v.moduleEndpoints(c, v.sorted()),
 	}
 }
 
 // Hear takes news in. Only of what is believed is there something to tell the module.
-func (r *Roster) Hear(c Clock, n News) (scheduler.EndpointUpdate, Verdict) {
-	if !n.Whole && (!r.known || n.Epoch != r.epoch || n.Since > r.version) {
+func (v *View) Apply(c Clock, n Update) (scheduler.EndpointUpdate, ApplyResult) {
+	if !n.Full && (!v.trusted || n.Epoch != v.epoch || n.BaseVersion > v.version) {
 		return scheduler.EndpointUpdate{}, Gap
 	}
-	if r.known && n.Epoch == r.epoch && n.Version < r.version {
-		return scheduler.EndpointUpdate{}, Old
+	if v.trusted && n.Epoch == v.epoch && n.Version < v.version {
+		return scheduler.EndpointUpdate{}, Stale
 	}
-	form, before, told := scheduler.UpdateDelta, r.entries, make([]Entry, 0, len(n.Entries))
-	if n.Whole {
-		form, r.entries = scheduler.UpdateFull, map[scheduler.Server]Entry{}
+	form, before, told := scheduler.UpdateDelta, v.listed, make([]Endpoint, 0, len(n.Endpoints))
+	if n.Full {
+		form, v.listed = scheduler.UpdateFull, map[scheduler.Server]Endpoint{}
 	}
-	for _, e := range n.Entries {
-		if old, ok := before[e.Server]; ok && old.Boot > e.Boot {
-			e.Boot = old.Boot // the node has told of a later start than this list knows: it is still as cold
+	for _, e := range n.Endpoints {
+		if old, ok := before[e.Server]; ok && old.StartedAt > e.StartedAt {
+			// the node has told of a later start than this list knows: it is still as cold
+			e.StartedAt = old.StartedAt
 		}
 		if e.Status == scheduler.Gone {
-			delete(r.entries, e.Server)
+			delete(v.listed, e.Server)
 		} else {
-			r.entries[e.Server] = e
+			v.listed[e.Server] = e
 		}
 		told = append(told, e)
 	}
-	r.known, r.epoch, r.version = true, n.Epoch, n.Version
-	if n.Whole {
-		told = r.sorted()
+	v.trusted, v.epoch, v.version = true, n.Epoch, n.Version
+	if n.Full {
+		told = v.sorted()
 	}
-	m := scheduler.EndpointUpdate{Version: n.Version, Kind: form, Endpoints: r.tell(c, told)}
-	r.forget()
-	return m, Believed
+	m := scheduler.EndpointUpdate{Version: n.Version, Kind: form, Endpoints: v.moduleEndpoints(c, told)}
+	v.pruneStarts()
+	return m, Applied
 }
 
 // Notice takes in that a node said itself that it drains. The start is the one the node gave in its greeting;
 // the notice speaks of that life of the node only. The second result is false where nothing changes.
-func (r *Roster) Notice(c Clock, server scheduler.Server, start int64) (scheduler.EndpointUpdate, bool) {
-	e, ok := r.entries[server]
-	if !ok || e.Boot > start && start != 0 {
+func (v *View) ApplyDrainNotice(
+	c Clock,
+	server scheduler.Server,
+	start int64,
+) (scheduler.EndpointUpdate, bool) {
+	e, ok := v.listed[server]
+	if !ok || e.StartedAt > start && start != 0 {
 		return scheduler.EndpointUpdate{}, false // not listed, or a newer life of it is
 	}
-	if old, ok := r.notices[server]; ok && old >= start {
+	if old, ok := v.drainNotices[server]; ok && old >= start {
 		return scheduler.EndpointUpdate{}, false
 	}
-	r.notices[server] = start
+	v.drainNotices[server] = start
 	if e.Status == scheduler.Draining {
 		return scheduler.EndpointUpdate{}, false
 	}
 	return scheduler.EndpointUpdate{
-		Version:   r.version,
+		Version:   v.version,
 		Kind:      scheduler.UpdateDelta,
-		Endpoints: r.tell(c, []Entry{e}),
+		Endpoints: v.moduleEndpoints(c, []Endpoint{e}),
 	}, true
 }
 
 // Keep is what is worth keeping for a restart: the list as heard, without the notices, which a restarted
 // instance hears again from the nodes themselves.
-func (r *Roster) Keep() Kept { return Kept{r.epoch, r.version, r.sorted()} }
+func (v *View) Snapshot() Snapshot { return Snapshot{v.epoch, v.version, v.sorted()} }
 
 // Held is the version of the list held, to ask for changes since; 0 until a list was heard.
-func (r *Roster) Held() (epoch, version uint64) {
-	if !r.known {
+func (v *View) Version() (epoch, version uint64) {
+	if !v.trusted {
 		return 0, 0
 	}
-	return r.epoch, r.version
+	return v.epoch, v.version
 }
 
-func (r *Roster) sorted() []Entry {
-	return slices.SortedFunc(maps.Values(r.entries), ByServer)
+func (v *View) sorted() []Endpoint {
+	return slices.SortedFunc(maps.Values(v.listed), ByServer)
 }
 
 // ByServer orders entries by address and port.
-func ByServer(a, b Entry) int { return a.Server.Compare(b.Server) }
+func ByServer(a, b Endpoint) int { return a.Server.Compare(b.Server) }
 
 // tell turns entries into the module's form.
-func (r *Roster) tell(c Clock, entries []Entry) []scheduler.Endpoint {
+func (v *View) moduleEndpoints(c Clock, entries []Endpoint) []scheduler.Endpoint {
 	out := make([]scheduler.Endpoint, 0, len(entries))
 	for _, e := range entries {
 		status := e.Status
-		if start, ok := r.notices[e.Server]; ok && status == scheduler.Ready && e.Boot <= start {
+		if start, ok := v.drainNotices[e.Server]; ok && status == scheduler.Ready && e.StartedAt <= start {
 			status = scheduler.Draining // the list is late: the node has said otherwise since
 		}
 		out = append(out, scheduler.Endpoint{Server: e.Server, Status: status, Cell: e.Cell, Zone: e.Zone,
-			MachineType: e.Kind, StartedAt: r.bootTime(c, e), NominalCapacity: e.Nominal})
+			MachineType: e.MachineType, StartedAt: v.startTime(c, e), NominalCapacity: e.NominalCapacity})
 	}
 	return out
 }
@@ -182,49 +192,49 @@
 // start told again must not look like a new one when the clocks drift. A node whose clock is behind ours
 // seems to have started earlier than it has, and would be held for warm too soon: the skew is added, so that
 // a node counts as cold for a little longer rather than shorter. No start lies in the future.
-func (r *Roster) bootTime(c Clock, e Entry) time.Duration {
-	if e.Boot == 0 {
+func (v *View) startTime(c Clock, e Endpoint) time.Duration {
+	if e.StartedAt == 0 {
 		return 0
 	}
-	if b, ok := r.boots[e.Server][e.Boot]; ok {
+	if b, ok := v.startTimes[e.Server][e.StartedAt]; ok {
 		return b
 	}
-	age := time.Duration(c.Wall - e.Boot)
-	if c.Wall-e.Boot > int64(longAgo+r.skew) {
+	age := time.Duration(c.Wall - e.StartedAt)
+	if c.Wall-e.StartedAt > int64(maxStartAge+v.skew) {
 		return 0
 	}
-	at := c.Now - max(0, age-r.skew)
-	for _, other := range r.boots[e.Server] {
+	at := c.Now - max(0, age-v.skew)
+	for _, other := range v.startTimes[e.Server] {
 		at = max(at, other+1) // another start of the same node is a newer one, whatever the clocks say
 	}
 	if at <= 0 {
 		return 0
 	}
-	if r.boots[e.Server] == nil {
-		r.boots[e.Server] = map[int64]time.Duration{}
+	if v.startTimes[e.Server] == nil {
+		v.startTimes[e.Server] = map[int64]time.Duration{}
 	}
-	r.boots[e.Server][e.Boot] = at
+	v.startTimes[e.Server][e.StartedAt] = at
 	return at
 }
 
 // forget drops what is known of nodes that are listed no more, and of lives that ended: only the newest start
 // of a listed node stays.
-func (r *Roster) forget() {
-	for server, starts := range r.boots {
-		e, listed := r.entries[server]
+func (v *View) pruneStarts() {
+	for server, starts := range v.startTimes {
+		e, listed := v.listed[server]
 		if !listed {
-			delete(r.boots, server)
+			delete(v.startTimes, server)
 			continue
 		}
 		for start := range starts {
-			if start != e.Boot {
+			if start != e.StartedAt {
 				delete(starts, start)
 			}
 		}
 	}
-	for server, start := range r.notices {
-		if e, listed := r.entries[server]; !listed || e.Boot > start {
-			delete(r.notices, server)
+	for server, start := range v.drainNotices {
+		if e, listed := v.listed[server]; !listed || e.StartedAt > start {
+			delete(v.drainNotices, server)
 		}
 	}
 }
@@ -232,20 +242,20 @@
 // Greeted takes in the start that a node stated on a connection. One that is newer than the listed start
 // tells of a restart before the late list does: the node is cold now. The second result is false where
 // nothing changes.
-func (r *Roster) Greeted(c Clock, server scheduler.Server, start int64) (scheduler.EndpointUpdate, bool) {
-	e, ok := r.entries[server]
-	if !ok || e.Boot == 0 || start <= e.Boot {
+func (v *View) ApplyGreeting(c Clock, server scheduler.Server, start int64) (scheduler.EndpointUpdate, bool) {
+	e, ok := v.listed[server]
+	if !ok || e.StartedAt == 0 || start <= e.StartedAt {
 		return scheduler.EndpointUpdate{}, false
 	}
-	e.Boot = start // its status stays as listed: that a drain is over is for the list to tell
-	r.entries[server] = e
+	e.StartedAt = start // its status stays as listed: that a drain is over is for the list to tell
+	v.listed[server] = e
 	return scheduler.EndpointUpdate{
-		Version:   r.version,
+		Version:   v.version,
 		Kind:      scheduler.UpdateDelta,
-		Endpoints: r.tell(c, []Entry{e}),
+		Endpoints: v.moduleEndpoints(c, []Endpoint{e}),
 	}, true
 }
 
 // Continue tells that the list service goes on as it was when the list was kept: changes to that are
 // believed.
-func (r *Roster) Continue() { r.known = true }
+func (v *View) TrustRestored() { v.trusted = true }
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -247,13 +247,13 @@
 	}
 }
 
-func (p *player) told(inst uint32, e endpoints.Entry) {
+func (p *player) told(inst uint32, e endpoints.Endpoint) {
 	node, ok := p.byAdr[nodelist.AddrOf(e.Server)]
 	if !ok {
 		return
 	}
 	p.log.Add(Event{Kind: KindTold, Inst: int(inst), Node: node, Status: e.Status.String(),
-		Boot: e.Boot})
+		Boot: e.StartedAt})
 }
 
 func (p *player) runNode(ctx context.Context, g *errgroup.Group, n *Node) {
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -180,7 +180,7 @@
 	heard    map[uint64]map[int]float64 // and what each instance was told of them
 	last     []uint64                   // keys
 	debt     time.Duration              // deferred work
-	status   chan endpoints.Entry
+	status   chan endpoints.Endpoint
 }
 
 type sentUnits struct {
@@ -204,7 +204,7 @@
 	l := &life{n: n, boot: time.Now(), cold: n.cfg.Cold || n.runs > 0, kill: cancel,
 		queue: make(chan *op, n.cfg.Kind.Queue), rng: rand.New(rand.NewPCG(n.cfg.Seed, uint64(2+n.runs))),
 		conns: map[*proto.Conn]map[uint64]*op{}, served: map[uint64]map[int]float64{},
-		heard: map[uint64]map[int]float64{}, status: make(chan endpoints.Entry, 4)}
+		heard: map[uint64]map[int]float64{}, status: make(chan endpoints.Endpoint, 4)}
 	n.runs++
 	if l.cold {
 		l.told = n.cfg.Log.Now() + int64(n.cfg.Ahead)
@@ -246,13 +246,19 @@
 	return nil, err
 }
 
-func (l *life) entry(s scheduler.Status) endpoints.Entry {
+func (l *life) entry(s scheduler.Status) endpoints.Endpoint {
 	server, err := nodelist.ServerOf(l.n.cfg.Addr)
 	if err != nil {
 		panic(err) // bound as IPv4
 	}
-	return endpoints.Entry{Server: server, Status: s, Cell: l.n.cfg.Cell, Zone: l.n.cfg.Zone, Boot: l.told,
-		Nominal: 1}
+	return endpoints.Endpoint{
+		Server:          server,
+		Status:          s,
+		Cell:            l.n.cfg.Cell,
+		Zone:            l.n.cfg.Zone,
+		StartedAt:       l.told,
+		NominalCapacity: 1,
+	}
 }
 
 func (l *life) log(e Event) {
--- a/internal/nodelist/client.go
+++ b/internal/nodelist/client.go
@@ -27,7 +27,7 @@
 	Held func() (epoch, version uint64)
 	// Hear takes news, Failed that a call failed or a watch broke. Both are called from the client's
 	// goroutines and must not block.
-	Hear   func(endpoints.News)
+	Hear   func(endpoints.Update)
 	Failed func(error)
 }
 
--- a/internal/nodelist/kept.go
+++ b/internal/nodelist/kept.go
@@ -20,8 +20,8 @@
 }
 
 // Save keeps a list.
-func (f File) Save(k endpoints.Kept) error {
-	m := Message{Epoch: k.Epoch, Version: k.Version, Whole: true, Items: itemsOf(k.Entries)}
+func (f File) Save(k endpoints.Snapshot) error {
+	m := Message{Epoch: k.Epoch, Version: k.Version, Whole: true, Items: itemsOf(k.Endpoints)}
 	data, err := keep.Encode(keptMagic, m)
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.Path, err)
@@ -38,29 +38,29 @@
 
 // Load reads the kept list. No file is an empty list. A file cut short or changed is an error that tells
 // where; the instance then starts as if it had none.
-func (f File) Load() (endpoints.Kept, error) {
+func (f File) Load() (endpoints.Snapshot, error) {
 	data, err := os.ReadFile(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return endpoints.Kept{}, nil
+		return endpoints.Snapshot{}, nil
 	}
 	if err != nil {
-		return endpoints.Kept{}, err
+		return endpoints.Snapshot{}, err
 	}
 	k, err := parseKept(data)
 	if err != nil {
-		return endpoints.Kept{}, fmt.Errorf("%s: %w", f.Path, err)
+		return endpoints.Snapshot{}, fmt.Errorf("%s: %w", f.Path, err)
 	}
 	return k, nil
 }
 
-func parseKept(data []byte) (endpoints.Kept, error) {
+func parseKept(data []byte) (endpoints.Snapshot, error) {
 	var m Message
 	if err := keep.Decode(keptMagic, data, &m); err != nil {
-		return endpoints.Kept{}, err
+		return endpoints.Snapshot{}, err
 	}
 	entries, err := m.entries()
 	if err != nil {
-		return endpoints.Kept{}, fmt.Errorf("%w: %w", keep.ErrBad, err)
+		return endpoints.Snapshot{}, fmt.Errorf("%w: %w", keep.ErrBad, err)
 	}
-	return endpoints.Kept{Epoch: m.Epoch, Version: m.Version, Entries: entries}, nil
+	return endpoints.Snapshot{Epoch: m.Epoch, Version: m.Version, Endpoints: entries}, nil
 }
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -52,32 +52,32 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(s.Addr), s.Port)
 }
 
-func itemOf(e endpoints.Entry) Item {
+func itemOf(e endpoints.Endpoint) Item {
 	a := e.Server.Addr
 	return Item{uint32(a[0])<<24 | uint32(a[1])<<16 | uint32(a[2])<<8 | uint32(a[3]), e.Server.Port,
-		uint8(e.Status), e.Cell, e.Zone, e.Kind, e.Boot, e.Nominal}
+		uint8(e.Status), e.Cell, e.Zone, e.MachineType, e.StartedAt, e.NominalCapacity}
 }
 
-func (i Item) entry() (endpoints.Entry, error) {
+func (i Item) entry() (endpoints.Endpoint, error) {
 	if i.Status > uint8(scheduler.Draining) {
-		return endpoints.Entry{}, fmt.Errorf("status %d is not known", i.Status)
+		return endpoints.Endpoint{}, fmt.Errorf("status %d is not known", i.Status)
 	}
 	if i.Port == 0 {
-		return endpoints.Entry{}, fmt.Errorf("port 0")
+		return endpoints.Endpoint{}, fmt.Errorf("port 0")
 	}
 	addr := [4]byte{byte(i.Addr >> 24), byte(i.Addr >> 16), byte(i.Addr >> 8), byte(i.Addr)}
-	return endpoints.Entry{
-		Server:  scheduler.Server{Addr: addr, Port: i.Port},
-		Status:  scheduler.Status(i.Status),
-		Cell:    i.Cell,
-		Zone:    i.Zone,
-		Kind:    i.Kind,
-		Boot:    i.Boot,
-		Nominal: i.Nominal,
+	return endpoints.Endpoint{
+		Server:          scheduler.Server{Addr: addr, Port: i.Port},
+		Status:          scheduler.Status(i.Status),
+		Cell:            i.Cell,
+		Zone:            i.Zone,
+		MachineType:     i.Kind,
+		StartedAt:       i.Boot,
+		NominalCapacity: i.Nominal,
 	}, nil
 }
 
-func itemsOf(entries []endpoints.Entry) []Item {
+func itemsOf(entries []endpoints.Endpoint) []Item {
 	out := make([]Item, len(entries))
 	for i, e := range entries {
 		out[i] = itemOf(e)
@@ -85,11 +85,11 @@
 	return out
 }
 
-func (m Message) entries() ([]endpoints.Entry, error) {
+func (m Message) entries() ([]endpoints.Endpoint, error) {
 	if len(m.Items) > MostEntries {
 		return nil, fmt.Errorf("%d entries; %d at most", len(m.Items), MostEntries)
 	}
-	out := make([]endpoints.Entry, len(m.Items))
+	out := make([]endpoints.Endpoint, len(m.Items))
 	for n, i := range m.Items {
 		e, err := i.entry()
 		if err != nil {
@@ -101,15 +101,15 @@
 }
 
 // NewsOf reads a News frame.
-func NewsOf(f proto.Frame) (endpoints.News, error) {
+func NewsOf(f proto.Frame) (endpoints.Update, error) {
 	var m Message
 	if err := f.Decode(&m); err != nil {
-		return endpoints.News{}, err
+		return endpoints.Update{}, err
 	}
 	entries, err := m.entries()
 	if err != nil {
-		return endpoints.News{}, fmt.Errorf("news: %w", err)
+		return endpoints.Update{}, fmt.Errorf("news: %w", err)
 	}
-	return endpoints.News{Epoch: m.Epoch, Version: m.Version, Since: m.Since, Whole: m.Whole,
-		Entries: entries}, nil
+	return endpoints.Update{Epoch: m.Epoch, Version: m.Version, BaseVersion: m.Since, Full: m.Whole,
+		Endpoints: entries}, nil
 }
--- a/internal/nodelist/nodelist_test.go
+++ b/internal/nodelist/nodelist_test.go
@@ -23,18 +23,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func entry(port int, s scheduler.Status) endpoints.Entry {
+func entry(port int, s scheduler.Status) endpoints.Endpoint {
 	server, _ := ServerOf(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)))
-	return endpoints.Entry{Server: server, Status: s, Cell: uint16(port), Boot: 7, Nominal: 1}
+	return endpoints.Endpoint{Server: server, Status: s, Cell: uint16(port), StartedAt: 7, NominalCapacity: 1}
 }
 
 // rig is a list service and one client of it.
 type rig struct {
 	s    *Server
 	c    *Client
-	news chan endpoints.News
+	news chan endpoints.Update
 	errs chan error
-	told chan endpoints.Entry
+	told chan endpoints.Endpoint
 	addr string
 }
 
@@ -45,16 +45,16 @@
 		t.Fatal(err)
 	}
 	r := &rig{
-		news: make(chan endpoints.News, 64),
+		news: make(chan endpoints.Update, 64),
 		errs: make(chan error, 64),
-		told: make(chan endpoints.Entry, 64),
+		told: make(chan endpoints.Endpoint, 64),
 		addr: ln.Addr().String(),
 	}
-	cfg.Told = func(inst uint32, e endpoints.Entry) { r.told <- e }
+	cfg.Told = func(inst uint32, e endpoints.Endpoint) { r.told <- e }
 	cfg.Epoch = 9
 	r.s = NewServer(cfg)
 	r.c = NewClient(ClientConfig{Addr: r.addr, Push: push, Again: 20 * time.Millisecond, Held: held,
-		Hear: func(n endpoints.News) { r.news <- n }, Failed: func(err error) { r.errs <- err }})
+		Hear: func(n endpoints.Update) { r.news <- n }, Failed: func(err error) { r.errs <- err }})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = r.s.Serve(ctx, ln) })
@@ -79,7 +79,7 @@
 	r.s.Put(entry(1, scheduler.Ready))
 	time.Sleep(50 * time.Millisecond)
 	r.c.Watch(true)
-	if n := next(t, r.news); !n.Whole || len(n.Entries) != 1 || n.Epoch != 9 {
+	if n := next(t, r.news); !n.Full || len(n.Endpoints) != 1 || n.Epoch != 9 {
 		t.Fatalf("first news %+v", n)
 	}
 	if e := next(t, r.told); e.Server.Port != 1 {
@@ -87,7 +87,7 @@
 	}
 	r.s.Put(entry(2, scheduler.Draining))
 	n := next(t, r.news)
-	if n.Whole || n.Since+1 != n.Version || n.Entries[0].Status != scheduler.Draining {
+	if n.Full || n.BaseVersion+1 != n.Version || n.Endpoints[0].Status != scheduler.Draining {
 		t.Errorf("change %+v", n)
 	}
 	r.c.Watch(false)
@@ -97,10 +97,10 @@
 	for tries := 1; ; tries++ {
 		r.c.Fetch()
 		n := next(t, r.news)
-		if n.Whole && len(n.Entries) == 3 {
+		if n.Full && len(n.Endpoints) == 3 {
 			return
 		}
-		if !n.Whole || tries == 100 {
+		if !n.Full || tries == 100 {
 			t.Fatalf("fetch %d after the watch ended: %+v", tries, n)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -113,11 +113,12 @@
 	r.s.Put(entry(2, scheduler.Ready))
 	time.Sleep(50 * time.Millisecond)
 	r.c.Fetch()
-	if n := next(t, r.news); n.Whole || n.Since != 1 || len(n.Entries) != 1 || n.Entries[0].Server.Port != 2 {
+	if n := next(t, r.news); n.Full || n.BaseVersion != 1 || len(n.Endpoints) != 1 ||
+		n.Endpoints[0].Server.Port != 2 {
 		t.Errorf("changes %+v", n)
 	}
 	r.c.FetchWhole()
-	if n := next(t, r.news); !n.Whole || len(n.Entries) != 2 {
+	if n := next(t, r.news); !n.Full || len(n.Endpoints) != 2 {
 		t.Errorf("whole %+v", n)
 	}
 }
@@ -125,23 +126,23 @@
 // Entries come late by the stated time; a node whose process ends is gone, late as well.
 func TestEntriesAreLateAndAProcessThatEndsIsGone(t *testing.T) {
 	r := start(t, ServerConfig{MaxWait: time.Second, Delay: 150 * time.Millisecond}, true, nil)
-	if n := next(t, r.news); !n.Whole || len(n.Entries) != 0 {
+	if n := next(t, r.news); !n.Full || len(n.Endpoints) != 0 {
 		t.Fatalf("empty list: %+v", n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	changes := make(chan endpoints.Entry, 1)
+	changes := make(chan endpoints.Endpoint, 1)
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = Register(ctx, r.addr, proto.Config{}, changes) })
 	began := time.Now()
 	changes <- entry(5, scheduler.Ready)
 	if n := next(t,
-		r.news); n.Entries[0].Status != scheduler.Ready || time.Since(began) < 150*time.Millisecond {
+		r.news); n.Endpoints[0].Status != scheduler.Ready || time.Since(began) < 150*time.Millisecond {
 		t.Errorf("after %v: %+v", time.Since(began), n)
 	}
 	began = time.Now()
 	cancel()
 	wg.Wait()
-	if n := next(t, r.news); n.Entries[0].Status != scheduler.Gone ||
+	if n := next(t, r.news); n.Endpoints[0].Status != scheduler.Gone ||
 		time.Since(began) < 140*time.Millisecond {
 		t.Errorf("after %v: %+v", time.Since(began), n)
 	}
@@ -173,11 +174,11 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	news, errs := make(chan endpoints.News, 8), make(chan error, 8)
+	news, errs := make(chan endpoints.Update, 8), make(chan error, 8)
 	for _, push := range []bool{false, true} {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := NewClient(ClientConfig{Addr: addr, Push: push, Again: 20 * time.Millisecond,
-			Hear: func(n endpoints.News) { news <- n }, Failed: func(err error) {
+			Hear: func(n endpoints.Update) { news <- n }, Failed: func(err error) {
 				select {
 				case errs <- err:
 				default:
@@ -207,17 +208,17 @@
 	if k, err := f.Load(); err != nil || k.Version != 0 {
 		t.Fatalf("no file: %+v, %v", k, err)
 	}
-	want := endpoints.Kept{
+	want := endpoints.Snapshot{
 		Epoch:   3,
 		Version: 4,
-		Entries: []endpoints.Entry{entry(1, scheduler.Ready), entry(2,
+		Endpoints: []endpoints.Endpoint{entry(1, scheduler.Ready), entry(2,
 			scheduler.Draining)},
 	}
 	if err := f.Save(want); err != nil {
 		t.Fatal(err)
 	}
 	got, err := f.Load()
-	if err != nil || len(got.Entries) != 2 || got.Entries[1] != want.Entries[1] || got.Version != 4 {
+	if err != nil || len(got.Endpoints) != 2 || got.Endpoints[1] != want.Endpoints[1] || got.Version != 4 {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	data, _ := os.ReadFile(f.Path)
@@ -245,7 +246,7 @@
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		n, err := NewsOf(proto.Frame{Type: proto.TypeNews, Header: data})
-		if err == nil && len(n.Entries) > MostEntries {
+		if err == nil && len(n.Endpoints) > MostEntries {
 			t.Fatal("more entries than the bound")
 		}
 		_, _ = parseKept(data)
--- a/internal/nodelist/server.go
+++ b/internal/nodelist/server.go
@@ -25,7 +25,7 @@
 	MaxConns int
 	Conn     proto.Config
 	// Told, where set, is called when an instance has acknowledged news of a node.
-	Told func(instance uint32, e endpoints.Entry)
+	Told func(instance uint32, e endpoints.Endpoint)
 }
 
 // Server is the stand-in: nodes register with it and are listed for as long as their connection lasts.
@@ -36,8 +36,8 @@
 	delay    time.Duration
 	down     bool
 	version  uint64
-	listed   map[scheduler.Server]endpoints.Entry // as told; gone ones stay with that status
-	changed  map[scheduler.Server]uint64          // version of the last change
+	listed   map[scheduler.Server]endpoints.Endpoint // as told; gone ones stay with that status
+	changed  map[scheduler.Server]uint64             // version of the last change
 	watchers map[*session]struct{}
 	free     []time.Time // when each worker is free
 	pending  map[*time.Timer]struct{}
@@ -48,7 +48,7 @@
 // change is news of a node that is not told yet.
 type change struct {
 	due   time.Time
-	entry endpoints.Entry
+	entry endpoints.Endpoint
 	ended bool // its process ended, unless another life is listed by then
 }
 
@@ -56,7 +56,7 @@
 type session struct {
 	conn     *proto.Conn
 	instance uint32
-	unheard  map[uint64][]endpoints.Entry // news sent, by version
+	unheard  map[uint64][]endpoints.Endpoint // news sent, by version
 }
 
 // NewServer makes a service that lists nothing.
@@ -65,7 +65,7 @@
 	cfg.Conn.Limits = Limits
 	cfg.Conn.Idle = 24 * time.Hour
 	cfg.Conn.Hello.Role = "list"
-	return &Server{cfg: cfg, delay: cfg.Delay, listed: map[scheduler.Server]endpoints.Entry{},
+	return &Server{cfg: cfg, delay: cfg.Delay, listed: map[scheduler.Server]endpoints.Endpoint{},
 		changed: map[scheduler.Server]uint64{}, watchers: map[*session]struct{}{},
 		free: make([]time.Time, cfg.Workers), pending: map[*time.Timer]struct{}{}}
 }
@@ -118,8 +118,8 @@
 }
 
 func (s *Server) session(ctx context.Context, c *proto.Conn) {
-	w := &session{conn: c, instance: c.Their().Number, unheard: map[uint64][]endpoints.Entry{}}
-	var node *endpoints.Entry
+	w := &session{conn: c, instance: c.Their().Number, unheard: map[uint64][]endpoints.Endpoint{}}
+	var node *endpoints.Endpoint
 	_ = c.Run(ctx, func(f proto.Frame) error { // why a peer left is its own matter
 		switch f.Type {
 		case proto.TypeRegister:
@@ -127,10 +127,10 @@
 			if err != nil {
 				return err
 			}
-			if len(n.Entries) != 1 {
-				return fmt.Errorf("a node registers one entry, not %d", len(n.Entries))
+			if len(n.Endpoints) != 1 {
+				return fmt.Errorf("a node registers one entry, not %d", len(n.Endpoints))
 			}
-			node = &n.Entries[0]
+			node = &n.Endpoints[0]
 			s.Put(*node)
 			return nil
 		case proto.TypeWatch, proto.TypeFetch:
@@ -160,10 +160,10 @@
 }
 
 // Put lists an entry, after the delay.
-func (s *Server) Put(e endpoints.Entry) { s.later(change{entry: e}) }
+func (s *Server) Put(e endpoints.Endpoint) { s.later(change{entry: e}) }
 
 // drop lists a node as gone, after the delay.
-func (s *Server) drop(e endpoints.Entry) { s.later(change{entry: e, ended: true}) }
+func (s *Server) drop(e endpoints.Endpoint) { s.later(change{entry: e, ended: true}) }
 
 // later queues a change. Changes are told in the order in which they came, also where the delay became less.
 func (s *Server) later(c change) {
@@ -186,7 +186,7 @@
 		c := s.coming[0]
 		s.coming = s.coming[1:]
 		if now := s.listed[c.entry.Server]; c.ended {
-			if now.Boot > c.entry.Boot {
+			if now.StartedAt > c.entry.StartedAt {
 				continue
 			}
 			c.entry = now
@@ -196,15 +196,15 @@
 	}
 }
 
-func (s *Server) apply(e endpoints.Entry) {
-	if old, ok := s.listed[e.Server]; ok && old.Boot > e.Boot {
+func (s *Server) apply(e endpoints.Endpoint) {
+	if old, ok := s.listed[e.Server]; ok && old.StartedAt > e.StartedAt {
 		return
 	}
 	s.version++
 	s.listed[e.Server], s.changed[e.Server] = e, s.version
 	for w := range s.watchers {
-		s.tell(w, endpoints.News{Epoch: s.cfg.Epoch, Version: s.version, Since: s.version - 1,
-			Entries: []endpoints.Entry{e}}, 1)
+		s.tell(w, endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: s.version - 1,
+			Endpoints: []endpoints.Endpoint{e}}, 1)
 	}
 }
 
@@ -238,26 +238,26 @@
 }
 
 // since is what has changed since the list that an instance holds, or the whole list where that is unknown.
-func (s *Server) since(ask proto.Ask) endpoints.News {
-	n := endpoints.News{Epoch: s.cfg.Epoch, Version: s.version, Since: ask.Version,
-		Whole: ask.Epoch != s.cfg.Epoch || ask.Version == 0 || ask.Version > s.version}
+func (s *Server) since(ask proto.Ask) endpoints.Update {
+	n := endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: ask.Version,
+		Full: ask.Epoch != s.cfg.Epoch || ask.Version == 0 || ask.Version > s.version}
 	for _, e := range s.listed {
-		if n.Whole && e.Status != scheduler.Gone || !n.Whole && s.changed[e.Server] > ask.Version {
-			n.Entries = append(n.Entries, e)
+		if n.Full && e.Status != scheduler.Gone || !n.Full && s.changed[e.Server] > ask.Version {
+			n.Endpoints = append(n.Endpoints, e)
 		}
 	}
-	slices.SortFunc(n.Entries, endpoints.ByServer)
+	slices.SortFunc(n.Endpoints, endpoints.ByServer)
 	return n
 }
 
-func (s *Server) tell(w *session, n endpoints.News, stream uint64) {
-	m := Message{Epoch: n.Epoch, Version: n.Version, Since: n.Since, Whole: n.Whole,
-		Items: itemsOf(n.Entries)}
+func (s *Server) tell(w *session, n endpoints.Update, stream uint64) {
+	m := Message{Epoch: n.Epoch, Version: n.Version, Since: n.BaseVersion, Whole: n.Full,
+		Items: itemsOf(n.Endpoints)}
 	if w.conn.Post(proto.TypeNews, stream, m, nil) != nil {
 		return
 	}
-	told := n.Entries
-	if n.Whole {
+	told := n.Endpoints
+	if n.Full {
 		told = slices.Collect(maps.Values(s.listed)) // what is missing in a whole list is gone
 	}
 	w.unheard[n.Version] = append(w.unheard[n.Version], told...)
@@ -277,9 +277,9 @@
 
 // Register keeps a node's entry listed for as long as ctx lasts: each entry read from changes is told to the
 // service. It connects again when the service is away.
-func Register(ctx context.Context, addr string, cfg proto.Config, changes <-chan endpoints.Entry) error {
+func Register(ctx context.Context, addr string, cfg proto.Config, changes <-chan endpoints.Endpoint) error {
 	cfg.Limits, cfg.Idle = Limits, 24*time.Hour
-	var last *endpoints.Entry
+	var last *endpoints.Endpoint
 	for ctx.Err() == nil {
 		conn, err := proto.Dial(ctx, addr, cfg)
 		if err != nil {
@@ -296,8 +296,8 @@
 			defer close(ended)
 			_ = conn.Run(ctx, func(f proto.Frame) error { return fmt.Errorf("unasked frame %v", f.Type) })
 		}()
-		put := func(e endpoints.Entry) {
-			_ = conn.Post(proto.TypeRegister, 0, Message{Items: itemsOf([]endpoints.Entry{e})}, nil)
+		put := func(e endpoints.Endpoint) {
+			_ = conn.Post(proto.TypeRegister, 0, Message{Items: itemsOf([]endpoints.Endpoint{e})}, nil)
 		}
 		if last != nil {
 			put(*last)
--- a/internal/nodelist/stored_test.go
+++ b/internal/nodelist/stored_test.go
@@ -16,25 +16,25 @@
 	stoppedList = "testdata/list-stop.bin" // written by a process that followed a list service
 )
 
-func storedKept() endpoints.Kept {
-	return endpoints.Kept{Epoch: 1_780_000_000_000_000_001, Version: 12, Entries: []endpoints.Entry{
+func storedKept() endpoints.Snapshot {
+	return endpoints.Snapshot{Epoch: 1_780_000_000_000_000_001, Version: 12, Endpoints: []endpoints.Endpoint{
 		{
-			Server:  scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
-			Status:  scheduler.Ready,
-			Cell:    4,
-			Zone:    2,
-			Kind:    3,
-			Boot:    1_779_999_999_000_000_002,
-			Nominal: 1.25,
+			Server:          scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
+			Status:          scheduler.Ready,
+			Cell:            4,
+			Zone:            2,
+			MachineType:     3,
+			StartedAt:       1_779_999_999_000_000_002,
+			NominalCapacity: 1.25,
 		},
 		{
-			Server:  scheduler.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101},
-			Status:  scheduler.Draining,
-			Cell:    5,
-			Zone:    1,
-			Kind:    1,
-			Boot:    7,
-			Nominal: 0.5,
+			Server:          scheduler.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101},
+			Status:          scheduler.Draining,
+			Cell:            5,
+			Zone:            1,
+			MachineType:     1,
+			StartedAt:       7,
+			NominalCapacity: 0.5,
 		},
 		{Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 5}, Port: 7102}, Status: scheduler.Gone}}}
 }
@@ -55,12 +55,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Epoch == 0 || got.Version == 0 || len(got.Entries) != 2 {
+	if got.Epoch == 0 || got.Version == 0 || len(got.Endpoints) != 2 {
 		t.Errorf("read %+v", got)
 	}
-	for _, e := range got.Entries {
+	for _, e := range got.Endpoints {
 		if e.Server.Addr != [4]byte{127, 0, 0, 1} || e.Server.Port == 0 || e.Status != scheduler.Ready ||
-			e.Boot == 0 {
+			e.StartedAt == 0 {
 			t.Errorf("read %+v", e)
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // sameListBytes checks that a list is written as the file that it was read from.
-func sameListBytes(t *testing.T, path string, k endpoints.Kept) {
+func sameListBytes(t *testing.T, path string, k endpoints.Snapshot) {
 	t.Helper()
 	want, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/platform/book.go
+++ b/internal/platform/book.go
@@ -80,8 +80,8 @@
 
 // news turns a list into the roster's form and notes the addresses. An entry that cannot be understood is an
 // error for the whole list: half a list would look like servers that are gone.
-func (b *book) news(l List, since uint64, site *wire.Site) (endpoints.News, error) {
-	n := endpoints.News{Version: l.Generation, Since: since, Whole: l.Reset}
+func (b *book) news(l List, since uint64, site *wire.Site) (endpoints.Update, error) {
+	n := endpoints.Update{Version: l.Generation, BaseVersion: since, Full: l.Reset}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range l.Instances {
@@ -92,10 +92,10 @@
 		if p, ok := b.pages[e.Server]; ok && p.id != l.Instances[i].ID {
 			return n, fmt.Errorf("instances %q and %q have one hash", p.id, l.Instances[i].ID)
 		}
-		n.Entries = append(n.Entries, e)
+		n.Endpoints = append(n.Endpoints, e)
 	}
 	now, listed := time.Now(), map[scheduler.Server]bool{}
-	for i, e := range n.Entries {
+	for i, e := range n.Endpoints {
 		p := page{id: l.Instances[i].ID, addr: l.Instances[i].HostPort, cell: e.Cell}
 		if e.Status == scheduler.Gone {
 			if was, ok := b.pages[e.Server]; ok {
@@ -118,9 +118,9 @@
 	return n, nil
 }
 
-func entry(l *Listed, site *wire.Site) (endpoints.Entry, error) {
-	e := endpoints.Entry{Server: serverOf(l.ID), Cell: uint16(l.Cell), Zone: site.Zone(l.Zone),
-		Kind: site.Kind(l.Kind), Nominal: l.Weight}
+func entry(l *Listed, site *wire.Site) (endpoints.Endpoint, error) {
+	e := endpoints.Endpoint{Server: serverOf(l.ID), Cell: uint16(l.Cell), Zone: site.Zone(l.Zone),
+		MachineType: site.Kind(l.Kind), NominalCapacity: l.Weight}
 	switch l.Lifecycle {
 	case "ready":
 		e.Status = scheduler.Ready
@@ -141,6 +141,6 @@
 	case !(l.Started >= 0 && l.Started < 1<<53):
 		return e, fmt.Errorf("%s: startedAtMs %v is out of range", l.ID, l.Started)
 	}
-	e.Boot = int64(l.Started) * int64(time.Millisecond)
+	e.StartedAt = int64(l.Started) * int64(time.Millisecond)
 	return e, nil
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -248,7 +248,7 @@
 	}
 	defer a.close()
 	if version > 0 { // the watch stands: if it has nothing to tell, its heartbeat is all that comes
-		d.core.Hear(endpoints.News{Version: version, Since: version})
+		d.core.Hear(endpoints.Update{Version: version, BaseVersion: version})
 	}
 	for messages := json.NewDecoder(a); ; {
 		a.left = maxList
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -124,7 +124,7 @@
 	last, end := stopTimes(&cfg.Site.Control)
 	s.core = sched.NewCore(sched.CoreConfig{Seed: cfg.Seed, Settings: cfg.Site.Control,
 		Tick: cfg.Site.Control.BatchInterval, Transit: transit, AnswerSlack: cfg.Site.AnswerSlack + lateSlack,
-		Known:   endpoints.Kept{Version: news.Version, Entries: news.Entries},
+		Known:   endpoints.Snapshot{Version: news.Version, Endpoints: news.Endpoints},
 		OneList: cfg.Known != nil, Name: s.book.name, StopWithin: end - last, Log: s.log})
 	s.front = newFront(s.core, &s.cfg.Site, s.log, s.lim)
 	return s, nil
--- a/internal/sched/edges.go
+++ b/internal/sched/edges.go
@@ -96,7 +96,7 @@
 }
 
 // Hear takes news of the list in.
-func (c *Core) Hear(n endpoints.News) { c.in.put(n) }
+func (c *Core) Hear(n endpoints.Update) { c.in.put(n) }
 
 // ListFailed tells that a watch broke or a fetch failed.
 func (c *Core) ListFailed(err error) { c.in.put(listFailed{err}) }
--- a/internal/sched/edges_test.go
+++ b/internal/sched/edges_test.go
@@ -33,9 +33,9 @@
 	edges := &noEdges{}
 	server := scheduler.Server{Addr: [4]byte{1}, Port: 1}
 	c := NewCore(CoreConfig{AnswerSlack: 8 * time.Millisecond, OneList: true,
-		Known: endpoints.Kept{
-			Version: 3,
-			Entries: []endpoints.Entry{{Server: server, Status: scheduler.Ready}},
+		Known: endpoints.Snapshot{
+			Version:   3,
+			Endpoints: []endpoints.Endpoint{{Server: server, Status: scheduler.Ready}},
 		},
 		Settings: scheduler.Settings{Instances: 1, MaxAttempts: 1, MeanUnits: 1, MaxUnits: 1,
 			Classes: []scheduler.Class{
@@ -80,12 +80,15 @@
 func TestKeptListOfOneService(t *testing.T) {
 	for _, one := range []bool{true, false} {
 		view := endpoints.New(0)
-		view.Restore(endpoints.Clock{Now: time.Hour}, endpoints.Kept{Version: 3})
+		view.Restore(endpoints.Clock{Now: time.Hour}, endpoints.Snapshot{Version: 3})
 		if one {
-			view.Continue()
+			view.TrustRestored()
 		}
-		_, verdict := view.Hear(endpoints.Clock{Now: time.Hour}, endpoints.News{Version: 4, Since: 3})
-		if (verdict == endpoints.Believed) != one {
+		_, verdict := view.Apply(
+			endpoints.Clock{Now: time.Hour},
+			endpoints.Update{Version: 4, BaseVersion: 3},
+		)
+		if (verdict == endpoints.Applied) != one {
 			t.Errorf("one service %v: verdict %v", one, verdict)
 		}
 	}
--- a/internal/sched/extents_test.go
+++ b/internal/sched/extents_test.go
@@ -518,7 +518,7 @@
 	slow := &disk{bytes: map[uint64][]byte{}}
 	slow.fakeNode = &fakeNode{ln: x.listen(), conns: make(chan *proto.Conn, 64)}
 	e := slow.entry(0, scheduler.Ready)
-	e.Boot = time.Now().UnixNano()
+	e.StartedAt = time.Now().UnixNano()
 	x.list.Put(e)
 	x.logged("node=" + slow.ln.Addr().String())
 	var mu sync.Mutex
--- a/internal/sched/learnt.go
+++ b/internal/sched/learnt.go
@@ -48,7 +48,7 @@
 
 // recall hands the module what still means the same by a list. Nodes of which it has heard since keep what it
 // learnt of them itself.
-func (l *loop) recall(listed []endpoints.Entry) {
+func (l *loop) recall(listed []endpoints.Endpoint) {
 	if l.before == nil || len(listed) == 0 {
 		return
 	}
@@ -68,7 +68,7 @@
 	if path == "" {
 		return
 	}
-	r := carry.Keep(l.c.clock().Wall, l.c.cfg.Facts, l.module.Statistics(), l.view.Keep().Entries)
+	r := carry.Keep(l.c.clock().Wall, l.c.cfg.Facts, l.module.Statistics(), l.view.Snapshot().Endpoints)
 	if len(r.Nodes) == 0 {
 		return // a life that heard of no node must not void what an earlier one left
 	}
--- a/internal/sched/loop.go
+++ b/internal/sched/loop.go
@@ -70,7 +70,7 @@
 	before  *carry.Record        // what an earlier life learnt; nil: nothing to believe
 	set     scheduler.Settings
 	plan    *extent.Planner // nil: no ranged requests
-	view    *endpoints.Roster
+	view    *endpoints.View
 	timers  timers
 	nextID  uint32
 	wholes  uint64
@@ -125,11 +125,11 @@
 	l.told = l.now
 	l.members(l.view.Restore(l.c.clock(), kept))
 	if l.c.cfg.OneList {
-		l.view.Continue()
+		l.view.TrustRestored()
 		l.holds()
 	}
 	l.loadLearnt()
-	l.recall(kept.Entries)
+	l.recall(kept.Endpoints)
 	l.decide()
 	close(l.c.ready)
 	timer := time.NewTimer(time.Hour)
@@ -229,18 +229,18 @@
 					Latency: l.now - a.at})
 			}
 		}
-	case endpoints.News:
+	case endpoints.Update:
 		l.news(x)
 	case listFailed:
 		l.c.log.Warn("list call failed", "error", x.err)
 		l.members(scheduler.EndpointUpdate{Kind: scheduler.UpdateFailed})
 	case notice:
-		if m, ok := l.view.Notice(l.c.clock(), x.server, x.boot); ok {
+		if m, ok := l.view.ApplyDrainNotice(l.c.clock(), x.server, x.boot); ok {
 			l.c.log.Info("node drains", "node", l.c.cfg.Name(x.server), "told by", "node")
 			l.members(m)
 		}
 	case greeted:
-		if m, ok := l.view.Greeted(l.c.clock(), x.server, x.boot); ok {
+		if m, ok := l.view.ApplyGreeting(l.c.clock(), x.server, x.boot); ok {
 			l.c.log.Info("node restarted", "node", l.c.cfg.Name(x.server), "told by", "node")
 			l.members(m)
 		}
@@ -253,17 +253,17 @@
 	}
 }
 
-func (l *loop) news(n endpoints.News) {
-	m, verdict := l.view.Hear(l.c.clock(), n)
+func (l *loop) news(n endpoints.Update) {
+	m, verdict := l.view.Apply(l.c.clock(), n)
 	switch verdict {
 	case endpoints.Gap:
-		l.c.log.Info("list has a gap", "version", n.Version, "since", n.Since)
+		l.c.log.Info("list has a gap", "version", n.Version, "since", n.BaseVersion)
 		l.c.held.Store(&[2]uint64{})
 		l.edges.List.FetchWhole()
-	case endpoints.Believed:
+	case endpoints.Applied:
 		l.members(m)
 		if m.Kind == scheduler.UpdateFull { // the first whole list of a life ends what is taken over
-			l.recall(l.view.Keep().Entries)
+			l.recall(l.view.Snapshot().Endpoints)
 			l.before = nil
 		}
 		l.holds()
@@ -275,13 +275,13 @@
 		case <-l.c.kept: // an older list that was not written yet
 		default:
 		}
-		l.c.kept <- l.view.Keep()
+		l.c.kept <- l.view.Snapshot()
 	}
 }
 
 // holds tells the edges which version of the list is held.
 func (l *loop) holds() {
-	epoch, version := l.view.Held()
+	epoch, version := l.view.Version()
 	l.c.held.Store(&[2]uint64{epoch, version})
 }
 
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -66,20 +66,21 @@
 type CoreConfig struct {
 	Seed        uint64
 	Settings    scheduler.Settings
-	Tick        time.Duration    // batches begin at most this often
-	Transit     time.Duration    // what of a client's wait is left for the way back
-	AnswerSlack time.Duration    // so long after a call's time the net under the module answers it
-	ClockSkew   time.Duration    // of nodes' clocks
-	Extents     *extent.Settings // nil: no ranged requests
-	Kept        nodelist.File    // the list kept from before a restart;
-	Known       endpoints.Kept   // without such a file, the list as it was told at the start
-	OneList     bool             // the list service goes on as it was: changes to what was kept are believed
-	Learnt      string           // file of what was learnt; "": nothing is kept
-	Facts       carry.Site       // on which the meaning of that hangs
-	StopWithin  time.Duration
-	Name        func(scheduler.Server) string // how logs call a node; nil: by its address
-	Log         *slog.Logger
-	Hooks       Hooks
+	Tick        time.Duration      // batches begin at most this often
+	Transit     time.Duration      // what of a client's wait is left for the way back
+	AnswerSlack time.Duration      // so long after a call's time the net under the module answers it
+	ClockSkew   time.Duration      // of nodes' clocks
+	Extents     *extent.Settings   // nil: no ranged requests
+	Kept        nodelist.File      // the list kept from before a restart;
+	Known       endpoints.Snapshot // without such a file, the list as it was told at the start
+	// the list service goes on as it was: changes to what was kept are believed
+	OneList    bool
+	Learnt     string     // file of what was learnt; "": nothing is kept
+	Facts      carry.Site // on which the meaning of that hangs
+	StopWithin time.Duration
+	Name       func(scheduler.Server) string // how logs call a node; nil: by its address
+	Log        *slog.Logger
+	Hooks      Hooks
 }
 
 // Core is one scheduler without its edges: the decision module, the loop that owns it and what leads there.
@@ -88,7 +89,7 @@
 	log       *slog.Logger
 	start     time.Time
 	in        *inbox
-	kept      chan endpoints.Kept
+	kept      chan endpoints.Snapshot
 	held      atomic.Pointer[[2]uint64] // epoch and version of the list held
 	open      atomic.Int64              // calls admitted and not answered
 	standings standings
@@ -100,8 +101,15 @@
 
 // NewCore prepares a scheduler; Loop makes it work.
 func NewCore(cfg CoreConfig) *Core {
-	c := &Core{cfg: cfg, log: cfg.Log, start: time.Now(), in: newInbox(), kept: make(chan endpoints.Kept, 1),
-		ready: make(chan struct{}), stop: make(chan struct{})}
+	c := &Core{
+		cfg:   cfg,
+		log:   cfg.Log,
+		start: time.Now(),
+		in:    newInbox(),
+		kept:  make(chan endpoints.Snapshot, 1),
+		ready: make(chan struct{}),
+		stop:  make(chan struct{}),
+	}
 	if c.log == nil {
 		c.log = slog.New(slog.DiscardHandler)
 	}
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -142,9 +142,9 @@
 	})
 }
 
-func (n *fakeNode) entry(cell uint16, s scheduler.Status) endpoints.Entry {
+func (n *fakeNode) entry(cell uint16, s scheduler.Status) endpoints.Endpoint {
 	server, _ := nodelist.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
-	return endpoints.Entry{Server: server, Status: s, Cell: cell, Nominal: 1}
+	return endpoints.Endpoint{Server: server, Status: s, Cell: cell, NominalCapacity: 1}
 }
 
 // echo answers each request at once.
@@ -665,7 +665,7 @@
 	inst := r.start(func(cfg *Config) { cfg.Kept = file })
 	r.logged("node listed")
 	for range 200 {
-		if k, err := file.Load(); err == nil && len(k.Entries) == 1 {
+		if k, err := file.Load(); err == nil && len(k.Endpoints) == 1 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -852,7 +852,7 @@
 	n := &fakeNode{ln: r.listen(), conns: make(chan *proto.Conn, 64)}
 	r.serve(n, proto.Config{Hello: proto.Hello{Role: "node", Boot: boot + int64(time.Minute)}}, echo)
 	e := n.entry(0, scheduler.Ready)
-	e.Boot = boot
+	e.StartedAt = boot
 	r.list.Put(e)
 	r.start(nil)
 	r.logged("node=" + n.ln.Addr().String())
