--- a/carry/carry.go
+++ b/checkpoint/carry.go
@@ -6,7 +6,7 @@
 // what the usual request takes, where the classes are the same. All else starts afresh: depths, failures and
 // pauses hang on the hosts and aims of the day, and stores of limits, reserves, budgets, sends to cold nodes
 // and what may have run are never believed, since a rule hangs on each.
-package carry
+package checkpoint
 
 import (
 	"fmt"
--- a/carry/carry_test.go
+++ b/checkpoint/carry_test.go
@@ -1,4 +1,4 @@
-package carry
+package checkpoint
 
 import (
 	"math"
--- a/internal/sched/learnt.go
+++ b/internal/sched/learnt.go
@@ -5,7 +5,7 @@
 	"io/fs"
 	"slices"
 
-	"landingpaddle/carry"
+	"landingpaddle/checkpoint"
 	"landingpaddle/endpoints"
 	"landingpaddle/internal/keep"
 	"landingpaddle/scheduler"
@@ -15,10 +15,10 @@
 const learntMagic = "LPLEARN1"
 
 // facts are the settings on which the meaning of figures hangs.
-func (i *Instance) facts() carry.Site {
-	s := carry.Site{Number: i.cfg.Number, Mean: i.cfg.Site.MeanUnits, Most: i.cfg.Site.MostUnits}
+func (i *Instance) facts() checkpoint.Site {
+	s := checkpoint.Site{Number: i.cfg.Number, Mean: i.cfg.Site.MeanUnits, Most: i.cfg.Site.MostUnits}
 	for _, c := range i.cfg.Site.Classes {
-		s.Classes = append(s.Classes, carry.Class{Name: c.Name, Writes: c.Writes})
+		s.Classes = append(s.Classes, checkpoint.Class{Name: c.Name, Writes: c.Writes})
 	}
 	return s
 }
@@ -30,7 +30,7 @@
 	if path == "" {
 		return
 	}
-	var r carry.Record
+	var r checkpoint.Record
 	err := keep.Read(path, learntMagic, &r)
 	if errors.Is(err, fs.ErrNotExist) {
 		l.c.log.Info("no learnt figures", "path", path)
@@ -68,7 +68,7 @@
 	if path == "" {
 		return
 	}
-	r := carry.Keep(l.c.clock().Wall, l.c.cfg.Facts, l.module.Statistics(), l.view.Snapshot().Endpoints)
+	r := checkpoint.Keep(l.c.clock().Wall, l.c.cfg.Facts, l.module.Statistics(), l.view.Snapshot().Endpoints)
 	if len(r.Nodes) == 0 {
 		return // a life that heard of no node must not void what an earlier one left
 	}
--- a/internal/sched/learnt_test.go
+++ b/internal/sched/learnt_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"landingpaddle/carry"
+	"landingpaddle/checkpoint"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/keep"
 	"landingpaddle/internal/proto"
@@ -119,7 +119,7 @@
 		if err := <-r.ended; err != nil {
 			t.Fatal(err)
 		}
-		var rec carry.Record
+		var rec checkpoint.Record
 		if err := keep.Read(path, learntMagic, &rec); err != nil || len(rec.Nodes) != 1 {
 			t.Errorf("life %d: %d nodes, %v", life, len(rec.Nodes), err)
 		}
@@ -128,9 +128,9 @@
 
 // What cannot be believed is told in one line and treated as none; the instance serves all the same.
 func TestASwitchWithoutFiguresToBelieve(t *testing.T) {
-	write := func(magic string, change func(*carry.Record)) func(string) {
+	write := func(magic string, change func(*checkpoint.Record)) func(string) {
 		return func(path string) {
-			var rec carry.Record
+			var rec checkpoint.Record
 			err := keep.Read(path, learntMagic, &rec)
 			change(&rec)
 			var data []byte
@@ -145,7 +145,7 @@
 			}
 		}
 	}
-	same := func(*carry.Record) {}
+	same := func(*checkpoint.Record) {}
 	for _, c := range []struct {
 		name, told string
 		spoil      func(string)
@@ -161,9 +161,13 @@
 			_ = os.WriteFile(p, data[:len(data)/2], 0o644)
 		}},
 		{"newer", "does not begin with", write("LPLEARN2", same)},
-		{"foreign", "it is of instance 7", write(learntMagic, func(r *carry.Record) { r.Site.Number = 7 })},
-		{"old", "old, over", write(learntMagic, func(r *carry.Record) { r.Written -= int64(2 * time.Hour) })},
-		{"absurd", "out of range", write(learntMagic, func(r *carry.Record) { r.Median = -1 })},
+		{"foreign", "it is of instance 7", write(learntMagic,
+			func(r *checkpoint.Record) { r.Site.Number = 7 })},
+		{"old", "old, over", write(learntMagic, func(r *checkpoint.Record) {
+			r.Written -= int64(2 *
+				time.Hour)
+		})},
+		{"absurd", "out of range", write(learntMagic, func(r *checkpoint.Record) { r.Median = -1 })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, client := switchOver(t, c.spoil)
--- a/internal/sched/loop.go
+++ b/internal/sched/loop.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"landingpaddle/carry"
+	"landingpaddle/checkpoint"
 	"landingpaddle/endpoints"
 	"landingpaddle/extent"
 	"landingpaddle/internal/proto"
@@ -67,7 +67,7 @@
 	edges   Edges
 	host    Decider
 	module  *scheduler.Scheduler // the one behind host
-	before  *carry.Record        // what an earlier life learnt; nil: nothing to believe
+	before  *checkpoint.Record   // what an earlier life learnt; nil: nothing to believe
 	set     scheduler.Settings
 	plan    *extent.Planner // nil: no ranged requests
 	view    *endpoints.View
--- a/internal/sched/stored_test.go
+++ b/internal/sched/stored_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"landingpaddle/carry"
+	"landingpaddle/checkpoint"
 	"landingpaddle/internal/keep"
 	"landingpaddle/scheduler"
 )
@@ -21,11 +21,11 @@
 )
 
 // storedRecord has a value of its own in every field.
-func storedRecord() carry.Record {
-	return carry.Record{Written: 1_780_000_000_000_000_001,
-		Site: carry.Site{Number: 3, Mean: 2.5, Most: 8.25,
-			Classes: []carry.Class{{Name: "read", Writes: false}, {Name: "write", Writes: true}}},
-		Nodes: []carry.Node{
+func storedRecord() checkpoint.Record {
+	return checkpoint.Record{Written: 1_780_000_000_000_000_001,
+		Site: checkpoint.Site{Number: 3, Mean: 2.5, Most: 8.25,
+			Classes: []checkpoint.Class{{Name: "read", Writes: false}, {Name: "write", Writes: true}}},
+		Nodes: []checkpoint.Node{
 			{
 				Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
 				Boot:   1_779_999_999_000_000_002,
@@ -73,7 +73,7 @@
 }
 
 func TestStoredFiguresReadAndWriteAsBefore(t *testing.T) {
-	var got carry.Record
+	var got checkpoint.Record
 	if err := keep.Read(storedFigures, learntMagic, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -84,19 +84,19 @@
 }
 
 func TestFiguresOfAStoppedProcessReadAsBefore(t *testing.T) {
-	var got carry.Record
+	var got checkpoint.Record
 	if err := keep.Read(stoppedLearnt, learntMagic, &got); err != nil {
 		t.Fatal(err)
 	}
-	facts := carry.Site{Number: 0, Mean: 2, Most: 8,
-		Classes: []carry.Class{{Name: "read"}, {Name: "write", Writes: true}}}
+	facts := checkpoint.Site{Number: 0, Mean: 2, Most: 8,
+		Classes: []checkpoint.Class{{Name: "read"}, {Name: "write", Writes: true}}}
 	if err := got.Check(got.Written, facts); err != nil {
 		t.Error(err)
 	}
 	if !reflect.DeepEqual(got.Site, facts) {
 		t.Errorf("facts of the site are %+v", got.Site)
 	}
-	empty := func(n carry.Node) bool {
+	empty := func(n checkpoint.Node) bool {
 		return n.Server.Addr != [4]byte{127, 0, 0, 1} || n.Server.Port == 0 || n.Boot == 0 ||
 			n.Learnt.Latency == 0 || n.Learnt.Deviation == 0
 	}
@@ -116,7 +116,7 @@
 }
 
 // sameBytes checks that a record is written as the file that it was read from.
-func sameBytes(t *testing.T, path string, r carry.Record) {
+func sameBytes(t *testing.T, path string, r checkpoint.Record) {
 	t.Helper()
 	want, err := os.ReadFile(path)
 	if err != nil {
