--- a/checkpoint/carry.go
+++ b/checkpoint/carry.go
@@ -19,17 +19,17 @@
 )
 
 // Oldest is the age from which on a record tells nothing any more.
-const Oldest = time.Hour
+const MaxAge = time.Hour
 
 // longest is a time at a node over which a figure cannot be right.
-const longest = time.Hour
+const maxLatency = time.Hour
 
 // Site are the facts of the settings on which the meaning of figures hangs.
-type Site struct {
-	Number  int     `cbor:"Number"` // of the instance
-	Mean    float64 `cbor:"Mean"`
-	Most    float64 `cbor:"Most"` // units
-	Classes []Class `cbor:"Classes"`
+type Fingerprint struct {
+	Instance  int     `cbor:"Number"` // of the instance
+	MeanUnits float64 `cbor:"Mean"`
+	MaxUnits  float64 `cbor:"Most"` // units
+	Classes   []Class `cbor:"Classes"`
 }
 
 // Class is a class's name and whether it writes.
@@ -39,71 +39,82 @@
 }
 
 // Node is a figure of one start of a node.
-type Node struct {
-	Server scheduler.Server         `cbor:"Server"`
-	Boot   int64                    `cbor:"Boot"` // Unix nanoseconds of the node's clock
-	Learnt scheduler.NodeStatistics `cbor:"Learnt"`
+type NodeRecord struct {
+	Server     scheduler.Server         `cbor:"Server"`
+	StartedAt  int64                    `cbor:"Boot"` // Unix nanoseconds of the node's clock
+	Statistics scheduler.NodeStatistics `cbor:"Learnt"`
 }
 
 // Record is what is kept.
 type Record struct {
-	Written int64                       `cbor:"Written"` // Unix nanoseconds
-	Site    Site                        `cbor:"Site"`
-	Nodes   []Node                      `cbor:"Nodes"`
-	Classes []scheduler.ClassStatistics `cbor:"Classes"`
-	Usual   scheduler.Regression        `cbor:"Usual"`
-	Median  time.Duration               `cbor:"Median"`
-	Lately  time.Duration               `cbor:"Lately"`
+	WrittenAt     int64                       `cbor:"Written"` // Unix nanoseconds
+	Fingerprint   Fingerprint                 `cbor:"Site"`
+	Nodes         []NodeRecord                `cbor:"Nodes"`
+	Classes       []scheduler.ClassStatistics `cbor:"Classes"`
+	AllClasses    scheduler.Regression        `cbor:"Usual"`
+	MedianLatency time.Duration               `cbor:"Median"`
+	RecentLatency time.Duration               `cbor:"Lately"`
 }
 
 // Keep makes the record of what was learnt, of the nodes that are listed.
-func Keep(wall int64, site Site, l scheduler.Statistics, listed []endpoints.Endpoint) Record {
-	r := Record{Written: wall, Site: site, Classes: l.Classes, Usual: l.AllClasses, Median: l.MedianLatency,
-		Lately: l.RecentLatency}
+func Capture(wall int64, site Fingerprint, l scheduler.Statistics, listed []endpoints.Endpoint) Record {
+	r := Record{
+		WrittenAt:     wall,
+		Fingerprint:   site,
+		Classes:       l.Classes,
+		AllClasses:    l.AllClasses,
+		MedianLatency: l.MedianLatency,
+		RecentLatency: l.RecentLatency,
+	}
 	for _, e := range listed {
 		if n, ok := l.Nodes[e.Server]; ok {
-			r.Nodes = append(r.Nodes, Node{e.Server, e.StartedAt, n})
+			r.Nodes = append(r.Nodes, NodeRecord{e.Server, e.StartedAt, n})
 		}
 	}
 	return r
 }
 
 // Check tells why a record cannot be believed at all.
-func (r Record) Check(wall int64, now Site) error {
+func (r Record) Validate(wall int64, now Fingerprint) error {
 	switch {
-	case r.Written == 0:
+	case r.WrittenAt == 0:
 		return fmt.Errorf("it tells of no time")
-	case r.Site.Number != now.Number:
-		return fmt.Errorf("it is of instance %d, this is %d", r.Site.Number, now.Number)
-	case r.Written > wall+int64(time.Minute):
-		return fmt.Errorf("it was written %v from now", time.Duration(r.Written-wall).Round(time.Second))
-	case wall-r.Written > int64(Oldest):
-		return fmt.Errorf("it is %v old, over %v", time.Duration(wall-r.Written).Round(time.Second), Oldest)
-	case len(r.Classes) != len(r.Site.Classes):
-		return fmt.Errorf("it has figures of %d classes and names %d", len(r.Classes), len(r.Site.Classes))
-	case !goodTime(r.Median) || !goodTime(r.Lately) || !goodFit(r.Usual):
+	case r.Fingerprint.Instance != now.Instance:
+		return fmt.Errorf("it is of instance %d, this is %d", r.Fingerprint.Instance, now.Instance)
+	case r.WrittenAt > wall+int64(time.Minute):
+		return fmt.Errorf("it was written %v from now", time.Duration(r.WrittenAt-wall).Round(time.Second))
+	case wall-r.WrittenAt > int64(MaxAge):
+		return fmt.Errorf("it is %v old, over %v", time.Duration(wall-r.WrittenAt).Round(time.Second), MaxAge)
+	case len(r.Classes) != len(r.Fingerprint.Classes):
+		return fmt.Errorf(
+			"it has figures of %d classes and names %d",
+			len(r.Classes),
+			len(r.Fingerprint.Classes),
+		)
+	case !validLatency(r.MedianLatency) || !validLatency(r.RecentLatency) || !validRegression(r.AllClasses):
 		return fmt.Errorf("its figures of the usual request are out of range")
 	}
 	for i, c := range r.Classes {
-		if !good(c.MeanUnits, r.Site.Most) || !good(c.Count, math.MaxUint32) || !goodFit(c.Latency) {
-			return fmt.Errorf("its figures of class %s are out of range", r.Site.Classes[i].Name)
+		if !inRange(c.MeanUnits, r.Fingerprint.MaxUnits) || !inRange(c.Count, math.MaxUint32) ||
+			!validRegression(c.Latency) {
+			return fmt.Errorf("its figures of class %s are out of range", r.Fingerprint.Classes[i].Name)
 		}
 	}
 	for _, n := range r.Nodes {
-		if !goodTime(n.Learnt.Latency) || !goodTime(n.Learnt.Deviation) {
+		if !validLatency(n.Statistics.Latency) || !validLatency(n.Statistics.Deviation) {
 			return fmt.Errorf("its figures of a node are out of range")
 		}
 	}
 	return nil
 }
 
-func goodTime(d time.Duration) bool { return d >= 0 && d <= longest }
+func validLatency(d time.Duration) bool { return d >= 0 && d <= maxLatency }
 
-func good(v, most float64) bool { return v >= 0 && v <= most } // false for what is no number
+func inRange(v, most float64) bool { return v >= 0 && v <= most } // false for what is no number
 
-func goodFit(f scheduler.Regression) bool {
+func validRegression(f scheduler.Regression) bool {
 	for _, v := range []float64{f.Count, f.MeanSize, f.MeanTime, f.MeanSquare, f.MeanProduct} {
-		if !good(v, 1e12) {
+		if !inRange(v, 1e12) {
 			return false
 		}
 	}
@@ -111,9 +122,9 @@
 }
 
 // Over is what of a checked record still means the same under these settings and this list.
-func (r Record) Over(now Site, listed []endpoints.Endpoint) scheduler.Statistics {
+func (r Record) Restore(now Fingerprint, listed []endpoints.Endpoint) scheduler.Statistics {
 	out := scheduler.Statistics{Nodes: map[scheduler.Server]scheduler.NodeStatistics{}}
-	if r.Site.Mean != now.Mean || r.Site.Most != now.Most {
+	if r.Fingerprint.MeanUnits != now.MeanUnits || r.Fingerprint.MaxUnits != now.MaxUnits {
 		return out // a unit means something else: so does every size, and every time reckoned by sizes
 	}
 	starts := map[scheduler.Server]int64{}
@@ -123,19 +134,19 @@
 		}
 	}
 	for _, n := range r.Nodes {
-		if boot, ready := starts[n.Server]; ready && boot == n.Boot {
-			out.Nodes[n.Server] = n.Learnt
+		if boot, ready := starts[n.Server]; ready && boot == n.StartedAt {
+			out.Nodes[n.Server] = n.Statistics
 		}
 	}
 	for _, c := range now.Classes {
 		was := scheduler.ClassStatistics{}
-		if i := slices.Index(r.Site.Classes, c); i >= 0 {
+		if i := slices.Index(r.Fingerprint.Classes, c); i >= 0 {
 			was = r.Classes[i]
 		}
 		out.Classes = append(out.Classes, was)
 	}
-	if sameClasses(r.Site.Classes, now.Classes) {
-		out.AllClasses, out.MedianLatency, out.RecentLatency = r.Usual, r.Median, r.Lately
+	if sameClasses(r.Fingerprint.Classes, now.Classes) {
+		out.AllClasses, out.MedianLatency, out.RecentLatency = r.AllClasses, r.MedianLatency, r.RecentLatency
 	}
 	return out
 }
--- a/checkpoint/carry_test.go
+++ b/checkpoint/carry_test.go
@@ -12,8 +12,8 @@
 
 func server(i byte) scheduler.Server { return scheduler.Server{Addr: [4]byte{127, 0, 0, i}, Port: 1} }
 
-func site() Site {
-	return Site{Mean: 2, Most: 8, Classes: []Class{{"read", false}, {"write", true}}}
+func site() Fingerprint {
+	return Fingerprint{MeanUnits: 2, MaxUnits: 8, Classes: []Class{{"read", false}, {"write", true}}}
 }
 
 func listed() []endpoints.Endpoint {
@@ -33,15 +33,15 @@
 	for i := byte(1); i <= 3; i++ {
 		l.Nodes[server(i)] = scheduler.NodeStatistics{Latency: time.Duration(i) * time.Millisecond}
 	}
-	return Keep(wall, site(), l, listed())
+	return Capture(wall, site(), l, listed())
 }
 
 func TestAllCarriesOverWhereNothingChanged(t *testing.T) {
 	r := record()
-	if err := r.Check(wall+1, site()); err != nil {
+	if err := r.Validate(wall+1, site()); err != nil {
 		t.Fatal(err)
 	}
-	l := r.Over(site(), listed())
+	l := r.Restore(site(), listed())
 	if len(l.Nodes) != 3 || l.AllClasses.Count != 20 || l.MedianLatency == 0 || l.RecentLatency == 0 ||
 		l.Classes[1].MeanUnits != 3 {
 		t.Errorf("got %+v", l)
@@ -53,7 +53,7 @@
 	list := listed()
 	list[0].StartedAt++
 	list[1].Status = scheduler.Draining
-	l := record().Over(site(), list)
+	l := record().Restore(site(), list)
 	if _, same := l.Nodes[server(3)]; len(l.Nodes) != 1 || !same {
 		t.Errorf("got %v, want node 3 alone", l.Nodes)
 	}
@@ -64,7 +64,7 @@
 func TestClassesCarryOverByName(t *testing.T) {
 	now := site()
 	now.Classes = []Class{{"write", true}, {"read", true}, {"scan", false}}
-	l := record().Over(now, listed())
+	l := record().Restore(now, listed())
 	if l.Classes[0].MeanUnits != 3 || l.Classes[1].Count != 0 || l.Classes[2].Count != 0 {
 		t.Errorf("classes %+v", l.Classes)
 	}
@@ -76,8 +76,8 @@
 // Where a unit means something else, no size and no time means the same.
 func TestNothingCarriesOverToOtherUnits(t *testing.T) {
 	now := site()
-	now.Mean = 3
-	if l := record().Over(now, listed()); len(l.Nodes) != 0 || len(l.Classes) != 0 ||
+	now.MeanUnits = 3
+	if l := record().Restore(now, listed()); len(l.Nodes) != 0 || len(l.Classes) != 0 ||
 		l.AllClasses.Count != 0 {
 		t.Errorf("got %+v", l)
 	}
@@ -85,19 +85,19 @@
 
 func TestRecordsThatCannotBeBelieved(t *testing.T) {
 	for want, spoil := range map[string]func(r *Record){
-		"no time":             func(r *Record) { r.Written = 0 },
-		"of instance 3":       func(r *Record) { r.Site.Number = 3 },
-		"from now":            func(r *Record) { r.Written = wall + int64(2*time.Minute) },
-		"old, over 1h":        func(r *Record) { r.Written = wall - int64(2*time.Hour) },
+		"no time":             func(r *Record) { r.WrittenAt = 0 },
+		"of instance 3":       func(r *Record) { r.Fingerprint.Instance = 3 },
+		"from now":            func(r *Record) { r.WrittenAt = wall + int64(2*time.Minute) },
+		"old, over 1h":        func(r *Record) { r.WrittenAt = wall - int64(2*time.Hour) },
 		"of 1 classes":        func(r *Record) { r.Classes = r.Classes[:1] },
 		"class write are out": func(r *Record) { r.Classes[1].MeanUnits = 1e9 },
 		"class read are out":  func(r *Record) { r.Classes[0].Latency.MeanProduct = math.NaN() },
-		"usual request are":   func(r *Record) { r.Usual.MeanTime = -1 },
-		"of a node are out":   func(r *Record) { r.Nodes[0].Learnt.Latency = -1 },
+		"usual request are":   func(r *Record) { r.AllClasses.MeanTime = -1 },
+		"of a node are out":   func(r *Record) { r.Nodes[0].Statistics.Latency = -1 },
 	} {
 		r := record()
 		spoil(&r)
-		if err := r.Check(wall, site()); err == nil || !strings.Contains(err.Error(), want) {
+		if err := r.Validate(wall, site()); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q", err, want)
 		}
 	}
--- a/internal/sched/learnt.go
+++ b/internal/sched/learnt.go
@@ -15,8 +15,12 @@
 const learntMagic = "LPLEARN1"
 
 // facts are the settings on which the meaning of figures hangs.
-func (i *Instance) facts() checkpoint.Site {
-	s := checkpoint.Site{Number: i.cfg.Number, Mean: i.cfg.Site.MeanUnits, Most: i.cfg.Site.MostUnits}
+func (i *Instance) facts() checkpoint.Fingerprint {
+	s := checkpoint.Fingerprint{
+		Instance:  i.cfg.Number,
+		MeanUnits: i.cfg.Site.MeanUnits,
+		MaxUnits:  i.cfg.Site.MostUnits,
+	}
 	for _, c := range i.cfg.Site.Classes {
 		s.Classes = append(s.Classes, checkpoint.Class{Name: c.Name, Writes: c.Writes})
 	}
@@ -37,7 +41,7 @@
 		return
 	}
 	if err == nil {
-		err = r.Check(l.c.clock().Wall, l.c.cfg.Facts)
+		err = r.Validate(l.c.clock().Wall, l.c.cfg.Facts)
 	}
 	if err != nil {
 		l.c.log.Warn("learnt figures left out", "path", path, "error", err)
@@ -52,7 +56,7 @@
 	if l.before == nil || len(listed) == 0 {
 		return
 	}
-	learnt := l.before.Over(l.c.cfg.Facts, listed)
+	learnt := l.before.Restore(l.c.cfg.Facts, listed)
 	nodes := l.module.RestoreStatistics(learnt)
 	classes := slices.DeleteFunc(
 		learnt.Classes,
@@ -68,7 +72,12 @@
 	if path == "" {
 		return
 	}
-	r := checkpoint.Keep(l.c.clock().Wall, l.c.cfg.Facts, l.module.Statistics(), l.view.Snapshot().Endpoints)
+	r := checkpoint.Capture(
+		l.c.clock().Wall,
+		l.c.cfg.Facts,
+		l.module.Statistics(),
+		l.view.Snapshot().Endpoints,
+	)
 	if len(r.Nodes) == 0 {
 		return // a life that heard of no node must not void what an earlier one left
 	}
--- a/internal/sched/learnt_test.go
+++ b/internal/sched/learnt_test.go
@@ -162,12 +162,12 @@
 		}},
 		{"newer", "does not begin with", write("LPLEARN2", same)},
 		{"foreign", "it is of instance 7", write(learntMagic,
-			func(r *checkpoint.Record) { r.Site.Number = 7 })},
+			func(r *checkpoint.Record) { r.Fingerprint.Instance = 7 })},
 		{"old", "old, over", write(learntMagic, func(r *checkpoint.Record) {
-			r.Written -= int64(2 *
+			r.WrittenAt -= int64(2 *
 				time.Hour)
 		})},
-		{"absurd", "out of range", write(learntMagic, func(r *checkpoint.Record) { r.Median = -1 })},
+		{"absurd", "out of range", write(learntMagic, func(r *checkpoint.Record) { r.MedianLatency = -1 })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, client := switchOver(t, c.spoil)
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -75,8 +75,8 @@
 	Known       endpoints.Snapshot // without such a file, the list as it was told at the start
 	// the list service goes on as it was: changes to what was kept are believed
 	OneList    bool
-	Learnt     string          // file of what was learnt; "": nothing is kept
-	Facts      checkpoint.Site // on which the meaning of that hangs
+	Learnt     string                 // file of what was learnt; "": nothing is kept
+	Facts      checkpoint.Fingerprint // on which the meaning of that hangs
 	StopWithin time.Duration
 	Name       func(scheduler.Server) string // how logs call a node; nil: by its address
 	Log        *slog.Logger
--- a/internal/sched/stored_test.go
+++ b/internal/sched/stored_test.go
@@ -22,20 +22,20 @@
 
 // storedRecord has a value of its own in every field.
 func storedRecord() checkpoint.Record {
-	return checkpoint.Record{Written: 1_780_000_000_000_000_001,
-		Site: checkpoint.Site{Number: 3, Mean: 2.5, Most: 8.25,
+	return checkpoint.Record{WrittenAt: 1_780_000_000_000_000_001,
+		Fingerprint: checkpoint.Fingerprint{Instance: 3, MeanUnits: 2.5, MaxUnits: 8.25,
 			Classes: []checkpoint.Class{{Name: "read", Writes: false}, {Name: "write", Writes: true}}},
-		Nodes: []checkpoint.Node{
+		Nodes: []checkpoint.NodeRecord{
 			{
-				Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
-				Boot:   1_779_999_999_000_000_002,
-				Learnt: scheduler.NodeStatistics{
+				Server:    scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
+				StartedAt: 1_779_999_999_000_000_002,
+				Statistics: scheduler.NodeStatistics{
 					Latency:   11 * time.Millisecond,
 					Deviation: 7 * time.Microsecond,
 				},
 			},
-			{Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101}, Boot: 5,
-				Learnt: scheduler.NodeStatistics{
+			{Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 4}, Port: 7101}, StartedAt: 5,
+				Statistics: scheduler.NodeStatistics{
 					Latency:   13 * time.Millisecond,
 					Deviation: 17 * time.Nanosecond,
 				}}},
@@ -62,14 +62,14 @@
 					MeanProduct: 1.75,
 				},
 			}},
-		Usual: scheduler.Regression{
+		AllClasses: scheduler.Regression{
 			Count:       23,
 			MeanSize:    4.125,
 			MeanTime:    2.5,
 			MeanSquare:  8.5,
 			MeanProduct: 2.75,
 		},
-		Median: 19 * time.Millisecond, Lately: 23 * time.Millisecond}
+		MedianLatency: 19 * time.Millisecond, RecentLatency: 23 * time.Millisecond}
 }
 
 func TestStoredFiguresReadAndWriteAsBefore(t *testing.T) {
@@ -88,28 +88,30 @@
 	if err := keep.Read(stoppedLearnt, learntMagic, &got); err != nil {
 		t.Fatal(err)
 	}
-	facts := checkpoint.Site{Number: 0, Mean: 2, Most: 8,
+	facts := checkpoint.Fingerprint{Instance: 0, MeanUnits: 2, MaxUnits: 8,
 		Classes: []checkpoint.Class{{Name: "read"}, {Name: "write", Writes: true}}}
-	if err := got.Check(got.Written, facts); err != nil {
+	if err := got.Validate(got.WrittenAt, facts); err != nil {
 		t.Error(err)
 	}
-	if !reflect.DeepEqual(got.Site, facts) {
-		t.Errorf("facts of the site are %+v", got.Site)
+	if !reflect.DeepEqual(got.Fingerprint, facts) {
+		t.Errorf("facts of the site are %+v", got.Fingerprint)
 	}
-	empty := func(n checkpoint.Node) bool {
-		return n.Server.Addr != [4]byte{127, 0, 0, 1} || n.Server.Port == 0 || n.Boot == 0 ||
-			n.Learnt.Latency == 0 || n.Learnt.Deviation == 0
+	empty := func(n checkpoint.NodeRecord) bool {
+		return n.Server.Addr != [4]byte{127, 0, 0, 1} || n.Server.Port == 0 || n.StartedAt == 0 ||
+			n.Statistics.Latency == 0 || n.Statistics.Deviation == 0
 	}
 	if len(got.Nodes) != 2 || slices.ContainsFunc(got.Nodes, empty) {
 		t.Errorf("nodes are %+v", got.Nodes)
 	}
-	for _, fit := range []scheduler.Regression{got.Usual, got.Classes[0].Latency, got.Classes[1].Latency} {
+	for _, fit := range []scheduler.Regression{got.AllClasses, got.Classes[0].Latency,
+		got.Classes[1].Latency} {
 		if fit.Count == 0 || fit.MeanSize == 0 || fit.MeanTime == 0 || fit.MeanSquare == 0 ||
 			fit.MeanProduct == 0 {
 			t.Errorf("fit is %+v", fit)
 		}
 	}
-	if got.Classes[0].MeanUnits == 0 || got.Classes[0].Count == 0 || got.Median == 0 || got.Lately == 0 {
+	if got.Classes[0].MeanUnits == 0 || got.Classes[0].Count == 0 || got.MedianLatency == 0 ||
+		got.RecentLatency == 0 {
 		t.Errorf("read %+v", got)
 	}
 	sameBytes(t, stoppedLearnt, got)
