--- a/internal/nodelist/kept.go
+++ b/internal/nodelist/kept.go
@@ -7,7 +7,7 @@
 	"os"
 
 	"landingpaddle/endpoints"
-	"landingpaddle/internal/keep"
+	"landingpaddle/internal/statefile"
 )
 
 const keptMagic = "LPLIST1\n"
@@ -22,13 +22,13 @@
 // Save keeps a list.
 func (f File) Save(k endpoints.Snapshot) error {
 	m := Message{Epoch: k.Epoch, Version: k.Version, Whole: true, Items: itemsOf(k.Endpoints)}
-	data, err := keep.Encode(keptMagic, m)
+	data, err := statefile.Encode(keptMagic, m)
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.Path, err)
 	}
 	write := f.Write
 	if write == nil {
-		write = keep.Replace
+		write = statefile.Replace
 	}
 	if err := write(f.Path, data); err != nil {
 		return fmt.Errorf("keeping the list: %w", err)
@@ -55,12 +55,12 @@
 
 func parseKept(data []byte) (endpoints.Snapshot, error) {
 	var m Message
-	if err := keep.Decode(keptMagic, data, &m); err != nil {
+	if err := statefile.Decode(keptMagic, data, &m); err != nil {
 		return endpoints.Snapshot{}, err
 	}
 	entries, err := m.entries()
 	if err != nil {
-		return endpoints.Snapshot{}, fmt.Errorf("%w: %w", keep.ErrBad, err)
+		return endpoints.Snapshot{}, fmt.Errorf("%w: %w", statefile.ErrBad, err)
 	}
 	return endpoints.Snapshot{Epoch: m.Epoch, Version: m.Version, Endpoints: entries}, nil
 }
--- a/internal/sched/learnt.go
+++ b/internal/sched/learnt.go
@@ -7,7 +7,7 @@
 
 	"landingpaddle/checkpoint"
 	"landingpaddle/endpoints"
-	"landingpaddle/internal/keep"
+	"landingpaddle/internal/statefile"
 	"landingpaddle/scheduler"
 )
 
@@ -35,7 +35,7 @@
 		return
 	}
 	var r checkpoint.Record
-	err := keep.Read(path, learntMagic, &r)
+	err := statefile.Read(path, learntMagic, &r)
 	if errors.Is(err, fs.ErrNotExist) {
 		l.c.log.Info("no learnt figures", "path", path)
 		return
@@ -81,9 +81,9 @@
 	if len(r.Nodes) == 0 {
 		return // a life that heard of no node must not void what an earlier one left
 	}
-	data, err := keep.Encode(learntMagic, r)
+	data, err := statefile.Encode(learntMagic, r)
 	if err == nil {
-		err = keep.Replace(path, data)
+		err = statefile.Replace(path, data)
 	}
 	if err != nil {
 		l.c.log.Warn("learnt figures not written", "path", path, "error", err)
--- a/internal/sched/learnt_test.go
+++ b/internal/sched/learnt_test.go
@@ -10,8 +10,8 @@
 
 	"landingpaddle/checkpoint"
 	"landingpaddle/internal/config"
-	"landingpaddle/internal/keep"
 	"landingpaddle/internal/proto"
+	"landingpaddle/internal/statefile"
 	"landingpaddle/scheduler"
 )
 
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		var rec checkpoint.Record
-		if err := keep.Read(path, learntMagic, &rec); err != nil || len(rec.Nodes) != 1 {
+		if err := statefile.Read(path, learntMagic, &rec); err != nil || len(rec.Nodes) != 1 {
 			t.Errorf("life %d: %d nodes, %v", life, len(rec.Nodes), err)
 		}
 	}
@@ -131,11 +131,11 @@
 	write := func(magic string, change func(*checkpoint.Record)) func(string) {
 		return func(path string) {
 			var rec checkpoint.Record
-			err := keep.Read(path, learntMagic, &rec)
+			err := statefile.Read(path, learntMagic, &rec)
 			change(&rec)
 			var data []byte
 			if err == nil {
-				data, err = keep.Encode(magic, rec)
+				data, err = statefile.Encode(magic, rec)
 			}
 			if err == nil {
 				err = os.WriteFile(path, data, 0o644)
--- a/internal/keep/keep.go
+++ b/internal/statefile/keep.go
@@ -1,7 +1,7 @@
 // Package keep reads and writes the small files that an instance keeps across its lives. A file is a magic of
 // eight bytes, the length of the body and its CRC-32C (u32 each, little-endian), and the body in CBOR. It is
 // replaced whole, so that a stop at any moment leaves either the old or the new one.
-package keep
+package statefile
 
 import (
 	"encoding/binary"
