--- a/internal/nodelist/kept.go
+++ b/internal/nodelist/kept.go
@@ -60,7 +60,7 @@
 	}
 	entries, err := m.entries()
 	if err != nil {
-		return endpoints.Snapshot{}, fmt.Errorf("%w: %w", statefile.ErrBad, err)
+		return endpoints.Snapshot{}, fmt.Errorf("%w: %w", statefile.ErrCorrupt, err)
 	}
 	return endpoints.Snapshot{Epoch: m.Epoch, Version: m.Version, Endpoints: entries}, nil
 }
--- a/internal/nodelist/nodelist_test.go
+++ b/internal/nodelist/nodelist_test.go
@@ -223,12 +223,12 @@
 	}
 	data, _ := os.ReadFile(f.Path)
 	for n := range data {
-		if _, err := parseKept(data[:n]); !errors.Is(err, statefile.ErrBad) {
+		if _, err := parseKept(data[:n]); !errors.Is(err, statefile.ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 		bad := append([]byte(nil), data...)
 		bad[n] ^= 1
-		if _, err := parseKept(bad); !errors.Is(err, statefile.ErrBad) {
+		if _, err := parseKept(bad); !errors.Is(err, statefile.ErrCorrupt) {
 			t.Fatalf("byte %d changed: %v", n, err)
 		}
 	}
--- a/internal/statefile/keep.go
+++ b/internal/statefile/keep.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	magicSize = 8
-	fixed     = magicSize + 8
-	most      = 8 << 20
+	magicSize  = 8
+	headerSize = magicSize + 8
+	maxBody    = 8 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // ErrBad is a file that cannot be believed.
-var ErrBad = errors.New("kept file")
+var ErrCorrupt = errors.New("kept file")
 
 // Encode makes a file's bytes.
 func Encode(magic string, v any) ([]byte, error) {
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	data := make([]byte, fixed, fixed+len(body))
+	data := make([]byte, headerSize, headerSize+len(body))
 	copy(data, magic)
 	binary.LittleEndian.PutUint32(data[magicSize:], uint32(len(body)))
 	binary.LittleEndian.PutUint32(data[magicSize+4:], crc32.Checksum(body, castagnoli))
@@ -40,21 +40,27 @@
 
 // Decode reads a file's bytes. What is cut short, changed or of another kind is an error that tells where.
 func Decode(magic string, data []byte, to any) error {
-	if len(data) < fixed {
-		return fmt.Errorf("%w: cut at byte %d of its first %d", ErrBad, len(data), fixed)
+	if len(data) < headerSize {
+		return fmt.Errorf("%w: cut at byte %d of its first %d", ErrCorrupt, len(data), headerSize)
 	}
 	if string(data[:magicSize]) != magic {
-		return fmt.Errorf("%w: byte 0: it does not begin with %q", ErrBad, magic)
+		return fmt.Errorf("%w: byte 0: it does not begin with %q", ErrCorrupt, magic)
 	}
-	size, body := binary.LittleEndian.Uint32(data[magicSize:]), data[fixed:]
-	if size > most || int(size) != len(body) {
-		return fmt.Errorf("%w: byte %d: %d bytes follow, %d are stated", ErrBad, fixed, len(body), size)
+	size, body := binary.LittleEndian.Uint32(data[magicSize:]), data[headerSize:]
+	if size > maxBody || int(size) != len(body) {
+		return fmt.Errorf(
+			"%w: byte %d: %d bytes follow, %d are stated",
+			ErrCorrupt,
+			headerSize,
+			len(body),
+			size,
+		)
 	}
 	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(data[magicSize+4:]) {
-		return fmt.Errorf("%w: byte %d: checksum does not match", ErrBad, fixed)
+		return fmt.Errorf("%w: byte %d: checksum does not match", ErrCorrupt, headerSize)
 	}
 	if err := cbor.Unmarshal(body, to); err != nil {
-		return fmt.Errorf("%w: byte %d: %w", ErrBad, fixed, err)
+		return fmt.Errorf("%w: byte %d: %w", ErrCorrupt, headerSize, err)
 	}
 	return nil
 }
