--- a/cmd/landingpaddle/serve.go
+++ b/cmd/landingpaddle/serve.go
@@ -5,7 +5,7 @@
 	"net/netip"
 
 	"landingpaddle/internal/config"
-	"landingpaddle/internal/nodelist"
+	"landingpaddle/internal/registry"
 	"landingpaddle/internal/sched"
 )
 
@@ -28,7 +28,7 @@
 		return err
 	}
 	cfg := sched.Config{Number: set.Number, Of: set.Of, Zone: uint8(set.Site.Zone(set.Zone)), Seed: set.Seed,
-		Site: set.Site, Listener: ln, List: set.List.String(), Kept: nodelist.File{Path: set.KeptList},
+		Site: set.Site, Listener: ln, List: set.List.String(), Kept: registry.File{Path: set.KeptList},
 		Learnt: set.Learnt, StopWithin: set.StopWithin, Log: log}
 	if set.PeerListen.IsValid() {
 		cfg.PeerListen, cfg.Peers = set.PeerListen.String(), map[uint32]netip.AddrPort{}
--- a/cmd/landingpaddle/standins.go
+++ b/cmd/landingpaddle/standins.go
@@ -12,8 +12,8 @@
 	"landingpaddle/endpoints"
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/lab"
-	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
+	"landingpaddle/internal/registry"
 	"landingpaddle/scheduler"
 )
 
@@ -72,11 +72,11 @@
 	}
 	events := lab.NewLog()
 	told := func(instance uint32, e endpoints.Endpoint) {
-		addr := nodelist.AddrOf(e.Server).String()
+		addr := registry.AddrOf(e.Server).String()
 		events.Add(lab.Event{Kind: lab.KindTold, Inst: int(instance), Node: -1, Boot: e.StartedAt,
 			Status: e.Status.String(), Reason: addr})
 	}
-	s := nodelist.NewServer(nodelist.ServerConfig{Epoch: uint64(time.Now().UnixNano()), Delay: set.Delay,
+	s := registry.NewServer(registry.ServerConfig{Epoch: uint64(time.Now().UnixNano()), Delay: set.Delay,
 		Workers: set.Workers, CallTime: set.CallTime, MaxWait: set.MaxWait, Told: told})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -18,8 +18,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"landingpaddle/endpoints"
-	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
+	"landingpaddle/internal/registry"
 	"landingpaddle/internal/sched"
 	"landingpaddle/scheduler"
 )
@@ -58,7 +58,7 @@
 	log   *Log
 	nodes []*Node
 	insts []*host
-	list  *nodelist.Server
+	list  *registry.Server
 	addrs []string
 	byAdr map[netip.AddrPort]int
 	cl    []*Client
@@ -185,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	p.list = nodelist.NewServer(nodelist.ServerConfig{Epoch: 1 + p.opt.Seed, Delay: d.List.Delay,
+	p.list = registry.NewServer(registry.ServerConfig{Epoch: 1 + p.opt.Seed, Delay: d.List.Delay,
 		Workers: d.List.Workers, CallTime: d.List.CallTime, MaxWait: d.List.MaxWait, Told: p.told})
 	g.Go(func() error { return p.list.Serve(ctx, ln) })
 	groups, meter := newGroups(), NewMeter(d.Site.Meter)
@@ -248,7 +248,7 @@
 }
 
 func (p *player) told(inst uint32, e endpoints.Endpoint) {
-	node, ok := p.byAdr[nodelist.AddrOf(e.Server)]
+	node, ok := p.byAdr[registry.AddrOf(e.Server)]
 	if !ok {
 		return
 	}
@@ -280,7 +280,7 @@
 	inst, err := sched.New(sched.Config{Number: h.n, Of: p.day.Instances,
 		Seed: p.opt.Seed*1000003 + uint64(h.n), Zone: uint8(h.n % len(p.day.Site.Zones)), Site: p.day.Site,
 		Listener: ln, List: list,
-		Kept:       nodelist.File{Path: filepath.Join(p.opt.Dir, fmt.Sprintf("list-%d", h.n))},
+		Kept:       registry.File{Path: filepath.Join(p.opt.Dir, fmt.Sprintf("list-%d", h.n))},
 		StopWithin: 5 * time.Second, Log: p.opt.Log, Hooks: hooks})
 	if err != nil {
 		ln.Close()
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -15,8 +15,8 @@
 
 	"landingpaddle/endpoints"
 	"landingpaddle/internal/config"
-	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
+	"landingpaddle/internal/registry"
 	"landingpaddle/scheduler"
 )
 
@@ -224,7 +224,7 @@
 		g.Go(func() error { return l.work(ctx) })
 	}
 	g.Go(func() error { return l.housekeeping(ctx) })
-	g.Go(func() error { return nodelist.Register(ctx, n.cfg.List, cfg, l.status) })
+	g.Go(func() error { return registry.Register(ctx, n.cfg.List, cfg, l.status) })
 	l.status <- l.entry(scheduler.Ready)
 	return g.Wait()
 }
@@ -247,7 +247,7 @@
 }
 
 func (l *life) entry(s scheduler.Status) endpoints.Endpoint {
-	server, err := nodelist.ServerOf(l.n.cfg.Addr)
+	server, err := registry.ServerOf(l.n.cfg.Addr)
 	if err != nil {
 		panic(err) // bound as IPv4
 	}
--- a/internal/lab/throughput_test.go
+++ b/internal/lab/throughput_test.go
@@ -13,8 +13,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"landingpaddle/internal/config"
-	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/proto"
+	"landingpaddle/internal/registry"
 	"landingpaddle/internal/sched"
 	"landingpaddle/scheduler"
 )
@@ -130,7 +130,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			list := nodelist.NewServer(nodelist.ServerConfig{Epoch: 1, MaxWait: time.Second})
+			list := registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
 			wg.Go(func() { _ = list.Serve(ctx, lists) })
 			kind := config.Kind{Cores: 4, Queue: 4096, PerUnit: work, WritePer: 1, Conns: 64}
 			group := NewGroup()
--- a/internal/nodelist/client.go
+++ b/internal/registry/client.go
@@ -1,4 +1,4 @@
-package nodelist
+package registry
 
 import (
 	"cmp"
--- a/internal/nodelist/nodelist.go
+++ b/internal/registry/nodelist.go
@@ -1,7 +1,7 @@
 // Package nodelist is the list service's protocol: how instances hear of the nodes. It holds the instance's
 // client, the file in which the last list is kept, and a stand-in service to run against. The frames are
 // those of package proto; docs/protocol.md describes them.
-package nodelist
+package registry
 
 import (
 	"fmt"
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -21,9 +21,9 @@
 	"landingpaddle/endpoints"
 	"landingpaddle/extent"
 	"landingpaddle/internal/config"
-	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/peer"
 	"landingpaddle/internal/proto"
+	"landingpaddle/internal/registry"
 	"landingpaddle/scheduler"
 )
 
@@ -49,7 +49,7 @@
 	Site       config.Site
 	Listener   net.Listener // for clients; owned by the instance
 	List       string       // address of the list service
-	Kept       nodelist.File
+	Kept       registry.File
 	Learnt     string // file of what was learnt; "": nothing is kept
 	PeerListen string // "": no peers
 	Peers      map[uint32]netip.AddrPort
@@ -71,7 +71,7 @@
 	AnswerSlack time.Duration      // so long after a call's time the net under the module answers it
 	ClockSkew   time.Duration      // of nodes' clocks
 	Extents     *extent.Settings   // nil: no ranged requests
-	Kept        nodelist.File      // the list kept from before a restart;
+	Kept        registry.File      // the list kept from before a restart;
 	Known       endpoints.Snapshot // without such a file, the list as it was told at the start
 	// the list service goes on as it was: changes to what was kept are believed
 	OneList    bool
@@ -152,7 +152,7 @@
 	*Core
 	cfg   Config
 	front *front
-	list  *nodelist.Client
+	list  *registry.Client
 	link  *peer.Link
 }
 
@@ -185,7 +185,7 @@
 		}
 		i.link = link
 	}
-	i.list = nodelist.NewClient(nodelist.ClientConfig{Addr: cfg.List, Push: !cfg.Site.Ask,
+	i.list = registry.NewClient(registry.ClientConfig{Addr: cfg.List, Push: !cfg.Site.Ask,
 		Conn: proto.Config{Hello: i.hello(), Gate: cfg.Hooks.Gate},
 		Held: i.Held, Hear: i.Hear, Failed: i.ListFailed})
 	return i, nil
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -21,9 +21,9 @@
 
 	"landingpaddle/endpoints"
 	"landingpaddle/internal/config"
-	"landingpaddle/internal/nodelist"
 	"landingpaddle/internal/peer"
 	"landingpaddle/internal/proto"
+	"landingpaddle/internal/registry"
 	"landingpaddle/scheduler"
 )
 
@@ -62,7 +62,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	list   *nodelist.Server
+	list   *registry.Server
 	lists  string
 	logs   *syncBuffer
 	inst   *Instance
@@ -91,7 +91,7 @@
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	ln := r.listen()
 	r.lists = ln.Addr().String()
-	r.list = nodelist.NewServer(nodelist.ServerConfig{Epoch: 1, MaxWait: time.Second})
+	r.list = registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
 	r.wg.Go(func() { _ = r.list.Serve(r.ctx, ln) })
 	t.Cleanup(func() { r.cancel(); r.wg.Wait() })
 	return r
@@ -143,7 +143,7 @@
 }
 
 func (n *fakeNode) entry(cell uint16, s scheduler.Status) endpoints.Endpoint {
-	server, _ := nodelist.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
+	server, _ := registry.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
 	return endpoints.Endpoint{Server: server, Status: s, Cell: cell, NominalCapacity: 1}
 }
 
@@ -661,7 +661,7 @@
 func TestKeptListAtARestart(t *testing.T) {
 	r := newRig(t)
 	r.node(0, echo)
-	file := nodelist.File{Path: filepath.Join(t.TempDir(), "list")}
+	file := registry.File{Path: filepath.Join(t.TempDir(), "list")}
 	inst := r.start(func(cfg *Config) { cfg.Kept = file })
 	r.logged("node listed")
 	for range 200 {
@@ -772,7 +772,7 @@
 		}
 		return nil
 	})
-	server, _ := nodelist.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
+	server, _ := registry.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
 	s := &script{server: server, seen: make(chan scheduler.Event, 64)}
 	r.start(func(cfg *Config) { cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return s } })
 	got := map[string]int{}
