--- a/cmd/landingpaddle/serve.go
+++ b/cmd/landingpaddle/serve.go
@@ -28,7 +28,8 @@
 		return err
 	}
 	cfg := sched.Config{Number: set.Number, Of: set.Of, Zone: uint8(set.Site.Zone(set.Zone)), Seed: set.Seed,
-		Site: set.Site, Listener: ln, List: set.List.String(), Kept: registry.File{Path: set.KeptList},
+		Site: set.Site, Listener: ln, List: set.List.String(),
+		Kept:   registry.SnapshotFile{Path: set.KeptList},
 		Learnt: set.Learnt, StopWithin: set.StopWithin, Log: log}
 	if set.PeerListen.IsValid() {
 		cfg.PeerListen, cfg.Peers = set.PeerListen.String(), map[uint32]netip.AddrPort{}
--- a/cmd/landingpaddle/standins.go
+++ b/cmd/landingpaddle/standins.go
@@ -72,12 +72,12 @@
 	}
 	events := lab.NewLog()
 	told := func(instance uint32, e endpoints.Endpoint) {
-		addr := registry.AddrOf(e.Server).String()
+		addr := registry.AddrPortOf(e.Server).String()
 		events.Add(lab.Event{Kind: lab.KindTold, Inst: int(instance), Node: -1, Boot: e.StartedAt,
 			Status: e.Status.String(), Reason: addr})
 	}
 	s := registry.NewServer(registry.ServerConfig{Epoch: uint64(time.Now().UnixNano()), Delay: set.Delay,
-		Workers: set.Workers, CallTime: set.CallTime, MaxWait: set.MaxWait, Told: told})
+		Workers: set.Workers, CallTime: set.CallTime, MaxWait: set.MaxWait, OnAcknowledged: told})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	_, stop := signals(cancel)
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -186,7 +186,7 @@
 		return err
 	}
 	p.list = registry.NewServer(registry.ServerConfig{Epoch: 1 + p.opt.Seed, Delay: d.List.Delay,
-		Workers: d.List.Workers, CallTime: d.List.CallTime, MaxWait: d.List.MaxWait, Told: p.told})
+		Workers: d.List.Workers, CallTime: d.List.CallTime, MaxWait: d.List.MaxWait, OnAcknowledged: p.told})
 	g.Go(func() error { return p.list.Serve(ctx, ln) })
 	groups, meter := newGroups(), NewMeter(d.Site.Meter)
 	for i := range d.Nodes.Count {
@@ -248,7 +248,7 @@
 }
 
 func (p *player) told(inst uint32, e endpoints.Endpoint) {
-	node, ok := p.byAdr[registry.AddrOf(e.Server)]
+	node, ok := p.byAdr[registry.AddrPortOf(e.Server)]
 	if !ok {
 		return
 	}
@@ -280,7 +280,7 @@
 	inst, err := sched.New(sched.Config{Number: h.n, Of: p.day.Instances,
 		Seed: p.opt.Seed*1000003 + uint64(h.n), Zone: uint8(h.n % len(p.day.Site.Zones)), Site: p.day.Site,
 		Listener: ln, List: list,
-		Kept:       registry.File{Path: filepath.Join(p.opt.Dir, fmt.Sprintf("list-%d", h.n))},
+		Kept:       registry.SnapshotFile{Path: filepath.Join(p.opt.Dir, fmt.Sprintf("list-%d", h.n))},
 		StopWithin: 5 * time.Second, Log: p.opt.Log, Hooks: hooks})
 	if err != nil {
 		ln.Close()
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -247,7 +247,7 @@
 }
 
 func (l *life) entry(s scheduler.Status) endpoints.Endpoint {
-	server, err := registry.ServerOf(l.n.cfg.Addr)
+	server, err := registry.ServerFromAddrPort(l.n.cfg.Addr)
 	if err != nil {
 		panic(err) // bound as IPv4
 	}
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -22,13 +22,13 @@
 	// itself. Else it does only what it is asked for.
 	Push bool
 	// Again is the mean pause before a pushing service is connected to again; 0: half a second.
-	Again time.Duration
+	ReconnectDelay time.Duration
 	// Held tells which list is held, to be told of changes only.
-	Held func() (epoch, version uint64)
+	Version func() (epoch, version uint64)
 	// Hear takes news, Failed that a call failed or a watch broke. Both are called from the client's
 	// goroutines and must not block.
-	Hear   func(endpoints.Update)
-	Failed func(error)
+	OnUpdate  func(endpoints.Update)
+	OnFailure func(error)
 }
 
 type command uint8
@@ -37,7 +37,7 @@
 	watchOn command = iota
 	watchOff
 	fetch
-	fetchWhole
+	fetchFull
 )
 
 const (
@@ -47,18 +47,18 @@
 
 // Client talks to a list service. Its methods never block.
 type Client struct {
-	cfg  ClientConfig
-	todo chan command
+	cfg      ClientConfig
+	commands chan command
 }
 
 // NewClient makes a client; Run makes it work.
 func NewClient(cfg ClientConfig) *Client {
-	if cfg.Again == 0 {
-		cfg.Again = 500 * time.Millisecond
+	if cfg.ReconnectDelay == 0 {
+		cfg.ReconnectDelay = 500 * time.Millisecond
 	}
 	cfg.Conn.Limits = Limits
 	cfg.Conn.Idle = 24 * time.Hour // a watch is silent while nothing changes
-	return &Client{cfg: cfg, todo: make(chan command, 16)}
+	return &Client{cfg: cfg, commands: make(chan command, 16)}
 }
 
 // Watch opens or ends the standing subscription.
@@ -74,13 +74,13 @@
 func (c *Client) Fetch() { c.do(fetch) }
 
 // FetchWhole asks for the whole list once: what is held cannot be built on.
-func (c *Client) FetchWhole() { c.do(fetchWhole) }
+func (c *Client) FetchWhole() { c.do(fetchFull) }
 
 func (c *Client) do(cmd command) {
 	select {
-	case c.todo <- cmd:
+	case c.commands <- cmd:
 	default:
-		c.cfg.Failed(errors.New("too many calls to the list service wait"))
+		c.cfg.OnFailure(errors.New("too many calls to the list service wait"))
 	}
 }
 
@@ -106,7 +106,7 @@
 	var ended chan error
 	wait := func() {
 		if c.cfg.Push {
-			again = time.After(c.cfg.Again/2 + rand.N(c.cfg.Again))
+			again = time.After(c.cfg.ReconnectDelay/2 + rand.N(c.cfg.ReconnectDelay))
 		}
 	}
 	call := func(cmd command) {
@@ -114,14 +114,14 @@
 			made, err := c.connect(ctx, g)
 			if err != nil {
 				if ctx.Err() == nil {
-					c.cfg.Failed(fmt.Errorf("list service: %w", err))
+					c.cfg.OnFailure(fmt.Errorf("list service: %w", err))
 					wait()
 				}
 				return
 			}
 			l, ended = made, made.ended
 		}
-		if err := l.call(cmd, c.cfg.Held); err != nil {
+		if err := l.call(cmd, c.cfg.Version); err != nil {
 			l.conn.Close(err)
 		}
 	}
@@ -136,7 +136,7 @@
 				<-ended
 			}
 			return nil
-		case cmd := <-c.todo:
+		case cmd := <-c.commands:
 			call(cmd)
 		case <-again:
 			again = nil
@@ -147,7 +147,9 @@
 			asked := l.asked
 			l, ended = nil, nil
 			if asked && ctx.Err() == nil {
-				c.cfg.Failed(fmt.Errorf("list service: connection ended: %w", cmp.Or(err, proto.ErrClosed)))
+				c.cfg.OnFailure(
+					fmt.Errorf("list service: connection ended: %w", cmp.Or(err, proto.ErrClosed)),
+				)
 			}
 			wait()
 		}
@@ -171,7 +173,7 @@
 
 func (l *link) call(cmd command, held func() (uint64, uint64)) error {
 	var ask proto.Ask
-	if cmd != fetchWhole && held != nil {
+	if cmd != fetchFull && held != nil {
 		ask.Epoch, ask.Version = held()
 	}
 	l.asked = true
@@ -195,11 +197,11 @@
 func (c *Client) frame(conn *proto.Conn, f proto.Frame) error {
 	switch f.Type {
 	case proto.TypeNews:
-		n, err := NewsOf(f)
+		n, err := DecodeUpdate(f)
 		if err != nil {
 			return err
 		}
-		c.cfg.Hear(n)
+		c.cfg.OnUpdate(n)
 		return conn.Post(proto.TypeHeard, n.Version, nil, nil)
 	case proto.TypeAnswer:
 		var a proto.Answer
@@ -207,7 +209,7 @@
 			return err
 		}
 		if a.Code != proto.OK {
-			c.cfg.Failed(fmt.Errorf("list service: %s", a.Reason))
+			c.cfg.OnFailure(fmt.Errorf("list service: %s", a.Reason))
 		}
 		return nil
 	}
--- a/internal/registry/kept.go
+++ b/internal/registry/kept.go
@@ -10,19 +10,19 @@
 	"landingpaddle/internal/statefile"
 )
 
-const keptMagic = "LPLIST1\n"
+const snapshotMagic = "LPLIST1\n"
 
 // File keeps the last list heard.
-type File struct {
+type SnapshotFile struct {
 	Path string
 	// Write replaces the file durably; nil: the usual way. Tests fill the disk by it.
 	Write func(path string, data []byte) error
 }
 
 // Save keeps a list.
-func (f File) Save(k endpoints.Snapshot) error {
-	m := Message{Epoch: k.Epoch, Version: k.Version, Whole: true, Items: itemsOf(k.Endpoints)}
-	data, err := statefile.Encode(keptMagic, m)
+func (f SnapshotFile) Save(k endpoints.Snapshot) error {
+	m := Message{Epoch: k.Epoch, Version: k.Version, Full: true, Endpoints: recordsOf(k.Endpoints)}
+	data, err := statefile.Encode(snapshotMagic, m)
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.Path, err)
 	}
@@ -38,7 +38,7 @@
 
 // Load reads the kept list. No file is an empty list. A file cut short or changed is an error that tells
 // where; the instance then starts as if it had none.
-func (f File) Load() (endpoints.Snapshot, error) {
+func (f SnapshotFile) Load() (endpoints.Snapshot, error) {
 	data, err := os.ReadFile(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return endpoints.Snapshot{}, nil
@@ -46,19 +46,19 @@
 	if err != nil {
 		return endpoints.Snapshot{}, err
 	}
-	k, err := parseKept(data)
+	k, err := parseSnapshot(data)
 	if err != nil {
 		return endpoints.Snapshot{}, fmt.Errorf("%s: %w", f.Path, err)
 	}
 	return k, nil
 }
 
-func parseKept(data []byte) (endpoints.Snapshot, error) {
+func parseSnapshot(data []byte) (endpoints.Snapshot, error) {
 	var m Message
-	if err := statefile.Decode(keptMagic, data, &m); err != nil {
+	if err := statefile.Decode(snapshotMagic, data, &m); err != nil {
 		return endpoints.Snapshot{}, err
 	}
-	entries, err := m.entries()
+	entries, err := m.endpoints()
 	if err != nil {
 		return endpoints.Snapshot{}, fmt.Errorf("%w: %w", statefile.ErrCorrupt, err)
 	}
--- a/internal/registry/nodelist.go
+++ b/internal/registry/nodelist.go
@@ -13,34 +13,34 @@
 )
 
 // MostEntries bounds a list read from outside.
-const MostEntries = 20_000
+const MaxEndpoints = 20_000
 
 // Limits of the list protocol's frames: a list is one header.
 var Limits = proto.Limits{Header: 4 << 20, Payload: 0, Streams: 16, Backlog: 64 << 20}
 
 // Item is an entry on the wire.
-type Item struct {
-	Addr    uint32  `cbor:"1,keyasint"` // IPv4, most significant byte first
-	Port    uint16  `cbor:"2,keyasint"`
-	Status  uint8   `cbor:"3,keyasint"`
-	Cell    uint16  `cbor:"4,keyasint"`
-	Zone    uint8   `cbor:"5,keyasint"`
-	Kind    uint8   `cbor:"6,keyasint,omitempty"`
-	Boot    int64   `cbor:"7,keyasint,omitempty"`
-	Nominal float64 `cbor:"8,keyasint,omitempty"`
+type EndpointRecord struct {
+	Addr            uint32  `cbor:"1,keyasint"` // IPv4, most significant byte first
+	Port            uint16  `cbor:"2,keyasint"`
+	Status          uint8   `cbor:"3,keyasint"`
+	Cell            uint16  `cbor:"4,keyasint"`
+	Zone            uint8   `cbor:"5,keyasint"`
+	MachineType     uint8   `cbor:"6,keyasint,omitempty"`
+	StartedAt       int64   `cbor:"7,keyasint,omitempty"`
+	NominalCapacity float64 `cbor:"8,keyasint,omitempty"`
 }
 
 // Message is the header of a News frame and the body of a kept list.
 type Message struct {
-	Epoch   uint64 `cbor:"1,keyasint"`
-	Version uint64 `cbor:"2,keyasint"`
-	Since   uint64 `cbor:"3,keyasint,omitempty"`
-	Whole   bool   `cbor:"4,keyasint,omitempty"`
-	Items   []Item `cbor:"5,keyasint"`
+	Epoch       uint64           `cbor:"1,keyasint"`
+	Version     uint64           `cbor:"2,keyasint"`
+	BaseVersion uint64           `cbor:"3,keyasint,omitempty"`
+	Full        bool             `cbor:"4,keyasint,omitempty"`
+	Endpoints   []EndpointRecord `cbor:"5,keyasint"`
 }
 
 // ServerOf turns an address such as 127.0.0.1:7100 into the module's form.
-func ServerOf(addr netip.AddrPort) (scheduler.Server, error) {
+func ServerFromAddrPort(addr netip.AddrPort) (scheduler.Server, error) {
 	if !addr.Addr().Unmap().Is4() {
 		return scheduler.Server{}, fmt.Errorf("%v is no IPv4 address", addr)
 	}
@@ -48,17 +48,17 @@
 }
 
 // AddrOf turns it back.
-func AddrOf(s scheduler.Server) netip.AddrPort {
+func AddrPortOf(s scheduler.Server) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(s.Addr), s.Port)
 }
 
-func itemOf(e endpoints.Endpoint) Item {
+func recordOf(e endpoints.Endpoint) EndpointRecord {
 	a := e.Server.Addr
-	return Item{uint32(a[0])<<24 | uint32(a[1])<<16 | uint32(a[2])<<8 | uint32(a[3]), e.Server.Port,
+	return EndpointRecord{uint32(a[0])<<24 | uint32(a[1])<<16 | uint32(a[2])<<8 | uint32(a[3]), e.Server.Port,
 		uint8(e.Status), e.Cell, e.Zone, e.MachineType, e.StartedAt, e.NominalCapacity}
 }
 
-func (i Item) entry() (endpoints.Endpoint, error) {
+func (i EndpointRecord) endpoint() (endpoints.Endpoint, error) {
 	if i.Status > uint8(scheduler.Draining) {
 		return endpoints.Endpoint{}, fmt.Errorf("status %d is not known", i.Status)
 	}
@@ -71,27 +71,27 @@
 		Status:          scheduler.Status(i.Status),
 		Cell:            i.Cell,
 		Zone:            i.Zone,
-		MachineType:     i.Kind,
-		StartedAt:       i.Boot,
-		NominalCapacity: i.Nominal,
+		MachineType:     i.MachineType,
+		StartedAt:       i.StartedAt,
+		NominalCapacity: i.NominalCapacity,
 	}, nil
 }
 
-func itemsOf(entries []endpoints.Endpoint) []Item {
-	out := make([]Item, len(entries))
+func recordsOf(entries []endpoints.Endpoint) []EndpointRecord {
+	out := make([]EndpointRecord, len(entries))
 	for i, e := range entries {
-		out[i] = itemOf(e)
+		out[i] = recordOf(e)
 	}
 	return out
 }
 
-func (m Message) entries() ([]endpoints.Endpoint, error) {
-	if len(m.Items) > MostEntries {
-		return nil, fmt.Errorf("%d entries; %d at most", len(m.Items), MostEntries)
+func (m Message) endpoints() ([]endpoints.Endpoint, error) {
+	if len(m.Endpoints) > MaxEndpoints {
+		return nil, fmt.Errorf("%d entries; %d at most", len(m.Endpoints), MaxEndpoints)
 	}
-	out := make([]endpoints.Endpoint, len(m.Items))
-	for n, i := range m.Items {
-		e, err := i.entry()
+	out := make([]endpoints.Endpoint, len(m.Endpoints))
+	for n, i := range m.Endpoints {
+		e, err := i.endpoint()
 		if err != nil {
 			return nil, fmt.Errorf("entry %d: %w", n, err)
 		}
@@ -101,15 +101,15 @@
 }
 
 // NewsOf reads a News frame.
-func NewsOf(f proto.Frame) (endpoints.Update, error) {
+func DecodeUpdate(f proto.Frame) (endpoints.Update, error) {
 	var m Message
 	if err := f.Decode(&m); err != nil {
 		return endpoints.Update{}, err
 	}
-	entries, err := m.entries()
+	entries, err := m.endpoints()
 	if err != nil {
 		return endpoints.Update{}, fmt.Errorf("news: %w", err)
 	}
-	return endpoints.Update{Epoch: m.Epoch, Version: m.Version, BaseVersion: m.Since, Full: m.Whole,
+	return endpoints.Update{Epoch: m.Epoch, Version: m.Version, BaseVersion: m.BaseVersion, Full: m.Full,
 		Endpoints: entries}, nil
 }
--- a/internal/registry/nodelist_test.go
+++ b/internal/registry/nodelist_test.go
@@ -24,7 +24,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func entry(port int, s scheduler.Status) endpoints.Endpoint {
-	server, _ := ServerOf(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)))
+	server, _ := ServerFromAddrPort(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)))
 	return endpoints.Endpoint{Server: server, Status: s, Cell: uint16(port), StartedAt: 7, NominalCapacity: 1}
 }
 
@@ -50,11 +50,13 @@
 		told: make(chan endpoints.Endpoint, 64),
 		addr: ln.Addr().String(),
 	}
-	cfg.Told = func(inst uint32, e endpoints.Endpoint) { r.told <- e }
+	cfg.OnAcknowledged = func(inst uint32, e endpoints.Endpoint) { r.told <- e }
 	cfg.Epoch = 9
 	r.s = NewServer(cfg)
-	r.c = NewClient(ClientConfig{Addr: r.addr, Push: push, Again: 20 * time.Millisecond, Held: held,
-		Hear: func(n endpoints.Update) { r.news <- n }, Failed: func(err error) { r.errs <- err }})
+	r.c = NewClient(
+		ClientConfig{Addr: r.addr, Push: push, ReconnectDelay: 20 * time.Millisecond, Version: held,
+			OnUpdate: func(n endpoints.Update) { r.news <- n }, OnFailure: func(err error) { r.errs <- err }},
+	)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = r.s.Serve(ctx, ln) })
@@ -177,8 +179,8 @@
 	news, errs := make(chan endpoints.Update, 8), make(chan error, 8)
 	for _, push := range []bool{false, true} {
 		ctx, cancel := context.WithCancel(context.Background())
-		c := NewClient(ClientConfig{Addr: addr, Push: push, Again: 20 * time.Millisecond,
-			Hear: func(n endpoints.Update) { news <- n }, Failed: func(err error) {
+		c := NewClient(ClientConfig{Addr: addr, Push: push, ReconnectDelay: 20 * time.Millisecond,
+			OnUpdate: func(n endpoints.Update) { news <- n }, OnFailure: func(err error) {
 				select {
 				case errs <- err:
 				default:
@@ -204,7 +206,7 @@
 }
 
 func TestKeptListSurvivesAndSaysWhatIsWrongWithIt(t *testing.T) {
-	f := File{Path: filepath.Join(t.TempDir(), "list")}
+	f := SnapshotFile{Path: filepath.Join(t.TempDir(), "list")}
 	if k, err := f.Load(); err != nil || k.Version != 0 {
 		t.Fatalf("no file: %+v, %v", k, err)
 	}
@@ -223,12 +225,12 @@
 	}
 	data, _ := os.ReadFile(f.Path)
 	for n := range data {
-		if _, err := parseKept(data[:n]); !errors.Is(err, statefile.ErrCorrupt) {
+		if _, err := parseSnapshot(data[:n]); !errors.Is(err, statefile.ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 		bad := append([]byte(nil), data...)
 		bad[n] ^= 1
-		if _, err := parseKept(bad); !errors.Is(err, statefile.ErrCorrupt) {
+		if _, err := parseSnapshot(bad); !errors.Is(err, statefile.ErrCorrupt) {
 			t.Fatalf("byte %d changed: %v", n, err)
 		}
 	}
@@ -245,10 +247,10 @@
 func FuzzNews(f *testing.F) {
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n, err := NewsOf(proto.Frame{Type: proto.TypeNews, Header: data})
-		if err == nil && len(n.Endpoints) > MostEntries {
+		n, err := DecodeUpdate(proto.Frame{Type: proto.TypeNews, Header: data})
+		if err == nil && len(n.Endpoints) > MaxEndpoints {
 			t.Fatal("more entries than the bound")
 		}
-		_, _ = parseKept(data)
+		_, _ = parseSnapshot(data)
 	})
 }
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -25,7 +25,7 @@
 	MaxConns int
 	Conn     proto.Config
 	// Told, where set, is called when an instance has acknowledged news of a node.
-	Told func(instance uint32, e endpoints.Endpoint)
+	OnAcknowledged func(instance uint32, e endpoints.Endpoint)
 }
 
 // Server is the stand-in: nodes register with it and are listed for as long as their connection lasts.
@@ -54,9 +54,9 @@
 
 // session is one connection.
 type session struct {
-	conn     *proto.Conn
-	instance uint32
-	unheard  map[uint64][]endpoints.Endpoint // news sent, by version
+	conn           *proto.Conn
+	instance       uint32
+	unacknowledged map[uint64][]endpoints.Endpoint // news sent, by version
 }
 
 // NewServer makes a service that lists nothing.
@@ -118,12 +118,12 @@
 }
 
 func (s *Server) session(ctx context.Context, c *proto.Conn) {
-	w := &session{conn: c, instance: c.Their().Number, unheard: map[uint64][]endpoints.Endpoint{}}
+	w := &session{conn: c, instance: c.Their().Number, unacknowledged: map[uint64][]endpoints.Endpoint{}}
 	var node *endpoints.Endpoint
 	_ = c.Run(ctx, func(f proto.Frame) error { // why a peer left is its own matter
 		switch f.Type {
 		case proto.TypeRegister:
-			n, err := NewsOf(f)
+			n, err := DecodeUpdate(f)
 			if err != nil {
 				return err
 			}
@@ -146,7 +146,7 @@
 			s.mu.Unlock()
 			return nil
 		case proto.TypeHeard:
-			s.heard(w, f.Stream)
+			s.acknowledge(w, f.Stream)
 			return nil
 		}
 		return fmt.Errorf("a list service takes no frame of type %v", f.Type)
@@ -251,8 +251,8 @@
 }
 
 func (s *Server) tell(w *session, n endpoints.Update, stream uint64) {
-	m := Message{Epoch: n.Epoch, Version: n.Version, Since: n.BaseVersion, Whole: n.Full,
-		Items: itemsOf(n.Endpoints)}
+	m := Message{Epoch: n.Epoch, Version: n.Version, BaseVersion: n.BaseVersion, Full: n.Full,
+		Endpoints: recordsOf(n.Endpoints)}
 	if w.conn.Post(proto.TypeNews, stream, m, nil) != nil {
 		return
 	}
@@ -260,17 +260,17 @@
 	if n.Full {
 		told = slices.Collect(maps.Values(s.listed)) // what is missing in a whole list is gone
 	}
-	w.unheard[n.Version] = append(w.unheard[n.Version], told...)
+	w.unacknowledged[n.Version] = append(w.unacknowledged[n.Version], told...)
 }
 
-func (s *Server) heard(w *session, version uint64) {
+func (s *Server) acknowledge(w *session, version uint64) {
 	s.mu.Lock()
-	told := w.unheard[version]
-	delete(w.unheard, version)
+	told := w.unacknowledged[version]
+	delete(w.unacknowledged, version)
 	s.mu.Unlock()
-	if s.cfg.Told != nil {
+	if s.cfg.OnAcknowledged != nil {
 		for _, e := range told {
-			s.cfg.Told(w.instance, e)
+			s.cfg.OnAcknowledged(w.instance, e)
 		}
 	}
 }
@@ -297,7 +297,7 @@
 			_ = conn.Run(ctx, func(f proto.Frame) error { return fmt.Errorf("unasked frame %v", f.Type) })
 		}()
 		put := func(e endpoints.Endpoint) {
-			_ = conn.Post(proto.TypeRegister, 0, Message{Items: itemsOf([]endpoints.Endpoint{e})}, nil)
+			_ = conn.Post(proto.TypeRegister, 0, Message{Endpoints: recordsOf([]endpoints.Endpoint{e})}, nil)
 		}
 		if last != nil {
 			put(*last)
--- a/internal/registry/stored_test.go
+++ b/internal/registry/stored_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestStoredListReadsAndWritesAsBefore(t *testing.T) {
-	got, err := File{Path: storedList}.Load()
+	got, err := SnapshotFile{Path: storedList}.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 }
 
 func TestListOfAStoppedProcessReadsAsBefore(t *testing.T) {
-	got, err := File{Path: stoppedList}.Load()
+	got, err := SnapshotFile{Path: stoppedList}.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	var data []byte
-	f := File{Path: path, Write: func(_ string, written []byte) error { data = written; return nil }}
+	f := SnapshotFile{Path: path, Write: func(_ string, written []byte) error { data = written; return nil }}
 	if err := f.Save(k); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sched/pool.go
+++ b/internal/sched/pool.go
@@ -61,7 +61,7 @@
 	return &pool{ctx: ctx, g: g, i: i, cfg: cfg, nodes: map[scheduler.Server]*nodeLink{}}
 }
 
-func addrText(s scheduler.Server) string { return registry.AddrOf(s).String() }
+func addrText(s scheduler.Server) string { return registry.AddrPortOf(s).String() }
 
 func (p *pool) link(s scheduler.Server) *nodeLink {
 	n := p.nodes[s]
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -49,7 +49,7 @@
 	Site       config.Site
 	Listener   net.Listener // for clients; owned by the instance
 	List       string       // address of the list service
-	Kept       registry.File
+	Kept       registry.SnapshotFile
 	Learnt     string // file of what was learnt; "": nothing is kept
 	PeerListen string // "": no peers
 	Peers      map[uint32]netip.AddrPort
@@ -66,13 +66,13 @@
 type CoreConfig struct {
 	Seed        uint64
 	Settings    scheduler.Settings
-	Tick        time.Duration      // batches begin at most this often
-	Transit     time.Duration      // what of a client's wait is left for the way back
-	AnswerSlack time.Duration      // so long after a call's time the net under the module answers it
-	ClockSkew   time.Duration      // of nodes' clocks
-	Extents     *extent.Settings   // nil: no ranged requests
-	Kept        registry.File      // the list kept from before a restart;
-	Known       endpoints.Snapshot // without such a file, the list as it was told at the start
+	Tick        time.Duration         // batches begin at most this often
+	Transit     time.Duration         // what of a client's wait is left for the way back
+	AnswerSlack time.Duration         // so long after a call's time the net under the module answers it
+	ClockSkew   time.Duration         // of nodes' clocks
+	Extents     *extent.Settings      // nil: no ranged requests
+	Kept        registry.SnapshotFile // the list kept from before a restart;
+	Known       endpoints.Snapshot    // without such a file, the list as it was told at the start
 	// the list service goes on as it was: changes to what was kept are believed
 	OneList    bool
 	Learnt     string                 // file of what was learnt; "": nothing is kept
@@ -186,8 +186,8 @@
 		i.link = link
 	}
 	i.list = registry.NewClient(registry.ClientConfig{Addr: cfg.List, Push: !cfg.Site.Ask,
-		Conn: proto.Config{Hello: i.hello(), Gate: cfg.Hooks.Gate},
-		Held: i.Held, Hear: i.Hear, Failed: i.ListFailed})
+		Conn:    proto.Config{Hello: i.hello(), Gate: cfg.Hooks.Gate},
+		Version: i.Held, OnUpdate: i.Hear, OnFailure: i.ListFailed})
 	return i, nil
 }
 
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -143,7 +143,7 @@
 }
 
 func (n *fakeNode) entry(cell uint16, s scheduler.Status) endpoints.Endpoint {
-	server, _ := registry.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
+	server, _ := registry.ServerFromAddrPort(n.ln.Addr().(*net.TCPAddr).AddrPort())
 	return endpoints.Endpoint{Server: server, Status: s, Cell: cell, NominalCapacity: 1}
 }
 
@@ -661,7 +661,7 @@
 func TestKeptListAtARestart(t *testing.T) {
 	r := newRig(t)
 	r.node(0, echo)
-	file := registry.File{Path: filepath.Join(t.TempDir(), "list")}
+	file := registry.SnapshotFile{Path: filepath.Join(t.TempDir(), "list")}
 	inst := r.start(func(cfg *Config) { cfg.Kept = file })
 	r.logged("node listed")
 	for range 200 {
@@ -772,7 +772,7 @@
 		}
 		return nil
 	})
-	server, _ := registry.ServerOf(n.ln.Addr().(*net.TCPAddr).AddrPort())
+	server, _ := registry.ServerFromAddrPort(n.ln.Addr().(*net.TCPAddr).AddrPort())
 	s := &script{server: server, seen: make(chan scheduler.Event, 64)}
 	r.start(func(cfg *Config) { cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return s } })
 	got := map[string]int{}
