--- a/cmd/landingpaddle/day.go
+++ b/cmd/landingpaddle/day.go
@@ -9,8 +9,8 @@
 	"strings"
 
 	"landingpaddle/internal/config"
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/lab"
-	"landingpaddle/internal/sched"
 	"landingpaddle/internal/sexpr"
 )
 
@@ -51,7 +51,7 @@
 			return err
 		}
 	}
-	played, err := c.play(&day, sched.Hooks{})
+	played, err := c.play(&day, daemon.Hooks{})
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 	}
 	if c.Unmerged {
 		day.Site.Extents.Alone = true
-		if r.Unmerged, err = c.again(&day, sched.Hooks{}); err != nil {
+		if r.Unmerged, err = c.again(&day, daemon.Hooks{}); err != nil {
 			return err
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 // again plays a day once more for what is compared with it.
-func (c *dayCmd) again(day *lab.Day, hooks sched.Hooks) (*lab.Worth, error) {
+func (c *dayCmd) again(day *lab.Day, hooks daemon.Hooks) (*lab.Worth, error) {
 	played, err := c.play(day, hooks)
 	if err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (c *dayCmd) play(day *lab.Day, hooks sched.Hooks) (*lab.Played, error) {
+func (c *dayCmd) play(day *lab.Day, hooks daemon.Hooks) (*lab.Played, error) {
 	dir, err := os.MkdirTemp("", "landingpaddle-day-*")
 	if err != nil {
 		return nil, err
--- a/cmd/landingpaddle/serve.go
+++ b/cmd/landingpaddle/serve.go
@@ -5,8 +5,8 @@
 	"net/netip"
 
 	"landingpaddle/internal/config"
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/registry"
-	"landingpaddle/internal/sched"
 )
 
 type serveCmd struct {
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	cfg := sched.Config{Number: set.Number, Of: set.Of, Zone: uint8(set.Site.Zone(set.Zone)), Seed: set.Seed,
+	cfg := daemon.Config{Number: set.Number, Of: set.Of, Zone: uint8(set.Site.Zone(set.Zone)), Seed: set.Seed,
 		Site: set.Site, Listener: ln, List: set.List.String(),
 		Kept:   registry.SnapshotFile{Path: set.KeptList},
 		Learnt: set.Learnt, StopWithin: set.StopWithin, Log: log}
@@ -37,7 +37,7 @@
 			cfg.Peers[p.Number] = p.Addr.AddrPort
 		}
 	}
-	inst, err := sched.New(cfg)
+	inst, err := daemon.New(cfg)
 	if err != nil {
 		ln.Close()
 		return err
--- a/cmd/landingpaddle/sweep.go
+++ b/cmd/landingpaddle/sweep.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/vg"
 
 	"landingpaddle/internal/config"
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/lab"
-	"landingpaddle/internal/sched"
 	"landingpaddle/internal/sexpr"
 )
 
@@ -70,7 +70,7 @@
 		}
 		player := dayCmd{Seed: c.Seed, Verbose: c.Verbose}
 		name = day.Name
-		played, err := player.play(&day, sched.Hooks{})
+		played, err := player.play(&day, daemon.Hooks{})
 		if err != nil {
 			return err
 		}
--- a/internal/sched/pool.go
+++ b/internal/daemon/pool.go
@@ -1,4 +1,4 @@
-package sched
+package daemon
 
 import (
 	"context"
--- a/internal/sched/sched.go
+++ b/internal/daemon/sched.go
@@ -2,7 +2,7 @@
 // it hands it what happens and carries out what it asks for. Nothing here decides about health, retries,
 // shares, order or drains: the only time-outs are those that actions and clients state, and what comes in
 // over a bound is refused at once with a reason and when to come back.
-package sched
+package daemon
 
 import (
 	"context"
--- a/internal/lab/audit_test.go
+++ b/internal/lab/audit_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/goleak"
 
-	"landingpaddle/internal/sched"
+	"landingpaddle/internal/daemon"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -47,7 +47,7 @@
 	for _, c := range []struct {
 		rule   string
 		day    *Day
-		mutant sched.Hooks
+		mutant daemon.Hooks
 	}{
 		{RuleAnswers, smallDay(t, readClass, "", reads), AnswerTwice()},
 		{RuleEffects, smallDay(t, strings.Replace(writeClass, "(in-order)", "", 1), "",
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/proto"
-	"landingpaddle/internal/sched"
 	"landingpaddle/scheduler"
 )
 
@@ -138,8 +138,8 @@
 }
 
 // Baseline are the hooks that put the greedy baseline in the module's place.
-func Baseline(change func(*Greedy)) sched.Hooks {
-	return sched.Hooks{Decider: func(set scheduler.Settings, _ sched.Decider) sched.Decider {
+func Baseline(change func(*Greedy)) daemon.Hooks {
+	return daemon.Hooks{Decider: func(set scheduler.Settings, _ daemon.Decider) daemon.Decider {
 		g := NewGreedy(set)
 		if change != nil {
 			change(g)
@@ -149,8 +149,8 @@
 }
 
 // AnswerTwice are the hooks of a scheduler that gives every answer twice.
-func AnswerTwice() sched.Hooks {
-	return sched.Hooks{Answered: func(c *proto.Conn, stream uint64, a proto.Answer, payload []byte) {
+func AnswerTwice() daemon.Hooks {
+	return daemon.Hooks{Answered: func(c *proto.Conn, stream uint64, a proto.Answer, payload []byte) {
 		_ = c.Post(proto.TypeAnswer, stream, a, payload) // a closed connection gets neither
 	}}
 }
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -18,9 +18,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"landingpaddle/endpoints"
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/registry"
-	"landingpaddle/internal/sched"
 	"landingpaddle/scheduler"
 )
 
@@ -29,7 +29,7 @@
 	Seed  uint64
 	Dir   string // for kept lists
 	Log   *slog.Logger
-	Hooks sched.Hooks // beside the laboratory's own
+	Hooks daemon.Hooks // beside the laboratory's own
 }
 
 // mostOpen bounds requests in hand of all clients; traffic over it is not asked, and counted.
@@ -277,7 +277,7 @@
 	}
 	hooks := p.opt.Hooks
 	hooks.Gate = h.gate.pass
-	inst, err := sched.New(sched.Config{Number: h.n, Of: p.day.Instances,
+	inst, err := daemon.New(daemon.Config{Number: h.n, Of: p.day.Instances,
 		Seed: p.opt.Seed*1000003 + uint64(h.n), Zone: uint8(h.n % len(p.day.Site.Zones)), Site: p.day.Site,
 		Listener: ln, List: list,
 		Kept:       registry.SnapshotFile{Path: filepath.Join(p.opt.Dir, fmt.Sprintf("list-%d", h.n))},
--- a/internal/lab/throughput_test.go
+++ b/internal/lab/throughput_test.go
@@ -13,9 +13,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"landingpaddle/internal/config"
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/registry"
-	"landingpaddle/internal/sched"
 	"landingpaddle/scheduler"
 )
 
@@ -149,7 +149,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			inst, err := sched.New(sched.Config{Of: 1, Seed: 1, Site: site, Listener: ln,
+			inst, err := daemon.New(daemon.Config{Of: 1, Seed: 1, Site: site, Listener: ln,
 				List: lists.Addr().String()})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/platform/crossings_nodes_test.go
+++ b/internal/platform/crossings_nodes_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"landingpaddle/internal/sched"
+	"landingpaddle/internal/daemon"
 )
 
 // heldConnect makes connections to disk servers come up only when they are let through.
@@ -237,7 +237,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		op := &sched.Operation{}
+		op := &daemon.Operation{}
 		a := &attempt{n: n, op: op, conn: c.conn}
 		a.ctx, a.cancel = context.WithCancel(context.Background())
 		op.Edge = a
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"landingpaddle/endpoints"
-	"landingpaddle/internal/sched"
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/wire"
 )
 
@@ -30,7 +30,7 @@
 
 // discovery watches and fetches the list. When to ask again after a failure is the module's to say.
 type discovery struct {
-	core   *sched.Core
+	core   *daemon.Core
 	site   *wire.Site
 	book   *book
 	client *http.Client
@@ -46,7 +46,7 @@
 	wg     sync.WaitGroup
 }
 
-func newDiscovery(ctx context.Context, core *sched.Core, site *wire.Site, addr string,
+func newDiscovery(ctx context.Context, core *daemon.Core, site *wire.Site, addr string,
 	book *book) *discovery {
 	client := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext,
 		DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 16 << 10}}
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/http1"
 	"landingpaddle/internal/proto"
-	"landingpaddle/internal/sched"
 	"landingpaddle/internal/wire"
 )
 
@@ -20,7 +20,7 @@
 // what the health path says, and the names of header fields.
 func TestWrittenForms(t *testing.T) {
 	var out strings.Builder
-	core := sched.NewCore(sched.CoreConfig{})
+	core := daemon.NewCore(daemon.CoreConfig{})
 	f := newFront(
 		core,
 		&wire.Site{},
@@ -50,12 +50,15 @@
 	}
 	answer(proto.Answer{Code: proto.OK}, false)
 	answer(proto.Answer{Code: proto.OK}, true)
-	answer(proto.Answer{Code: proto.Refused, Reason: sched.ReasonHeld, Advice: 250 * time.Millisecond}, false)
-	answer(proto.Answer{Code: proto.Refused, Reason: sched.ReasonOverload}, true)
-	for _, reason := range []string{sched.ReasonTimeout, sched.ReasonHeld, sched.ReasonOverdue,
-		sched.ReasonReset,
-		sched.ReasonUnreachable, sched.ReasonError, sched.ReasonFull, sched.ReasonMoot,
-		sched.ReasonStopping} {
+	answer(
+		proto.Answer{Code: proto.Refused, Reason: daemon.ReasonHeld, Advice: 250 * time.Millisecond},
+		false,
+	)
+	answer(proto.Answer{Code: proto.Refused, Reason: daemon.ReasonOverload}, true)
+	for _, reason := range []string{daemon.ReasonTimeout, daemon.ReasonHeld, daemon.ReasonOverdue,
+		daemon.ReasonReset,
+		daemon.ReasonUnreachable, daemon.ReasonError, daemon.ReasonFull, daemon.ReasonMoot,
+		daemon.ReasonStopping} {
 		answer(proto.Answer{Code: proto.Failed, Reason: reason}, false)
 	}
 	core.Stop()
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/http1"
 	"landingpaddle/internal/proto"
-	"landingpaddle/internal/sched"
 	"landingpaddle/internal/wire"
 	"landingpaddle/scheduler"
 )
@@ -36,7 +36,7 @@
 
 // front takes requests from clients, bounds them and hands them to the loop.
 type front struct {
-	core *sched.Core
+	core *daemon.Core
 	site *wire.Site
 	log  *slog.Logger
 	lim  bounds
@@ -59,7 +59,7 @@
 type exchange struct {
 	front  *front
 	c      *clientConn
-	call   *sched.Call
+	call   *daemon.Call
 	id     string
 	method string
 	target string
@@ -70,7 +70,7 @@
 	last   bool          // it was the connection's last; known once done is closed
 }
 
-func newFront(core *sched.Core, site *wire.Site, log *slog.Logger, lim bounds) *front {
+func newFront(core *daemon.Core, site *wire.Site, log *slog.Logger, lim bounds) *front {
 	return &front{core: core, site: site, log: log, lim: lim, conns: map[*clientConn]struct{}{},
 		open: map[string]struct{}{}}
 }
@@ -103,7 +103,7 @@
 		return nil, &http1.Error{Status: 405, What: "reads are GET, writes are PUT"}
 	}
 	e := &exchange{front: f, c: c, method: q.Method, target: q.Target, close: q.Close,
-		done: make(chan struct{}), call: &sched.Call{}}
+		done: make(chan struct{}), call: &daemon.Call{}}
 	if err := f.terms(e, q); err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 		if f.bodies.Add(q.Length) > f.lim.bodies {
 			f.bodies.Add(-q.Length)
 			f.counts.crowded.Add(1)
-			return nil, &http1.Error{Status: 503, What: sched.ReasonOverload}
+			return nil, &http1.Error{Status: 503, What: daemon.ReasonOverload}
 		}
 		if awaited, _ := q.Header.Get("Expect"); strings.EqualFold(awaited, "100-continue") {
 			_, _ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // the read tells if it broke
@@ -338,8 +338,8 @@
 		}
 	default:
 		status = 502
-		if a.Reason == sched.ReasonTimeout || a.Reason == sched.ReasonHeld ||
-			a.Reason == sched.ReasonOverdue {
+		if a.Reason == daemon.ReasonTimeout || a.Reason == daemon.ReasonHeld ||
+			a.Reason == daemon.ReasonOverdue {
 			status = 504
 		}
 	}
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
+	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/http1"
 	"landingpaddle/internal/proto"
-	"landingpaddle/internal/sched"
 	"landingpaddle/scheduler"
 )
 
@@ -32,7 +32,7 @@
 // nodes holds the connections to disk servers: one request at a time on each.
 type nodes struct {
 	ctx  context.Context
-	core *sched.Core
+	core *daemon.Core
 	cfg  *Config
 	book *book
 	log  *slog.Logger
@@ -61,7 +61,7 @@
 // attempt is one operation on its way: the Edge of it.
 type attempt struct {
 	n      *nodes
-	op     *sched.Operation
+	op     *daemon.Operation
 	e      *exchange
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -71,7 +71,7 @@
 	over bool // nobody waits any more
 }
 
-func newNodes(ctx context.Context, core *sched.Core, cfg *Config, book *book, log *slog.Logger,
+func newNodes(ctx context.Context, core *daemon.Core, cfg *Config, book *book, log *slog.Logger,
 	most int) *nodes {
 	return &nodes{ctx: ctx, core: core, cfg: cfg, book: book, log: log, most: most,
 		connect: (&net.Dialer{}).DialContext, idle: map[scheduler.Server][]*nodeConn{},
@@ -79,7 +79,7 @@
 }
 
 // Send starts an attempt.
-func (n *nodes) Send(op *sched.Operation) {
+func (n *nodes) Send(op *daemon.Operation) {
 	a := &attempt{n: n, op: op, e: op.Caller().(*exchange)}
 	a.ctx, a.cancel = context.WithCancel(n.ctx)
 	op.Edge = a
@@ -87,7 +87,7 @@
 }
 
 // Cancel ends an attempt: its connection is closed, which is how disk servers are told.
-func (n *nodes) Cancel(op *sched.Operation) {
+func (n *nodes) Cancel(op *daemon.Operation) {
 	if a, ok := op.Edge.(*attempt); ok {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -100,7 +100,7 @@
 }
 
 // CancelMember does nothing: here every operation is of one attempt.
-func (n *nodes) CancelMember(*sched.Operation, int) {}
+func (n *nodes) CancelMember(*daemon.Operation, int) {}
 
 // run carries the attempt out and tells its one outcome.
 func (a *attempt) run() {
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"slices"
 
-	"landingpaddle/internal/sched"
+	"landingpaddle/internal/daemon"
 	"landingpaddle/scheduler"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // run hands messages on until ctx ends. What comes from nobody known is dropped.
-func (p *peers) run(ctx context.Context, core *sched.Core) {
+func (p *peers) run(ctx context.Context, core *daemon.Core) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagram+1)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"landingpaddle/endpoints"
-	"landingpaddle/internal/sched"
+	"landingpaddle/internal/daemon"
 	"landingpaddle/scheduler"
 )
 
@@ -90,7 +90,7 @@
 type Scheduler struct {
 	cfg   *Config
 	log   *slog.Logger
-	core  *sched.Core
+	core  *daemon.Core
 	book  *book
 	front *front
 	lim   bounds
@@ -122,7 +122,7 @@
 		return nil, fmt.Errorf("key %q: %w", "known", err)
 	}
 	last, end := stopTimes(&cfg.Site.Control)
-	s.core = sched.NewCore(sched.CoreConfig{Seed: cfg.Seed, Settings: cfg.Site.Control,
+	s.core = daemon.NewCore(daemon.CoreConfig{Seed: cfg.Seed, Settings: cfg.Site.Control,
 		Tick: cfg.Site.Control.BatchInterval, Transit: transit, AnswerSlack: cfg.Site.AnswerSlack + lateSlack,
 		Known:   endpoints.Snapshot{Version: news.Version, Endpoints: news.Endpoints},
 		OneList: cfg.Known != nil, Name: s.book.name, StopWithin: end - last, Log: s.log})
@@ -178,7 +178,7 @@
 	s.disc = disc
 	s.mu.Unlock()
 	s.nodes = newNodes(ctx, s.core, s.cfg, s.book, s.log, s.lim.nodes)
-	edges := sched.Edges{Nodes: s.nodes, List: disc}
+	edges := daemon.Edges{Nodes: s.nodes, List: disc}
 	var wg sync.WaitGroup
 	if s.cfg.PeerAt.IsValid() {
 		p, err := newPeers(s.cfg)
