--- a/cmd/landingpaddle/serve.go
+++ b/cmd/landingpaddle/serve.go
@@ -27,10 +27,19 @@
 	if err != nil {
 		return err
 	}
-	cfg := daemon.Config{Number: set.Number, Of: set.Of, Zone: uint8(set.Site.Zone(set.Zone)), Seed: set.Seed,
-		Site: set.Site, Listener: ln, List: set.List.String(),
-		Kept:   registry.SnapshotFile{Path: set.KeptList},
-		Learnt: set.Learnt, StopWithin: set.StopWithin, Log: log}
+	cfg := daemon.Config{
+		Number:          set.Number,
+		Instances:       set.Of,
+		Zone:            uint8(set.Site.Zone(set.Zone)),
+		Seed:            set.Seed,
+		Site:            set.Site,
+		Listener:        ln,
+		Registry:        set.List.String(),
+		Snapshot:        registry.SnapshotFile{Path: set.KeptList},
+		StatisticsFile:  set.Learnt,
+		ShutdownTimeout: set.StopWithin,
+		Log:             log,
+	}
 	if set.PeerListen.IsValid() {
 		cfg.PeerListen, cfg.Peers = set.PeerListen.String(), map[uint32]netip.AddrPort{}
 		for _, p := range set.Peers {
--- a/internal/daemon/edges.go
+++ b/internal/daemon/edges.go
@@ -12,49 +12,49 @@
 
 // Edges are what the loop carries the module's actions out with. The native protocol is one implementation,
 // the platform's another. The loop calls them from its one goroutine; none of them may block.
-type Edges struct {
-	Nodes Nodes
-	List  List
-	Peers Peers // nil: no messages between instances
+type Drivers struct {
+	Upstream  Upstream
+	Endpoints EndpointSource
+	Peers     PeerSender // nil: no messages between instances
 }
 
 // Caller waits for the answer of a call.
-type Caller interface {
+type Responder interface {
 	// Answer gives the call its one final answer. The loop calls it once.
-	Answer(a proto.Answer, payload []byte)
+	Respond(a proto.Answer, payload []byte)
 }
 
 // Nodes carries attempts out. Each operation sent gets one Ended, unless it was cancelled before.
-type Nodes interface {
+type Upstream interface {
 	Send(op *Operation)
 	// Cancel ends an operation that nobody waits for any more.
 	Cancel(op *Operation)
 	CancelMember(op *Operation, place int)
-	Probe(s scheduler.Server) // answered by Probed
+	CheckHealth(s scheduler.Server) // answered by Probed
 	CloseIdle(s scheduler.Server)
 }
 
 // List watches and fetches the list of nodes. What it hears goes to Hear, what fails to ListFailed.
-type List interface {
+type EndpointSource interface {
 	Watch(on bool)
 	Fetch()
-	FetchWhole() // a change could not be followed: the whole list is needed
+	FetchFull() // a change could not be followed: the whole list is needed
 }
 
 // Peers tells other instances.
-type Peers interface {
+type PeerSender interface {
 	Send(to uint32, body []byte) error
 }
 
 // Call is one client's request on its way through the scheduler.
 type Call struct {
-	Caller Caller
-	Ask    scheduler.Request // all but ID and Expires
-	At     time.Duration     // when it was read,
-	Wait   time.Duration     // and how long its client waits from then on
-	Token  uint64            // by which logs name it
-	Range  *extent.Range     // of a ranged request;
-	Data   uint64            // and the volume whose bytes are meant
+	Responder  Responder
+	Request    scheduler.Request // all but ID and Expires
+	ReceivedAt time.Duration     // when it was read,
+	Wait       time.Duration     // and how long its client waits from then on
+	Token      uint64            // by which logs name it
+	Range      *extent.Range     // of a ranged request;
+	DataVolume uint64            // and the volume whose bytes are meant
 
 	// The rest is the loop's.
 	id      uint64     // of a ranged request, by which the planner knows it; 0: another
@@ -66,7 +66,7 @@
 
 // Admit counts one more call as open, unless the scheduler stops or most are open: then it returns the
 // reason. A call that was admitted must be handed on by Take.
-func (c *Core) Admit(most int) (reason string) {
+func (c *EventLoop) Admit(most int) (reason string) {
 	// Counted first, then looked whether the scheduler stops: the loop ends only when it sees none counted.
 	open := c.open.Add(1)
 	switch {
@@ -77,37 +77,37 @@
 		c.open.Add(-1)
 		return ReasonOverload
 	}
-	c.Stats.Taken.Add(1)
+	c.Stats.Admitted.Add(1)
 	return ""
 }
 
 // Take hands an admitted call to the loop.
-func (c *Core) Take(k *Call) { c.in.put(k) }
+func (c *EventLoop) Submit(k *Call) { c.in.put(k) }
 
 // ClientGone tells that a call's client is gone or wants no answer any more.
-func (c *Core) ClientGone(k *Call) {
+func (c *EventLoop) ClientGone(k *Call) {
 	k.over.Store(true) // at once: the loop may be a batch away, and an attempt about to begin
 	c.in.put(clientGone{k})
 }
 
 // Ended tells how an operation ended.
-func (c *Core) Ended(op *Operation, code scheduler.ResultCode, a proto.Answer, payload []byte) {
+func (c *EventLoop) OperationEnded(op *Operation, code scheduler.ResultCode, a proto.Answer, payload []byte) {
 	c.in.put(result{op, code, a, payload})
 }
 
 // Hear takes news of the list in.
-func (c *Core) Hear(n endpoints.Update) { c.in.put(n) }
+func (c *EventLoop) ReceiveUpdate(n endpoints.Update) { c.in.put(n) }
 
 // ListFailed tells that a watch broke or a fetch failed.
-func (c *Core) ListFailed(err error) { c.in.put(listFailed{err}) }
+func (c *EventLoop) ReportListFailure(err error) { c.in.put(listFailed{err}) }
 
 // Probed tells the result of a probe.
-func (c *Core) Probed(p scheduler.HealthCheckResult) { c.in.put(p) }
+func (c *EventLoop) ReportHealthCheck(p scheduler.HealthCheckResult) { c.in.put(p) }
 
 // Heard takes a message of another instance in.
-func (c *Core) Heard(p scheduler.PeerMessage) { c.in.putPeer(p) }
+func (c *EventLoop) ReceivePeerMessage(p scheduler.PeerMessage) { c.in.putPeer(p) }
 
 // Beliefs hands what the module believes of the nodes to tell, on the loop's goroutine.
-func (c *Core) Beliefs(tell func([]scheduler.NodeState)) {
+func (c *EventLoop) InspectNodes(tell func([]scheduler.NodeState)) {
 	c.in.put(func(l *loop) { tell(l.module.NodeStates()) })
 }
--- a/internal/daemon/edges_test.go
+++ b/internal/daemon/edges_test.go
@@ -11,29 +11,29 @@
 )
 
 // noEdges carries nothing out and notes what it was asked for.
-type noEdges struct {
+type stubDrivers struct {
 	sent []*Operation
 	off  int
 	got  []proto.Answer
 }
 
-func (e *noEdges) Send(op *Operation)                    { e.sent = append(e.sent, op) }
-func (e *noEdges) Cancel(*Operation)                     { e.off++ }
-func (e *noEdges) CancelMember(*Operation, int)          {}
-func (e *noEdges) Probe(scheduler.Server)                {}
-func (e *noEdges) CloseIdle(scheduler.Server)            {}
-func (e *noEdges) Watch(bool)                            {}
-func (e *noEdges) Fetch()                                {}
-func (e *noEdges) FetchWhole()                           {}
-func (e *noEdges) Answer(a proto.Answer, payload []byte) { e.got = append(e.got, a) }
+func (e *stubDrivers) Send(op *Operation)                     { e.sent = append(e.sent, op) }
+func (e *stubDrivers) Cancel(*Operation)                      { e.off++ }
+func (e *stubDrivers) CancelMember(*Operation, int)           {}
+func (e *stubDrivers) CheckHealth(scheduler.Server)           {}
+func (e *stubDrivers) CloseIdle(scheduler.Server)             {}
+func (e *stubDrivers) Watch(bool)                             {}
+func (e *stubDrivers) Fetch()                                 {}
+func (e *stubDrivers) FetchFull()                             {}
+func (e *stubDrivers) Respond(a proto.Answer, payload []byte) { e.got = append(e.got, a) }
 
 // A loop that had no turn for long finds an attempt's end and the net under the module due at once: the
 // module, told of the end, must have its word before the net answers in its place.
 func TestModuleSpeaksBeforeTheNet(t *testing.T) {
-	edges := &noEdges{}
+	edges := &stubDrivers{}
 	server := scheduler.Server{Addr: [4]byte{1}, Port: 1}
-	c := NewCore(CoreConfig{AnswerSlack: 8 * time.Millisecond, OneList: true,
-		Known: endpoints.Snapshot{
+	c := NewEventLoop(EventLoopConfig{AnswerSlack: 8 * time.Millisecond, TrustInitialList: true,
+		InitialList: endpoints.Snapshot{
 			Version:   3,
 			Endpoints: []endpoints.Endpoint{{Server: server, Status: scheduler.Ready}},
 		},
@@ -42,28 +42,29 @@
 				{LatencyObjective: time.Second, Deadline: time.Second, Idempotency: scheduler.NotIdempotent},
 			},
 			Plans: []scheduler.Plan{{Weight: 1}}}})
-	l := newLoop(c, Edges{Nodes: edges, List: edges})
+	l := newLoop(c, Drivers{Upstream: edges, Endpoints: edges})
 	l.now = c.Now()
-	l.members(l.view.Restore(c.clock(), c.cfg.Known))
+	l.members(l.view.Restore(c.clock(), c.cfg.InitialList))
 	if why := c.Admit(1); why != "" {
 		t.Fatal(why)
 	}
 	l.take(
 		&Call{
-			Caller: edges,
-			At:     l.now,
-			Wait:   time.Second,
-			Ask: scheduler.Request{Units: 1, VolumeInstances: 1,
+			Responder:  edges,
+			ReceivedAt: l.now,
+			Wait:       time.Second,
+			Request: scheduler.Request{Units: 1, VolumeInstances: 1,
 				Volume: 1},
 		},
 	)
 	l.decide()
-	if len(edges.sent) != 1 || edges.sent[0].Server() != server || edges.sent[0].Caller() != Caller(edges) {
+	if len(edges.sent) != 1 || edges.sent[0].Server() != server ||
+		edges.sent[0].Responder() != Responder(edges) {
 		t.Fatalf("%d operations sent", len(edges.sent))
 	}
 	l.now += 5 * time.Second
 	l.timers.run(l.now)
-	if len(edges.got) != 1 || edges.got[0].Code != proto.Failed || edges.got[0].Reason != ReasonTimeout ||
+	if len(edges.got) != 1 || edges.got[0].Code != proto.Failed || edges.got[0].Reason != ReasonNodeTimeout ||
 		c.Stats.Overdue.Load() != 0 || c.Stats.TimedOut.Load() != 1 || edges.off != 1 || c.open.Load() != 0 {
 		t.Errorf("answers %+v, overdue %d, timed out %d, cancelled %d, open %d", edges.got,
 			c.Stats.Overdue.Load(),
@@ -98,29 +99,29 @@
 // answer all the same, in either order of the two.
 func TestCallsThatCrossTheEndOfAStop(t *testing.T) {
 	for _, first := range []bool{true, false} {
-		edges := &noEdges{}
-		c := NewCore(CoreConfig{Settings: scheduler.Settings{Instances: 1,
+		edges := &stubDrivers{}
+		c := NewEventLoop(EventLoopConfig{Settings: scheduler.Settings{Instances: 1,
 			Classes: []scheduler.Class{{LatencyObjective: time.Second, Deadline: time.Second}},
 			Plans:   []scheduler.Plan{{Weight: 1}}}})
-		l := newLoop(c, Edges{Nodes: edges, List: edges})
+		l := newLoop(c, Drivers{Upstream: edges, Endpoints: edges})
 		l.now = c.Now()
 		if why := c.Admit(1); why != "" {
 			t.Fatal(why)
 		}
 		c.Stop()
 		call := &Call{
-			Caller: edges,
-			At:     l.now,
-			Wait:   time.Second,
-			Ask:    scheduler.Request{Units: 1, VolumeInstances: 1},
+			Responder:  edges,
+			ReceivedAt: l.now,
+			Wait:       time.Second,
+			Request:    scheduler.Request{Units: 1, VolumeInstances: 1},
 		}
 		var wg sync.WaitGroup
 		if first {
-			c.Take(call)
+			c.Submit(call)
 		} else {
 			wg.Go(func() {
 				time.Sleep(handOver / 10)
-				c.Take(call)
+				c.Submit(call)
 			})
 		}
 		l.abandon()
--- a/internal/daemon/extents_test.go
+++ b/internal/daemon/extents_test.go
@@ -262,7 +262,7 @@
 	for i, id := range ids {
 		if i != 2 {
 			x.got(id, v, uint64(i)*2000, 2000)
-		} else if a := x.c.wait(id); a.Code == proto.OK || a.Reason != ReasonError {
+		} else if a := x.c.wait(id); a.Code == proto.OK || a.Reason != ReasonNodeError {
 			t.Errorf("who needs the bad byte got %+v", a)
 		}
 	}
@@ -571,7 +571,8 @@
 	x.disks[1].first = full
 	put := func(q *proto.Request) { q.Class = 2 }
 	a := x.c.wait(x.write(v, 12<<10, 24<<10, 9, put))
-	if a.Code != proto.Failed || a.Reason != ReasonFull || a.Done < 1 || a.Done+a.Unsure+a.Unsent != 3 {
+	if a.Code != proto.Failed || a.Reason != ReasonNodeOverloaded || a.Done < 1 ||
+		a.Done+a.Unsure+a.Unsent != 3 {
 		t.Errorf("got %+v", a)
 	}
 	for _, want := range []string{"write in part", "state=done", "node=" + x.disks[0].ln.Addr().String()} {
@@ -689,7 +690,7 @@
 		"short payload":  x.write(v, 0, 10, 1, func(q *proto.Request) { q.Length = 11 }),
 		"payload on get": x.write(v, 0, 10, 1, func(q *proto.Request) { q.Write, q.Class = false, 0 }),
 	} {
-		if a := x.c.wait(id); a.Code != proto.Refused || a.Reason != ReasonRange {
+		if a := x.c.wait(id); a.Code != proto.Refused || a.Reason != ReasonBadRange {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -24,7 +24,7 @@
 }
 
 // waiting is the stream that waits for an attempt's request.
-func waiting(a *attempt) *stream { return a.req.call.Caller.(*stream) }
+func waiting(a *attempt) *stream { return a.req.call.Responder.(*stream) }
 
 // client is one client's connection.
 type client struct {
@@ -127,7 +127,7 @@
 	}
 	lim := f.i.cfg.Site.Limits
 	refuse := func(reason string, advice time.Duration) error {
-		f.i.Stats.Refused.Add(1)
+		f.i.Stats.Rejected.Add(1)
 		a := proto.Answer{Code: proto.Refused, Reason: reason, Advice: advice}
 		c.conn.Done(fr.Stream)
 		f.i.log.Debug("refused", "reason", reason, "token", k.req.Token)
@@ -147,15 +147,15 @@
 	c.mu.Lock()
 	c.calls[fr.Stream] = k.call
 	c.mu.Unlock()
-	f.i.Take(k.call)
+	f.i.Submit(k.call)
 	return nil
 }
 
 // asCall is the request as the loop takes it.
 func (k *stream) asCall(at time.Duration) *Call {
 	q := &k.req
-	call := &Call{Caller: k, At: at, Wait: q.Wait, Token: q.Token, Data: q.Of(),
-		Ask: scheduler.Request{Class: int(q.Class), Cell: int(q.Cell), Retry: q.Try > 0, Write: k.write,
+	call := &Call{Responder: k, ReceivedAt: at, Wait: q.Wait, Token: q.Token, DataVolume: q.Of(),
+		Request: scheduler.Request{Class: int(q.Class), Cell: int(q.Cell), Retry: q.Try > 0, Write: k.write,
 			VolumeInstances: int(q.Writers), Plan: int(q.Plan), Key: q.Key, Volume: q.Volume,
 			Units: float64(q.Units)}}
 	if q.Ranged {
@@ -171,27 +171,27 @@
 	if int(q.Class) >= len(site.Classes) || int(q.Plan) >= len(site.Plans) || q.Units == 0 ||
 		float64(q.Units) > site.MostUnits || q.Wait <= 0 || q.Wait > time.Hour ||
 		q.Cell < scheduler.NewObject || q.Cell > 1<<16-1 {
-		return ReasonBad
+		return ReasonBadRequest
 	}
 	k.write = q.Write || site.Classes[q.Class].Writes
 	if !q.Ranged {
 		return ""
 	}
 	if site.Extents == nil {
-		return ReasonBad
+		return ReasonBadRequest
 	}
 	payload := 0
 	if k.write {
 		payload = int(q.Length)
 	}
 	if uint64(q.Length) > uint64(site.Limits.Payload) || len(k.payload) != payload {
-		return ReasonRange
+		return ReasonBadRange
 	}
 	return ""
 }
 
 // Answer gives the request its one final answer.
-func (k *stream) Answer(a proto.Answer, payload []byte) {
+func (k *stream) Respond(a proto.Answer, payload []byte) {
 	k.client.mu.Lock()
 	delete(k.client.calls, k.stream)
 	k.client.mu.Unlock()
@@ -201,7 +201,7 @@
 		a = proto.Answer{Code: proto.Failed, Reason: ReasonTooLarge}
 		_ = k.client.conn.Post(proto.TypeAnswer, k.stream, a, nil) // a closed connection has its own end
 	}
-	if hook := k.front.i.cfg.Hooks.Answered; hook != nil {
+	if hook := k.front.i.cfg.Hooks.OnAnswer; hook != nil {
 		hook(k.client.conn, k.stream, a, payload)
 	}
 	k.payload = nil
--- a/internal/daemon/learnt.go
+++ b/internal/daemon/learnt.go
@@ -12,7 +12,7 @@
 )
 
 // learntMagic begins a file of what was learnt; another number in it is another form.
-const learntMagic = "LPLEARN1"
+const statisticsMagic = "LPLEARN1"
 
 // facts are the settings on which the meaning of figures hangs.
 func (i *Instance) facts() checkpoint.Fingerprint {
@@ -30,18 +30,18 @@
 // loadLearnt reads what an earlier life left. What cannot be believed is told in one line and treated as
 // none.
 func (l *loop) loadLearnt() {
-	path := l.c.cfg.Learnt
+	path := l.c.cfg.StatisticsFile
 	if path == "" {
 		return
 	}
 	var r checkpoint.Record
-	err := statefile.Read(path, learntMagic, &r)
+	err := statefile.Read(path, statisticsMagic, &r)
 	if errors.Is(err, fs.ErrNotExist) {
 		l.c.log.Info("no learnt figures", "path", path)
 		return
 	}
 	if err == nil {
-		err = r.Validate(l.c.clock().Wall, l.c.cfg.Facts)
+		err = r.Validate(l.c.clock().Wall, l.c.cfg.Fingerprint)
 	}
 	if err != nil {
 		l.c.log.Warn("learnt figures left out", "path", path, "error", err)
@@ -56,7 +56,7 @@
 	if l.before == nil || len(listed) == 0 {
 		return
 	}
-	learnt := l.before.Restore(l.c.cfg.Facts, listed)
+	learnt := l.before.Restore(l.c.cfg.Fingerprint, listed)
 	nodes := l.module.RestoreStatistics(learnt)
 	classes := slices.DeleteFunc(
 		learnt.Classes,
@@ -68,20 +68,20 @@
 
 // saveLearnt keeps what was learnt for the next life. A disk that is full costs that life its head start.
 func (l *loop) saveLearnt() {
-	path := l.c.cfg.Learnt
+	path := l.c.cfg.StatisticsFile
 	if path == "" {
 		return
 	}
 	r := checkpoint.Capture(
 		l.c.clock().Wall,
-		l.c.cfg.Facts,
+		l.c.cfg.Fingerprint,
 		l.module.Statistics(),
 		l.view.Snapshot().Endpoints,
 	)
 	if len(r.Nodes) == 0 {
 		return // a life that heard of no node must not void what an earlier one left
 	}
-	data, err := statefile.Encode(learntMagic, r)
+	data, err := statefile.Encode(statisticsMagic, r)
 	if err == nil {
 		err = statefile.Replace(path, data)
 	}
--- a/internal/daemon/learnt_test.go
+++ b/internal/daemon/learnt_test.go
@@ -44,18 +44,18 @@
 	r, path := newRig(t), filepath.Join(t.TempDir(), "learnt")
 	r.node(0, after(60*time.Millisecond))
 	r.node(1, after(5*time.Millisecond))
-	old := r.start(func(cfg *Config) { cfg.Learnt = path })
+	old := r.start(func(cfg *Config) { cfg.StatisticsFile = path })
 	r.logged("cell=0")
 	r.logged("cell=1")
 	c := r.client()
 	for i := range 24 {
 		c.wait(c.ask(func(q *proto.Request) { q.Cell, q.Volume = int32(i%2), uint64(i%2) }))
 	}
-	before := old.Stats.Sends.Load()
+	before := old.Stats.Attempts.Load()
 	for range 4 {
 		c.ask(nil)
 	}
-	for old.Stats.Sends.Load() < before+4 {
+	for old.Stats.Attempts.Load() < before+4 {
 		time.Sleep(time.Millisecond)
 	}
 	old.Stop()
@@ -67,7 +67,7 @@
 	if spoil != nil {
 		spoil(path)
 	}
-	r.start(func(cfg *Config) { cfg.Learnt, cfg.Site = path, newShape() })
+	r.start(func(cfg *Config) { cfg.StatisticsFile, cfg.Site = path, newShape() })
 	return r, r.client()
 }
 
@@ -91,7 +91,7 @@
 	for range 3 { // what is out when it stops has its answer too
 		c.ask(nil)
 	}
-	for r.inst.Stats.Taken.Load() < 23 {
+	for r.inst.Stats.Admitted.Load() < 23 {
 		time.Sleep(time.Millisecond)
 	}
 	r.inst.Stop()
@@ -110,7 +110,7 @@
 	r, path := newRig(t), filepath.Join(t.TempDir(), "learnt")
 	r.node(0, echo)
 	for life := range 2 {
-		r.start(func(cfg *Config) { cfg.Learnt = path })
+		r.start(func(cfg *Config) { cfg.StatisticsFile = path })
 		r.logged("node listed")
 		if c := r.client(); life == 0 {
 			c.wait(c.ask(nil))
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		var rec checkpoint.Record
-		if err := statefile.Read(path, learntMagic, &rec); err != nil || len(rec.Nodes) != 1 {
+		if err := statefile.Read(path, statisticsMagic, &rec); err != nil || len(rec.Nodes) != 1 {
 			t.Errorf("life %d: %d nodes, %v", life, len(rec.Nodes), err)
 		}
 	}
@@ -131,7 +131,7 @@
 	write := func(magic string, change func(*checkpoint.Record)) func(string) {
 		return func(path string) {
 			var rec checkpoint.Record
-			err := statefile.Read(path, learntMagic, &rec)
+			err := statefile.Read(path, statisticsMagic, &rec)
 			change(&rec)
 			var data []byte
 			if err == nil {
@@ -161,13 +161,14 @@
 			_ = os.WriteFile(p, data[:len(data)/2], 0o644)
 		}},
 		{"newer", "does not begin with", write("LPLEARN2", same)},
-		{"foreign", "it is of instance 7", write(learntMagic,
+		{"foreign", "it is of instance 7", write(statisticsMagic,
 			func(r *checkpoint.Record) { r.Fingerprint.Instance = 7 })},
-		{"old", "old, over", write(learntMagic, func(r *checkpoint.Record) {
+		{"old", "old, over", write(statisticsMagic, func(r *checkpoint.Record) {
 			r.WrittenAt -= int64(2 *
 				time.Hour)
 		})},
-		{"absurd", "out of range", write(learntMagic, func(r *checkpoint.Record) { r.MedianLatency = -1 })},
+		{"absurd", "out of range", write(statisticsMagic,
+			func(r *checkpoint.Record) { r.MedianLatency = -1 })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, client := switchOver(t, c.spoil)
@@ -197,7 +198,7 @@
 		r.logged("node listed")
 		c := r.client()
 		c.ask(nil)
-		for inst.Stats.Sends.Load() < 1 {
+		for inst.Stats.Attempts.Load() < 1 {
 			time.Sleep(time.Millisecond)
 		}
 		over := c.wait(c.ask(nil))
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -63,8 +63,8 @@
 
 // loop owns the module and all state of requests. It never blocks on a socket.
 type loop struct {
-	c       *Core
-	edges   Edges
+	c       *EventLoop
+	edges   Drivers
 	host    Decider
 	module  *scheduler.Scheduler // the one behind host
 	before  *checkpoint.Record   // what an earlier life learnt; nil: nothing to believe
@@ -89,7 +89,7 @@
 // tellEvery is how often an instance that works logs its counters.
 const tellEvery = time.Minute
 
-func newLoop(c *Core, edges Edges) *loop {
+func newLoop(c *EventLoop, edges Drivers) *loop {
 	set := c.cfg.Settings
 	module := scheduler.New(c.cfg.Seed, set)
 	l := &loop{
@@ -113,9 +113,9 @@
 
 // run gathers what happens into batches until the instance has stopped in order or ctx ends.
 func (l *loop) run(ctx context.Context) error {
-	kept := l.c.cfg.Known
-	if l.c.cfg.Kept.Path != "" {
-		k, err := l.c.cfg.Kept.Load()
+	kept := l.c.cfg.InitialList
+	if l.c.cfg.Snapshot.Path != "" {
+		k, err := l.c.cfg.Snapshot.Load()
 		if err != nil {
 			l.c.log.Warn("kept list left out", "error", err)
 		}
@@ -124,7 +124,7 @@
 	l.now = l.c.Now()
 	l.told = l.now
 	l.members(l.view.Restore(l.c.clock(), kept))
-	if l.c.cfg.OneList {
+	if l.c.cfg.TrustInitialList {
 		l.view.TrustRestored()
 		l.holds()
 	}
@@ -150,7 +150,7 @@
 			return context.Cause(ctx)
 		case <-stop:
 			stop = nil
-			stopBy = time.After(l.c.cfg.StopWithin)
+			stopBy = time.After(l.c.cfg.ShutdownTimeout)
 			l.c.log.Info("instance stopping", "held", len(l.reqs))
 		case <-stopBy:
 			l.abandon()
@@ -158,7 +158,7 @@
 		case <-l.c.in.wake:
 		case <-timer.C:
 		}
-		if wait := l.last + l.c.cfg.Tick - l.c.Now(); wait > 0 {
+		if wait := l.last + l.c.cfg.BatchInterval - l.c.Now(); wait > 0 {
 			time.Sleep(wait)
 		}
 		if l.c.cfg.Hooks.Gate != nil {
@@ -236,12 +236,12 @@
 		l.members(scheduler.EndpointUpdate{Kind: scheduler.UpdateFailed})
 	case notice:
 		if m, ok := l.view.ApplyDrainNotice(l.c.clock(), x.server, x.boot); ok {
-			l.c.log.Info("node drains", "node", l.c.cfg.Name(x.server), "told by", "node")
+			l.c.log.Info("node drains", "node", l.c.cfg.NodeName(x.server), "told by", "node")
 			l.members(m)
 		}
 	case greeted:
 		if m, ok := l.view.ApplyGreeting(l.c.clock(), x.server, x.boot); ok {
-			l.c.log.Info("node restarted", "node", l.c.cfg.Name(x.server), "told by", "node")
+			l.c.log.Info("node restarted", "node", l.c.cfg.NodeName(x.server), "told by", "node")
 			l.members(m)
 		}
 	case scheduler.PeerMessage:
@@ -259,7 +259,7 @@
 	case endpoints.Gap:
 		l.c.log.Info("list has a gap", "version", n.Version, "since", n.BaseVersion)
 		l.c.held.Store(&[2]uint64{})
-		l.edges.List.FetchWhole()
+		l.edges.Endpoints.FetchFull()
 	case endpoints.Applied:
 		l.members(m)
 		if m.Kind == scheduler.UpdateFull { // the first whole list of a life ends what is taken over
@@ -268,7 +268,7 @@
 		}
 		l.holds()
 		for _, e := range m.Endpoints {
-			l.c.log.Info("node listed", "node", l.c.cfg.Name(e.Server), "status", e.Status.String(),
+			l.c.log.Info("node listed", "node", l.c.cfg.NodeName(e.Server), "status", e.Status.String(),
 				"cell", e.Cell)
 		}
 		select {
@@ -296,9 +296,9 @@
 }
 
 func (l *loop) take(k *Call) {
-	expires := k.At + k.Wait - l.c.cfg.Transit
+	expires := k.ReceivedAt + k.Wait - l.c.cfg.ResponseMargin
 	k.overdue = l.timers.set(expires+l.c.cfg.AnswerSlack, func() { l.overdue(k) })
-	ask := k.Ask
+	ask := k.Request
 	ask.ExpiresAt = expires
 	if k.Range == nil {
 		r := &request{call: k, id: l.id(), expires: expires}
@@ -308,12 +308,15 @@
 		return
 	}
 	l.wholes++
-	pieces, err := l.plan.Take(extent.Request{ID: l.wholes, Data: k.Data, Range: *k.Range, Write: ask.Write,
-		Class: ask.Class, Plan: ask.Plan, Units: int(ask.Units), At: k.At,
-		Harmless: l.set.Classes[ask.Class].RetrySafe()}, l.id)
+	pieces, err := l.plan.Take(
+		extent.Request{ID: l.wholes, Data: k.DataVolume, Range: *k.Range, Write: ask.Write,
+			Class: ask.Class, Plan: ask.Plan, Units: int(ask.Units), At: k.ReceivedAt,
+			Harmless: l.set.Classes[ask.Class].RetrySafe()},
+		l.id,
+	)
 	if err != nil {
 		l.c.log.Debug("range refused", "token", k.Token, "error", err)
-		l.finish(k, proto.Answer{Code: proto.Refused, Reason: ReasonRange}, nil)
+		l.finish(k, proto.Answer{Code: proto.Refused, Reason: ReasonBadRange}, nil)
 		return
 	}
 	k.id = l.wholes
@@ -341,7 +344,7 @@
 	for _, r := range k.reqs {
 		sends += r.sends
 	}
-	l.c.log.Error("overdue", "token", k.Token, "attempts", sends, "held", l.now-k.At)
+	l.c.log.Error("overdue", "token", k.Token, "attempts", sends, "held", l.now-k.ReceivedAt)
 	l.drop(k, ReasonOverdue)
 }
 
@@ -398,18 +401,18 @@
 	case proto.OK:
 		l.c.Stats.Served.Add(1)
 	case proto.Refused:
-		l.c.Stats.Refused.Add(1)
+		l.c.Stats.Rejected.Add(1)
 	default:
 		l.c.Stats.Failed.Add(1)
 	}
 	if a.Code != proto.OK {
 		l.c.log.Debug(codeWord(a.Code), "reason", a.Reason, "token", k.Token, "advice", a.Advice)
-		if a.Done > 0 && k.Ask.Write {
+		if a.Done > 0 && k.Request.Write {
 			l.partial(k)
 		}
 	}
 	l.c.open.Add(-1)
-	k.Caller.Answer(a, payload)
+	k.Responder.Respond(a, payload)
 }
 
 // partial logs what of a failed write is where: nobody else can tell.
@@ -423,8 +426,8 @@
 			state = "unsure"
 		}
 		at := r.piece.Range
-		l.c.log.Warn("write in part", "token", k.Token, "data", k.Data, "offset", at.Offset,
-			"length", at.Length, "state", state, "node", l.c.cfg.Name(r.server), "last", r.why)
+		l.c.log.Warn("write in part", "token", k.Token, "data", k.DataVolume, "offset", at.Offset,
+			"length", at.Length, "state", state, "node", l.c.cfg.NodeName(r.server), "last", r.why)
 	}
 }
 
@@ -516,10 +519,10 @@
 	r.why = reasonOf(code)
 	if k := r.call; k.id != 0 {
 		l.plan.Ended(r.id, code.MayHaveRun())
-		if k.done && k.Ask.Write && code.MayHaveRun() {
+		if k.done && k.Request.Write && code.MayHaveRun() {
 			at := r.piece.Range
-			l.c.log.Info("piece of an answered write ended", "token", k.Token, "data", k.Data,
-				"offset", at.Offset, "length", at.Length, "node", l.c.cfg.Name(a.server), "code", code)
+			l.c.log.Info("piece of an answered write ended", "token", k.Token, "data", k.DataVolume,
+				"offset", at.Offset, "length", at.Length, "node", l.c.cfg.NodeName(a.server), "code", code)
 		}
 	}
 	out := scheduler.AttemptResult{
@@ -551,10 +554,10 @@
 	}
 	l.ended(a, code, proto.Answer{}, nil, false)
 	if slices.ContainsFunc(a.op.members, func(o *attempt) bool { return !o.over }) {
-		l.edges.Nodes.CancelMember(a.op, slices.Index(a.op.members, a))
+		l.edges.Upstream.CancelMember(a.op, slices.Index(a.op.members, a))
 		return
 	}
-	l.edges.Nodes.Cancel(a.op)
+	l.edges.Upstream.Cancel(a.op)
 }
 
 func (l *loop) act(action scheduler.Action) {
@@ -582,9 +585,9 @@
 	case scheduler.SetTimer:
 		l.timers.set(l.now+x.After, func() { l.tell(scheduler.TimerFired{Token: x.Token}) })
 	case scheduler.CheckHealth:
-		l.edges.Nodes.Probe(x.Server)
+		l.edges.Upstream.CheckHealth(x.Server)
 	case scheduler.CloseIdle:
-		l.edges.Nodes.CloseIdle(x.Server)
+		l.edges.Upstream.CloseIdle(x.Server)
 	case scheduler.SendToPeer:
 		if l.edges.Peers != nil {
 			if err := l.edges.Peers.Send(x.To, x.Body); err != nil {
@@ -594,9 +597,9 @@
 	case scheduler.WriteLog:
 		l.c.log.Info("module", "text", x.Text)
 	case scheduler.WatchEndpoints:
-		l.edges.List.Watch(x.On)
+		l.edges.Endpoints.Watch(x.On)
 	case scheduler.FetchEndpoints:
-		l.edges.List.Fetch()
+		l.edges.Endpoints.Fetch()
 	}
 }
 
@@ -604,7 +607,7 @@
 	if r.why != "" {
 		return r.why
 	}
-	return ReasonHeld
+	return ReasonNotInTime
 }
 
 // send starts an attempt, for as long as it may take and never longer than the client waits. What leaves
@@ -641,8 +644,8 @@
 	l.leaving = nil
 	for _, op := range leaving {
 		for _, live := range l.live(op) {
-			l.c.Stats.Sends.Add(uint64(len(live.members)))
-			l.edges.Nodes.Send(live)
+			l.c.Stats.Attempts.Add(uint64(len(live.members)))
+			l.edges.Upstream.Send(live)
 		}
 	}
 	clear(leaving)
@@ -659,7 +662,7 @@
 		switch {
 		case a.over:
 		case a.req.done || a.deadline <= l.now:
-			l.c.Stats.Moot.Add(1)
+			l.c.Stats.Withheld.Add(1)
 			l.c.in.put(result{op: alone(a), code: scheduler.NotApplicable})
 		default:
 			keep = append(keep, a)
@@ -672,7 +675,7 @@
 	var out []*Operation
 	keys := map[uint64]bool{}
 	for _, a := range keep {
-		if q := &a.req.call.Ask; q.Key != 0 && l.set.Classes[q.Class].OrderedByKey {
+		if q := &a.req.call.Request; q.Key != 0 && l.set.Classes[q.Class].OrderedByKey {
 			if keys[q.Key] {
 				l.c.in.put(result{op: alone(a), code: scheduler.ConnectFailed})
 				continue
--- a/internal/daemon/operation.go
+++ b/internal/daemon/operation.go
@@ -10,17 +10,17 @@
 // Operation is what goes to a node as one request: an attempt of one request, or the first attempts of
 // several that the module let leave together.
 type Operation struct {
-	server  scheduler.Server
-	members []*attempt       // the lead first
-	plan    extent.Operation // of a ranged one, once it is sealed
-	Edge    any              // of whoever carries it out
+	server      scheduler.Server
+	members     []*attempt       // the lead first
+	plan        extent.Operation // of a ranged one, once it is sealed
+	DriverState any              // of whoever carries it out
 }
 
 // Server is where it goes to.
 func (o *Operation) Server() scheduler.Server { return o.server }
 
 // Caller is who waits for the answer; of several members the lead's.
-func (o *Operation) Caller() Caller { return o.members[0].req.call.Caller }
+func (o *Operation) Responder() Responder { return o.members[0].req.call.Responder }
 
 // Deadline is when the loop gives the lead's attempt up, by the scheduler's clock.
 func (o *Operation) Deadline() time.Duration { return o.members[0].deadline }
--- a/internal/daemon/pool.go
+++ b/internal/daemon/pool.go
@@ -142,7 +142,7 @@
 	for _, op := range waiting {
 		for _, live := range l.live(op) {
 			// A node that drains or was restarted while the connection came up is not what was decided on.
-			if code := p.i.Stands(live); code != scheduler.OK {
+			if code := p.i.CheckPreconditions(live); code != scheduler.OK {
 				l.opEnded(result{op: live, code: code})
 				continue
 			}
@@ -156,7 +156,7 @@
 	c.mu.Lock()
 	c.next++
 	stream := c.next
-	op.Edge = flight{c, stream}
+	op.DriverState = flight{c, stream}
 	ended := c.ended || c.conn.Open(stream) != nil
 	if !ended {
 		c.ops[stream] = op
@@ -189,14 +189,14 @@
 // Cancel tells the node that an answer is no longer wanted. The stream stays in flight until the node ends
 // it, so that a node that answers nothing does not get more than was agreed.
 func (p *pool) Cancel(op *Operation) {
-	if at, ok := op.Edge.(flight); ok && at.conn.take(at.stream) != nil {
+	if at, ok := op.DriverState.(flight); ok && at.conn.take(at.stream) != nil {
 		_ = at.conn.conn.Post(proto.TypeCancel, at.stream, nil, nil) // a closed connection reports itself
 	}
 }
 
 // CancelMember tells the node that one of an operation's members no longer waits.
 func (p *pool) CancelMember(op *Operation, place int) {
-	if at, ok := op.Edge.(flight); ok {
+	if at, ok := op.DriverState.(flight); ok {
 		call := proto.Cancel{Members: []uint16{uint16(place)}}
 		_ = at.conn.conn.Post(proto.TypeCancel, at.stream, call, nil) // a closed connection reports itself
 	}
@@ -285,7 +285,7 @@
 }
 
 // Probe asks a node on a connection of its own whether it lives.
-func (p *pool) Probe(s scheduler.Server) {
+func (p *pool) CheckHealth(s scheduler.Server) {
 	at := p.i.Now()
 	p.g.Go(func() error {
 		code := scheduler.ConnectFailed
--- a/internal/daemon/reasons.go
+++ b/internal/daemon/reasons.go
@@ -7,42 +7,43 @@
 
 // Reasons of refusals and failures: the same words in answers and logs. docs/ops/running.md says what to do.
 const (
-	ReasonBad         = "bad-request"  // a field is out of the site's bounds
-	ReasonRange       = "bad-range"    // the range is empty, overflows, or is over the site's bounds
-	ReasonOverload    = "overload"     // more requests are open than the instance takes
-	ReasonStopping    = "stopping"     // the instance stops
-	ReasonHeld        = "not-in-time"  // given up before any attempt: it could not be served in time
-	ReasonFull        = "node-full"    // the last attempt was turned away
-	ReasonTimeout     = "node-timeout" // the last attempt got no answer in time
-	ReasonUnreachable = "node-unreachable"
-	ReasonReset       = "node-reset" // the connection broke while the last attempt was out
-	ReasonError       = "node-error"
-	ReasonCancelled   = "cancelled"
-	ReasonMoot        = "not-there" // the node does not hold the cell
-	ReasonClientGone  = "client-gone"
-	ReasonOverdue     = "overdue" // the module gave no answer in time: a fault of ours, logged as an error
-	ReasonTooLarge    = "answer-too-large"
+	ReasonBadRequest      = "bad-request"  // a field is out of the site's bounds
+	ReasonBadRange        = "bad-range"    // the range is empty, overflows, or is over the site's bounds
+	ReasonOverload        = "overload"     // more requests are open than the instance takes
+	ReasonStopping        = "stopping"     // the instance stops
+	ReasonNotInTime       = "not-in-time"  // given up before any attempt: it could not be served in time
+	ReasonNodeOverloaded  = "node-full"    // the last attempt was turned away
+	ReasonNodeTimeout     = "node-timeout" // the last attempt got no answer in time
+	ReasonNodeUnreachable = "node-unreachable"
+	ReasonNodeReset       = "node-reset" // the connection broke while the last attempt was out
+	ReasonNodeError       = "node-error"
+	ReasonCancelled       = "cancelled"
+	ReasonNotApplicable   = "not-there" // the node does not hold the cell
+	ReasonClientGone      = "client-gone"
+	// the module gave no answer in time: a fault of ours, logged as an error
+	ReasonOverdue  = "overdue"
+	ReasonTooLarge = "answer-too-large"
 )
 
 // reasonOf is the word for an attempt's end.
 func reasonOf(c scheduler.ResultCode) string {
 	switch c {
 	case scheduler.Overloaded:
-		return ReasonFull
+		return ReasonNodeOverloaded
 	case scheduler.TimedOut:
-		return ReasonTimeout
+		return ReasonNodeTimeout
 	case scheduler.ConnectFailed:
-		return ReasonUnreachable
+		return ReasonNodeUnreachable
 	case scheduler.Reset:
-		return ReasonReset
+		return ReasonNodeReset
 	case scheduler.Error:
-		return ReasonError
+		return ReasonNodeError
 	case scheduler.Cancelled:
 		return ReasonCancelled
 	case scheduler.NotApplicable:
-		return ReasonMoot
+		return ReasonNotApplicable
 	}
-	return ReasonHeld
+	return ReasonNotInTime
 }
 
 func codeWord(c proto.Code) string {
--- a/internal/daemon/sched.go
+++ b/internal/daemon/sched.go
@@ -38,24 +38,24 @@
 	// Passed before all reads, writes and batches.
 	Gate     func()
 	Decider  func(set scheduler.Settings, host Decider) Decider           // takes the module's place
-	Answered func(c *proto.Conn, stream uint64, a proto.Answer, p []byte) // after each final answer
+	OnAnswer func(c *proto.Conn, stream uint64, a proto.Answer, p []byte) // after each final answer
 }
 
 // Config is one instance.
 type Config struct {
-	Number, Of int
-	Zone       uint8
-	Seed       uint64
-	Site       config.Site
-	Listener   net.Listener // for clients; owned by the instance
-	List       string       // address of the list service
-	Kept       registry.SnapshotFile
-	Learnt     string // file of what was learnt; "": nothing is kept
-	PeerListen string // "": no peers
-	Peers      map[uint32]netip.AddrPort
-	StopWithin time.Duration
-	Log        *slog.Logger
-	Hooks      Hooks
+	Number, Instances int
+	Zone              uint8
+	Seed              uint64
+	Site              config.Site
+	Listener          net.Listener // for clients; owned by the instance
+	Registry          string       // address of the list service
+	Snapshot          registry.SnapshotFile
+	StatisticsFile    string // file of what was learnt; "": nothing is kept
+	PeerListen        string // "": no peers
+	Peers             map[uint32]netip.AddrPort
+	ShutdownTimeout   time.Duration
+	Log               *slog.Logger
+	Hooks             Hooks
 }
 
 // epoch is the module's clock at an instance's start: times before it, such as starts of nodes, stay
@@ -63,29 +63,29 @@
 const epoch = time.Hour
 
 // CoreConfig is what the loop needs to know, whatever the edges speak.
-type CoreConfig struct {
-	Seed        uint64
-	Settings    scheduler.Settings
-	Tick        time.Duration         // batches begin at most this often
-	Transit     time.Duration         // what of a client's wait is left for the way back
-	AnswerSlack time.Duration         // so long after a call's time the net under the module answers it
-	ClockSkew   time.Duration         // of nodes' clocks
-	Extents     *extent.Settings      // nil: no ranged requests
-	Kept        registry.SnapshotFile // the list kept from before a restart;
-	Known       endpoints.Snapshot    // without such a file, the list as it was told at the start
+type EventLoopConfig struct {
+	Seed           uint64
+	Settings       scheduler.Settings
+	BatchInterval  time.Duration         // batches begin at most this often
+	ResponseMargin time.Duration         // what of a client's wait is left for the way back
+	AnswerSlack    time.Duration         // so long after a call's time the net under the module answers it
+	ClockSkew      time.Duration         // of nodes' clocks
+	Extents        *extent.Settings      // nil: no ranged requests
+	Snapshot       registry.SnapshotFile // the list kept from before a restart;
+	InitialList    endpoints.Snapshot    // without such a file, the list as it was told at the start
 	// the list service goes on as it was: changes to what was kept are believed
-	OneList    bool
-	Learnt     string                 // file of what was learnt; "": nothing is kept
-	Facts      checkpoint.Fingerprint // on which the meaning of that hangs
-	StopWithin time.Duration
-	Name       func(scheduler.Server) string // how logs call a node; nil: by its address
-	Log        *slog.Logger
-	Hooks      Hooks
+	TrustInitialList bool
+	StatisticsFile   string                 // file of what was learnt; "": nothing is kept
+	Fingerprint      checkpoint.Fingerprint // on which the meaning of that hangs
+	ShutdownTimeout  time.Duration
+	NodeName         func(scheduler.Server) string // how logs call a node; nil: by its address
+	Log              *slog.Logger
+	Hooks            Hooks
 }
 
 // Core is one scheduler without its edges: the decision module, the loop that owns it and what leads there.
-type Core struct {
-	cfg       CoreConfig
+type EventLoop struct {
+	cfg       EventLoopConfig
 	log       *slog.Logger
 	start     time.Time
 	in        *inbox
@@ -100,8 +100,8 @@
 }
 
 // NewCore prepares a scheduler; Loop makes it work.
-func NewCore(cfg CoreConfig) *Core {
-	c := &Core{
+func NewEventLoop(cfg EventLoopConfig) *EventLoop {
+	c := &EventLoop{
 		cfg:   cfg,
 		log:   cfg.Log,
 		start: time.Now(),
@@ -113,18 +113,18 @@
 	if c.log == nil {
 		c.log = slog.New(slog.DiscardHandler)
 	}
-	if c.cfg.Name == nil {
-		c.cfg.Name = addrText
+	if c.cfg.NodeName == nil {
+		c.cfg.NodeName = addrText
 	}
 	c.held.Store(&[2]uint64{})
 	return c
 }
 
 // Loop works until Stop has been carried out (nil) or ctx ends, which is a kill.
-func (c *Core) Loop(ctx context.Context, edges Edges) error { return newLoop(c, edges).run(ctx) }
+func (c *EventLoop) Run(ctx context.Context, edges Drivers) error { return newLoop(c, edges).run(ctx) }
 
 // IsReady tells whether the module holds the list of the start.
-func (c *Core) IsReady() bool { return closed(c.ready) }
+func (c *EventLoop) IsReady() bool { return closed(c.ready) }
 
 func closed(ch <-chan struct{}) bool {
 	select {
@@ -136,20 +136,20 @@
 }
 
 // Ready is closed once the module holds the list of the start.
-func (c *Core) Ready() <-chan struct{} { return c.ready }
+func (c *EventLoop) Ready() <-chan struct{} { return c.ready }
 
 // Now is the module's clock.
-func (c *Core) Now() time.Duration { return epoch + time.Since(c.start) }
+func (c *EventLoop) Now() time.Duration { return epoch + time.Since(c.start) }
 
 // Held is the version of the list that is held; 0: none was heard in this life.
-func (c *Core) Held() (epoch, version uint64) {
+func (c *EventLoop) ListVersion() (epoch, version uint64) {
 	h := c.held.Load()
 	return h[0], h[1]
 }
 
 // Instance is one scheduler that speaks the native protocol.
 type Instance struct {
-	*Core
+	*EventLoop
 	cfg   Config
 	front *front
 	list  *registry.Client
@@ -164,16 +164,25 @@
 	}
 	site := &cfg.Site
 	i := &Instance{cfg: cfg}
-	core := CoreConfig{Seed: cfg.Seed, Tick: site.Limits.Tick, Transit: site.Limits.Transit,
-		AnswerSlack: site.Rules.AnswerSlack, ClockSkew: site.Limits.ClockSkew, Kept: cfg.Kept,
-		Learnt: cfg.Learnt,
-		Facts:  i.facts(), StopWithin: cfg.StopWithin, Log: cfg.Log.With("instance", cfg.Number),
-		Settings: site.Control(cfg.Number, cfg.Of, cfg.Zone, cfg.PeerListen != ""), Hooks: cfg.Hooks}
+	core := EventLoopConfig{
+		Seed:            cfg.Seed,
+		BatchInterval:   site.Limits.Tick,
+		ResponseMargin:  site.Limits.Transit,
+		AnswerSlack:     site.Rules.AnswerSlack,
+		ClockSkew:       site.Limits.ClockSkew,
+		Snapshot:        cfg.Snapshot,
+		StatisticsFile:  cfg.StatisticsFile,
+		Fingerprint:     i.facts(),
+		ShutdownTimeout: cfg.ShutdownTimeout,
+		Log:             cfg.Log.With("instance", cfg.Number),
+		Settings:        site.Control(cfg.Number, cfg.Instances, cfg.Zone, cfg.PeerListen != ""),
+		Hooks:           cfg.Hooks,
+	}
 	if site.Extents != nil {
 		plan := site.Extents.Planner()
 		core.Extents = &plan
 	}
-	i.Core = NewCore(core)
+	i.EventLoop = NewEventLoop(core)
 	i.front = newFront(i)
 	if cfg.PeerListen != "" && !cfg.Site.Limits.Peers {
 		return nil, errors.New("peers: the site allows no messages between instances")
@@ -185,9 +194,9 @@
 		}
 		i.link = link
 	}
-	i.list = registry.NewClient(registry.ClientConfig{Addr: cfg.List, Push: !cfg.Site.Ask,
+	i.list = registry.NewClient(registry.ClientConfig{Addr: cfg.Registry, Push: !cfg.Site.Ask,
 		Conn:    proto.Config{Hello: i.hello(), Gate: cfg.Hooks.Gate},
-		Version: i.Held, OnUpdate: i.Hear, OnFailure: i.ListFailed})
+		Version: i.ListVersion, OnUpdate: i.ReceiveUpdate, OnFailure: i.ReportListFailure})
 	return i, nil
 }
 
@@ -206,15 +215,15 @@
 	return i.link.Addr()
 }
 
-func (c *Core) clock() endpoints.Clock {
+func (c *EventLoop) clock() endpoints.Clock {
 	return endpoints.Clock{Now: c.Now(), Wall: time.Now().UnixNano()}
 }
 
 // Stop ends the scheduler in order: it takes nothing new, answers all that it holds, then Run returns.
-func (c *Core) Stop() { c.stopped.Do(func() { close(c.stop) }) }
+func (c *EventLoop) Stop() { c.stopped.Do(func() { close(c.stop) }) }
 
 // Stopping tells whether Stop was called: nothing new is taken any more.
-func (c *Core) Stopping() bool { return closed(c.stop) }
+func (c *EventLoop) Stopping() bool { return closed(c.stop) }
 
 var errDone = errors.New("stopped in order")
 
@@ -231,14 +240,14 @@
 	g.Go(func() error { return i.list.Run(run) })
 	g.Go(func() error { return i.keep(run) })
 	if i.link != nil {
-		g.Go(func() error { return i.link.Run(run, i.Heard) })
+		g.Go(func() error { return i.link.Run(run, i.ReceivePeerMessage) })
 	}
 	g.Go(func() error {
-		edges := Edges{Nodes: newPool(run, g, i), List: i.list}
+		edges := Drivers{Upstream: newPool(run, g, i), Endpoints: i.list}
 		if i.link != nil {
 			edges.Peers = i.link
 		}
-		l := newLoop(i.Core, edges)
+		l := newLoop(i.EventLoop, edges)
 		err := l.run(run)
 		if err == nil {
 			l.saveLearnt()
@@ -254,7 +263,15 @@
 		}
 		return err
 	})
-	i.log.Info("instance started", "clients", i.Addr().String(), "list", i.cfg.List, "of", i.cfg.Of)
+	i.log.Info(
+		"instance started",
+		"clients",
+		i.Addr().String(),
+		"list",
+		i.cfg.Registry,
+		"of",
+		i.cfg.Instances,
+	)
 	err := g.Wait()
 	i.log.Info("counters", "all", &i.Stats)
 	switch {
@@ -276,11 +293,11 @@
 		case <-ctx.Done():
 			return nil
 		case k := <-i.kept:
-			if i.cfg.Kept.Path == "" {
+			if i.cfg.Snapshot.Path == "" {
 				continue
 			}
-			if err := i.cfg.Kept.Save(k); err != nil {
-				i.Stats.KeptFailed.Add(1)
+			if err := i.cfg.Snapshot.Save(k); err != nil {
+				i.Stats.SnapshotFailures.Add(1)
 				i.log.Warn("kept list not written", "error", err)
 			}
 		}
@@ -289,11 +306,11 @@
 
 // Stats count what an instance did; all may be read at any time.
 type Stats struct {
-	Taken, Served, Refused, Failed, ClientGone      atomic.Uint64
-	Sends, Batches, Late, Moot, Overdue, KeptFailed atomic.Uint64
+	Admitted, Served, Rejected, Failed, ClientGone               atomic.Uint64
+	Attempts, Batches, Late, Withheld, Overdue, SnapshotFailures atomic.Uint64
 
 	// Attempts that ended, by code.
-	OK, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, MootEnd atomic.Uint64
+	OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled, NotApplicable atomic.Uint64
 
 	// Of ranged requests. Operations counts what was sent to nodes, an operation of several members once;
 	// Saved, what merging spared.
@@ -308,24 +325,24 @@
 }{
 	{scheduler.OK, "ok", func(s *Stats) *atomic.Uint64 { return &s.OK }},
 	{scheduler.Error, "error", func(s *Stats) *atomic.Uint64 { return &s.Error }},
-	{scheduler.Overloaded, "turned_away", func(s *Stats) *atomic.Uint64 { return &s.Full }},
+	{scheduler.Overloaded, "turned_away", func(s *Stats) *atomic.Uint64 { return &s.Overloaded }},
 	{scheduler.TimedOut, "timed_out", func(s *Stats) *atomic.Uint64 { return &s.TimedOut }},
 	{scheduler.ConnectFailed, "connect_failed", func(s *Stats) *atomic.Uint64 { return &s.ConnectFailed }},
 	{scheduler.Reset, "reset", func(s *Stats) *atomic.Uint64 { return &s.Reset }},
 	{scheduler.Cancelled, "cancelled", func(s *Stats) *atomic.Uint64 { return &s.Cancelled }},
-	{scheduler.NotApplicable, "moot", func(s *Stats) *atomic.Uint64 { return &s.MootEnd }},
+	{scheduler.NotApplicable, "moot", func(s *Stats) *atomic.Uint64 { return &s.NotApplicable }},
 }
 
 // LogValue lists the counters for the log, those of ranged requests only where there were some.
 func (s *Stats) LogValue() slog.Value {
 	var out []slog.Attr
 	add := func(name string, c *atomic.Uint64) { out = append(out, slog.Uint64(name, c.Load())) }
-	add("taken", &s.Taken)
+	add("taken", &s.Admitted)
 	add("served", &s.Served)
-	add("refused", &s.Refused)
+	add("refused", &s.Rejected)
 	add("failed", &s.Failed)
 	add("client_gone", &s.ClientGone)
-	add("sends", &s.Sends)
+	add("sends", &s.Attempts)
 	add("late", &s.Late)
 	add("overdue", &s.Overdue)
 	for _, c := range ends {
--- a/internal/daemon/sched_test.go
+++ b/internal/daemon/sched_test.go
@@ -161,9 +161,9 @@
 // start runs the instance and waits until it knows as many nodes.
 func (r *rig) start(change func(*Config)) *Instance {
 	r.t.Helper()
-	cfg := Config{Number: 0, Of: 1, Seed: 1, Site: testSite(), Listener: r.listen(), List: r.lists,
-		StopWithin: 5 * time.Second,
-		Log:        slog.New(slog.NewTextHandler(r.logs, &slog.HandlerOptions{Level: slog.LevelDebug}))}
+	cfg := Config{Number: 0, Instances: 1, Seed: 1, Site: testSite(), Listener: r.listen(), Registry: r.lists,
+		ShutdownTimeout: 5 * time.Second,
+		Log:             slog.New(slog.NewTextHandler(r.logs, &slog.HandlerOptions{Level: slog.LevelDebug}))}
 	if change != nil {
 		change(&cfg)
 	}
@@ -289,7 +289,7 @@
 		func(q *proto.Request) { q.Units = 0 }, func(q *proto.Request) { q.Units = 1000 },
 		func(q *proto.Request) { q.Wait = 0 }, func(q *proto.Request) { q.Wait = 100 * time.Hour },
 		func(q *proto.Request) { q.Cell = -2 }, func(q *proto.Request) { q.Cell = 1 << 20 }} {
-		if a := c.wait(c.ask(bad)); a.Code != proto.Refused || a.Reason != ReasonBad {
+		if a := c.wait(c.ask(bad)); a.Code != proto.Refused || a.Reason != ReasonBadRequest {
 			t.Errorf("a bad request got %+v", a)
 		}
 	}
@@ -435,7 +435,7 @@
 	c := r.client()
 	for cell := range int32(2) {
 		a := c.wait(c.ask(func(q *proto.Request) { q.Cell, q.Class = cell, 1; q.Key = uint64(cell) + 1 }))
-		if a.Code != proto.Refused || a.Reason != ReasonUnreachable && a.Reason != ReasonHeld {
+		if a.Code != proto.Refused || a.Reason != ReasonNodeUnreachable && a.Reason != ReasonNotInTime {
 			t.Errorf("cell %d: %+v", cell, a)
 		}
 	}
@@ -477,8 +477,8 @@
 	time.Sleep(50 * time.Millisecond)
 	c.once()
 	st := &inst.Stats
-	if st.Served.Load()+st.Refused.Load() != 300 || st.Overdue.Load() != 0 {
-		t.Errorf("served %d, refused %d, overdue %d", st.Served.Load(), st.Refused.Load(), st.Overdue.Load())
+	if st.Served.Load()+st.Rejected.Load() != 300 || st.Overdue.Load() != 0 {
+		t.Errorf("served %d, refused %d, overdue %d", st.Served.Load(), st.Rejected.Load(), st.Overdue.Load())
 	}
 	t.Logf("served %d, timed out %d, late answers %d", st.Served.Load(), n.Load(), st.Late.Load())
 }
@@ -567,7 +567,7 @@
 	for range 5 {
 		c.ask(nil)
 	}
-	for inst.Stats.Sends.Load() < 5 {
+	for inst.Stats.Attempts.Load() < 5 {
 		time.Sleep(time.Millisecond)
 	}
 	inst.Stop()
@@ -600,7 +600,7 @@
 	r.logged("node listed")
 	c := r.client()
 	c.ask(nil)
-	for inst.Stats.Sends.Load() < 1 {
+	for inst.Stats.Attempts.Load() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	start := time.Now()
@@ -622,7 +622,7 @@
 	for range 20 {
 		c.ask(nil)
 	}
-	for inst.Stats.Taken.Load() < 20 {
+	for inst.Stats.Admitted.Load() < 20 {
 		time.Sleep(time.Millisecond)
 	}
 	c.conn.Close(nil)
@@ -662,7 +662,7 @@
 	r := newRig(t)
 	r.node(0, echo)
 	file := registry.SnapshotFile{Path: filepath.Join(t.TempDir(), "list")}
-	inst := r.start(func(cfg *Config) { cfg.Kept = file })
+	inst := r.start(func(cfg *Config) { cfg.Snapshot = file })
 	r.logged("node listed")
 	for range 200 {
 		if k, err := file.Load(); err == nil && len(k.Endpoints) == 1 {
@@ -673,7 +673,7 @@
 	inst.Stop()
 	<-r.ended
 	r.list.SetDown(true)
-	r.start(func(cfg *Config) { cfg.Kept, cfg.Site.Ask = file, true })
+	r.start(func(cfg *Config) { cfg.Snapshot, cfg.Site.Ask = file, true })
 	c := r.client()
 	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
 		t.Errorf("with the kept list alone: %+v", a)
@@ -687,7 +687,7 @@
 	full := file
 	full.Write = func(string, []byte) error { return syscall.ENOSPC }
 	r.list.SetDown(false)
-	r.start(func(cfg *Config) { cfg.Kept = full })
+	r.start(func(cfg *Config) { cfg.Snapshot = full })
 	r.logged("kept list left out")
 	r.logged("no space left on device")
 	c = r.client()
@@ -708,7 +708,7 @@
 	peers[1] = other.Addr()
 	var heard atomic.Int64
 	inst := r.start(func(cfg *Config) {
-		cfg.Of, cfg.PeerListen, cfg.Peers = 2, "127.0.0.1:0", peers
+		cfg.Instances, cfg.PeerListen, cfg.Peers = 2, "127.0.0.1:0", peers
 		cfg.Hooks.Decider = func(_ scheduler.Settings, host Decider) Decider {
 			return peerCount{host,
 				&heard}
@@ -860,8 +860,8 @@
 	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
 		t.Errorf("got %+v", a)
 	}
-	if s := &r.inst.Stats; n.got.Load() != 1 || s.ConnectFailed.Load() != 1 || s.Sends.Load() != 2 {
+	if s := &r.inst.Stats; n.got.Load() != 1 || s.ConnectFailed.Load() != 1 || s.Attempts.Load() != 2 {
 		t.Errorf("%d requests came, %d attempts were not made, %d decided on; want 1, 1 and 2", n.got.Load(),
-			s.ConnectFailed.Load(), s.Sends.Load())
+			s.ConnectFailed.Load(), s.Attempts.Load())
 	}
 }
--- a/internal/daemon/stands.go
+++ b/internal/daemon/stands.go
@@ -53,7 +53,7 @@
 // the first byte, as a connection may take long to come up: by then the client may be gone or its time over
 // (Moot), or the node may drain or be another process, which is cold, or the window in which the node drops a
 // repeat may be over (ConnectFailed: nothing was sent).
-func (c *Core) Stands(op *Operation) scheduler.ResultCode {
+func (c *EventLoop) CheckPreconditions(op *Operation) scheduler.ResultCode {
 	awaited, late, now := false, false, c.Now()
 	for _, a := range op.members {
 		awaited = awaited || !a.req.call.over.Load()
--- a/internal/daemon/stored_test.go
+++ b/internal/daemon/stored_test.go
@@ -74,7 +74,7 @@
 
 func TestStoredFiguresReadAndWriteAsBefore(t *testing.T) {
 	var got checkpoint.Record
-	if err := statefile.Read(storedFigures, learntMagic, &got); err != nil {
+	if err := statefile.Read(storedFigures, statisticsMagic, &got); err != nil {
 		t.Fatal(err)
 	}
 	if want := storedRecord(); !reflect.DeepEqual(got, want) {
@@ -85,7 +85,7 @@
 
 func TestFiguresOfAStoppedProcessReadAsBefore(t *testing.T) {
 	var got checkpoint.Record
-	if err := statefile.Read(stoppedLearnt, learntMagic, &got); err != nil {
+	if err := statefile.Read(stoppedLearnt, statisticsMagic, &got); err != nil {
 		t.Fatal(err)
 	}
 	facts := checkpoint.Fingerprint{Instance: 0, MeanUnits: 2, MaxUnits: 8,
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := statefile.Encode(learntMagic, r)
+	data, err := statefile.Encode(statisticsMagic, r)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -277,11 +277,11 @@
 	}
 	hooks := p.opt.Hooks
 	hooks.Gate = h.gate.pass
-	inst, err := daemon.New(daemon.Config{Number: h.n, Of: p.day.Instances,
+	inst, err := daemon.New(daemon.Config{Number: h.n, Instances: p.day.Instances,
 		Seed: p.opt.Seed*1000003 + uint64(h.n), Zone: uint8(h.n % len(p.day.Site.Zones)), Site: p.day.Site,
-		Listener: ln, List: list,
-		Kept:       registry.SnapshotFile{Path: filepath.Join(p.opt.Dir, fmt.Sprintf("list-%d", h.n))},
-		StopWithin: 5 * time.Second, Log: p.opt.Log, Hooks: hooks})
+		Listener: ln, Registry: list,
+		Snapshot:        registry.SnapshotFile{Path: filepath.Join(p.opt.Dir, fmt.Sprintf("list-%d", h.n))},
+		ShutdownTimeout: 5 * time.Second, Log: p.opt.Log, Hooks: hooks})
 	if err != nil {
 		ln.Close()
 		return err
--- a/internal/lab/throughput_test.go
+++ b/internal/lab/throughput_test.go
@@ -149,8 +149,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			inst, err := daemon.New(daemon.Config{Of: 1, Seed: 1, Site: site, Listener: ln,
-				List: lists.Addr().String()})
+			inst, err := daemon.New(daemon.Config{Instances: 1, Seed: 1, Site: site, Listener: ln,
+				Registry: lists.Addr().String()})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/platform/crossings_clients_test.go
+++ b/internal/platform/crossings_clients_test.go
@@ -156,8 +156,8 @@
 		defer r.s.front.mu.Unlock()
 		return len(r.s.front.conns)+r.s.front.lingering == 0
 	})
-	if n := len(d.seen()); n != 1 || r.s.core.Stats.Taken.Load() != 1 {
-		t.Errorf("%d sends, %d taken", n, r.s.core.Stats.Taken.Load())
+	if n := len(d.seen()); n != 1 || r.s.core.Stats.Admitted.Load() != 1 {
+		t.Errorf("%d sends, %d taken", n, r.s.core.Stats.Admitted.Load())
 	}
 }
 
--- a/internal/platform/crossings_lists_test.go
+++ b/internal/platform/crossings_lists_test.go
@@ -91,11 +91,11 @@
 func (r *rig) holds(version uint64, by time.Time) {
 	r.t.Helper()
 	for {
-		if _, v := r.s.core.Held(); v == version {
+		if _, v := r.s.core.ListVersion(); v == version {
 			return
 		}
 		if time.Now().After(by) {
-			_, v := r.s.core.Held()
+			_, v := r.s.core.ListVersion()
 			r.t.Fatalf("version %d is held, not %d", v, version)
 		}
 		time.Sleep(2 * time.Millisecond)
--- a/internal/platform/crossings_nodes_test.go
+++ b/internal/platform/crossings_nodes_test.go
@@ -118,7 +118,7 @@
 			l := listed("s-0", d, 0)
 			change(&l)
 			r.list.change(l)
-			eventually(t, "the change is held", func() bool { _, v := r.s.core.Held(); return v == 8 })
+			eventually(t, "the change is held", func() bool { _, v := r.s.core.ListVersion(); return v == 8 })
 			h.let <- struct{}{}
 			eventually(t, "the attempt has ended", func() bool {
 				return r.s.core.Stats.ConnectFailed.Load() == 1
@@ -127,7 +127,7 @@
 				name != "started now" && (status != 503 || len(d.seen()) != 0) {
 				t.Errorf("answered %d after %d sends", status, len(d.seen()))
 			}
-			if sends := r.s.core.Stats.Sends.Load(); name == "started now" && sends != 2 {
+			if sends := r.s.core.Stats.Attempts.Load(); name == "started now" && sends != 2 {
 				t.Errorf("%d sends were decided", sends)
 			}
 		})
@@ -240,7 +240,7 @@
 		op := &daemon.Operation{}
 		a := &attempt{n: n, op: op, conn: c.conn}
 		a.ctx, a.cancel = context.WithCancel(context.Background())
-		op.Edge = a
+		op.DriverState = a
 		if offFirst {
 			n.Cancel(op)
 			n.put(a, c)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -30,7 +30,7 @@
 
 // discovery watches and fetches the list. When to ask again after a failure is the module's to say.
 type discovery struct {
-	core   *daemon.Core
+	core   *daemon.EventLoop
 	site   *wire.Site
 	book   *book
 	client *http.Client
@@ -46,7 +46,7 @@
 	wg     sync.WaitGroup
 }
 
-func newDiscovery(ctx context.Context, core *daemon.Core, site *wire.Site, addr string,
+func newDiscovery(ctx context.Context, core *daemon.EventLoop, site *wire.Site, addr string,
 	book *book) *discovery {
 	client := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext,
 		DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 16 << 10}}
@@ -85,7 +85,7 @@
 }
 
 func (d *discovery) failed(err error) {
-	d.core.ListFailed(err)
+	d.core.ReportListFailure(err)
 	d.heard()
 }
 
@@ -135,7 +135,7 @@
 }
 
 // FetchWhole is Fetch: every fetch is of the whole list.
-func (d *discovery) FetchWhole() { d.Fetch() }
+func (d *discovery) FetchFull() { d.Fetch() }
 
 // call begins a call; its answer must begin in time. From then on each byte of the answer gives it life more.
 func (d *discovery) call(ctx context.Context, url string, life time.Duration) (*answer, error) {
@@ -230,7 +230,7 @@
 	if err != nil {
 		return err
 	}
-	d.core.Hear(news)
+	d.core.ReceiveUpdate(news)
 	d.heard()
 	return nil
 }
@@ -240,7 +240,7 @@
 // watch follows the list until the watch breaks or falls silent. Its messages are told by their form, not by
 // lines: they may come indented.
 func (d *discovery) watch(ctx context.Context, addr string) error {
-	_, version := d.core.Held()
+	_, version := d.core.ListVersion()
 	a, err := d.call(ctx, "http://"+addr+pathServers+"?stream=1&index="+strconv.FormatUint(version, 10),
 		heartbeatWithin)
 	if err != nil {
@@ -248,7 +248,7 @@
 	}
 	defer a.close()
 	if version > 0 { // the watch stands: if it has nothing to tell, its heartbeat is all that comes
-		d.core.Hear(endpoints.Update{Version: version, BaseVersion: version})
+		d.core.ReceiveUpdate(endpoints.Update{Version: version, BaseVersion: version})
 	}
 	for messages := json.NewDecoder(a); ; {
 		a.left = maxList
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -20,7 +20,7 @@
 // what the health path says, and the names of header fields.
 func TestWrittenForms(t *testing.T) {
 	var out strings.Builder
-	core := daemon.NewCore(daemon.CoreConfig{})
+	core := daemon.NewEventLoop(daemon.EventLoopConfig{})
 	f := newFront(
 		core,
 		&wire.Site{},
@@ -51,13 +51,14 @@
 	answer(proto.Answer{Code: proto.OK}, false)
 	answer(proto.Answer{Code: proto.OK}, true)
 	answer(
-		proto.Answer{Code: proto.Refused, Reason: daemon.ReasonHeld, Advice: 250 * time.Millisecond},
+		proto.Answer{Code: proto.Refused, Reason: daemon.ReasonNotInTime, Advice: 250 * time.Millisecond},
 		false,
 	)
 	answer(proto.Answer{Code: proto.Refused, Reason: daemon.ReasonOverload}, true)
-	for _, reason := range []string{daemon.ReasonTimeout, daemon.ReasonHeld, daemon.ReasonOverdue,
-		daemon.ReasonReset,
-		daemon.ReasonUnreachable, daemon.ReasonError, daemon.ReasonFull, daemon.ReasonMoot,
+	for _, reason := range []string{daemon.ReasonNodeTimeout, daemon.ReasonNotInTime, daemon.ReasonOverdue,
+		daemon.ReasonNodeReset,
+		daemon.ReasonNodeUnreachable, daemon.ReasonNodeError, daemon.ReasonNodeOverloaded,
+		daemon.ReasonNotApplicable,
 		daemon.ReasonStopping} {
 		answer(proto.Answer{Code: proto.Failed, Reason: reason}, false)
 	}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -36,7 +36,7 @@
 
 // front takes requests from clients, bounds them and hands them to the loop.
 type front struct {
-	core *daemon.Core
+	core *daemon.EventLoop
 	site *wire.Site
 	log  *slog.Logger
 	lim  bounds
@@ -70,7 +70,7 @@
 	last   bool          // it was the connection's last; known once done is closed
 }
 
-func newFront(core *daemon.Core, site *wire.Site, log *slog.Logger, lim bounds) *front {
+func newFront(core *daemon.EventLoop, site *wire.Site, log *slog.Logger, lim bounds) *front {
 	return &front{core: core, site: site, log: log, lim: lim, conns: map[*clientConn]struct{}{},
 		open: map[string]struct{}{}}
 }
@@ -123,8 +123,8 @@
 		}
 		e.body = body
 	}
-	e.call.Caller = e
-	e.call.At = f.came(c)
+	e.call.Responder = e
+	e.call.ReceivedAt = f.came(c)
 	return e, nil
 }
 
@@ -139,7 +139,7 @@
 
 // terms reads what a request states of itself into the module's form.
 func (f *front) terms(e *exchange, q *http1.Request) error {
-	ask := &e.call.Ask
+	ask := &e.call.Request
 	values := map[string]string{}
 	for _, name := range []string{fieldID, fieldClass, fieldPlan, fieldBudget, fieldExtent} {
 		v, err := one(q.Header, name)
@@ -297,7 +297,7 @@
 		}
 		e.write(proto.Answer{Code: proto.Refused, Reason: why, Advice: advice}, nil)
 	} else {
-		f.core.Take(e.call)
+		f.core.Submit(e.call)
 		if !f.watch(c) {
 			f.core.ClientGone(e.call)
 			<-e.done
@@ -318,7 +318,7 @@
 }
 
 // Answer gives the request its one final answer; it is written beside the loop.
-func (e *exchange) Answer(a proto.Answer, payload []byte) {
+func (e *exchange) Respond(a proto.Answer, payload []byte) {
 	e.front.forget(e)
 	go e.write(a, payload)
 }
@@ -338,7 +338,7 @@
 		}
 	default:
 		status = 502
-		if a.Reason == daemon.ReasonTimeout || a.Reason == daemon.ReasonHeld ||
+		if a.Reason == daemon.ReasonNodeTimeout || a.Reason == daemon.ReasonNotInTime ||
 			a.Reason == daemon.ReasonOverdue {
 			status = 504
 		}
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -32,7 +32,7 @@
 // nodes holds the connections to disk servers: one request at a time on each.
 type nodes struct {
 	ctx  context.Context
-	core *daemon.Core
+	core *daemon.EventLoop
 	cfg  *Config
 	book *book
 	log  *slog.Logger
@@ -71,7 +71,7 @@
 	over bool // nobody waits any more
 }
 
-func newNodes(ctx context.Context, core *daemon.Core, cfg *Config, book *book, log *slog.Logger,
+func newNodes(ctx context.Context, core *daemon.EventLoop, cfg *Config, book *book, log *slog.Logger,
 	most int) *nodes {
 	return &nodes{ctx: ctx, core: core, cfg: cfg, book: book, log: log, most: most,
 		connect: (&net.Dialer{}).DialContext, idle: map[scheduler.Server][]*nodeConn{},
@@ -80,15 +80,15 @@
 
 // Send starts an attempt.
 func (n *nodes) Send(op *daemon.Operation) {
-	a := &attempt{n: n, op: op, e: op.Caller().(*exchange)}
+	a := &attempt{n: n, op: op, e: op.Responder().(*exchange)}
 	a.ctx, a.cancel = context.WithCancel(n.ctx)
-	op.Edge = a
+	op.DriverState = a
 	go a.run()
 }
 
 // Cancel ends an attempt: its connection is closed, which is how disk servers are told.
 func (n *nodes) Cancel(op *daemon.Operation) {
-	if a, ok := op.Edge.(*attempt); ok {
+	if a, ok := op.DriverState.(*attempt); ok {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		a.over = true
@@ -113,7 +113,7 @@
 	a.over = true
 	a.mu.Unlock()
 	if !over {
-		a.n.core.Ended(a.op, code, answer, body)
+		a.n.core.OperationEnded(a.op, code, answer, body)
 	}
 }
 
@@ -134,7 +134,7 @@
 	if !ok {
 		return scheduler.ConnectFailed, none, nil
 	}
-	if cell := a.e.call.Ask.Cell; cell >= 0 && int(at.cell) != cell {
+	if cell := a.e.call.Request.Cell; cell >= 0 && int(at.cell) != cell {
 		return scheduler.NotApplicable, none, nil
 	}
 	c := n.take(a.op.Server())
@@ -187,7 +187,7 @@
 	if a.over {
 		return scheduler.NotApplicable
 	}
-	code := a.n.core.Stands(a.op)
+	code := a.n.core.CheckPreconditions(a.op)
 	if code == scheduler.OK {
 		a.conn = c.conn
 	}
@@ -387,10 +387,12 @@
 }
 
 // Probe asks a disk server on a connection of its own whether it lives.
-func (n *nodes) Probe(s scheduler.Server) {
+func (n *nodes) CheckHealth(s scheduler.Server) {
 	at := n.core.Now()
 	go func() {
-		n.core.Probed(scheduler.HealthCheckResult{Server: s, Code: n.probe(s), Latency: n.core.Now() - at})
+		n.core.ReportHealthCheck(
+			scheduler.HealthCheckResult{Server: s, Code: n.probe(s), Latency: n.core.Now() - at},
+		)
 	}()
 }
 
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -31,7 +31,7 @@
 }
 
 // run hands messages on until ctx ends. What comes from nobody known is dropped.
-func (p *peers) run(ctx context.Context, core *daemon.Core) {
+func (p *peers) run(ctx context.Context, core *daemon.EventLoop) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagram+1)
@@ -48,7 +48,7 @@
 		if number < 0 || number == p.cfg.Site.Control.InstanceIndex || n > maxDatagram {
 			continue
 		}
-		core.Heard(scheduler.PeerMessage{From: uint32(number), Body: slices.Clone(buf[:n])})
+		core.ReceivePeerMessage(scheduler.PeerMessage{From: uint32(number), Body: slices.Clone(buf[:n])})
 	}
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -90,7 +90,7 @@
 type Scheduler struct {
 	cfg   *Config
 	log   *slog.Logger
-	core  *daemon.Core
+	core  *daemon.EventLoop
 	book  *book
 	front *front
 	lim   bounds
@@ -122,10 +122,11 @@
 		return nil, fmt.Errorf("key %q: %w", "known", err)
 	}
 	last, end := stopTimes(&cfg.Site.Control)
-	s.core = daemon.NewCore(daemon.CoreConfig{Seed: cfg.Seed, Settings: cfg.Site.Control,
-		Tick: cfg.Site.Control.BatchInterval, Transit: transit, AnswerSlack: cfg.Site.AnswerSlack + lateSlack,
-		Known:   endpoints.Snapshot{Version: news.Version, Endpoints: news.Endpoints},
-		OneList: cfg.Known != nil, Name: s.book.name, StopWithin: end - last, Log: s.log})
+	s.core = daemon.NewEventLoop(daemon.EventLoopConfig{Seed: cfg.Seed, Settings: cfg.Site.Control,
+		BatchInterval: cfg.Site.Control.BatchInterval, ResponseMargin: transit,
+		AnswerSlack:      cfg.Site.AnswerSlack + lateSlack,
+		InitialList:      endpoints.Snapshot{Version: news.Version, Endpoints: news.Endpoints},
+		TrustInitialList: cfg.Known != nil, NodeName: s.book.name, ShutdownTimeout: end - last, Log: s.log})
 	s.front = newFront(s.core, &s.cfg.Site, s.log, s.lim)
 	return s, nil
 }
@@ -178,7 +179,7 @@
 	s.disc = disc
 	s.mu.Unlock()
 	s.nodes = newNodes(ctx, s.core, s.cfg, s.book, s.log, s.lim.nodes)
-	edges := daemon.Edges{Nodes: s.nodes, List: disc}
+	edges := daemon.Drivers{Upstream: s.nodes, Endpoints: disc}
 	var wg sync.WaitGroup
 	if s.cfg.PeerAt.IsValid() {
 		p, err := newPeers(s.cfg)
@@ -208,7 +209,7 @@
 	})
 	s.log.Info("scheduler started", "listen", ln.Addr().String(), "discovery", s.cfg.Discovery,
 		"clients", s.lim.clients, "nodes", s.lim.nodes, "memory", s.lim.memory)
-	err = s.core.Loop(ctx, edges)
+	err = s.core.Run(ctx, edges)
 	if err == nil {
 		s.front.drain(s.stopBy())
 	}
@@ -255,7 +256,7 @@
 func (s *Scheduler) tell(ctx context.Context) {
 	every(ctx, tellEvery, func() {
 		s.log.Info("state", "all", s.state())
-		s.core.Beliefs(s.compare)
+		s.core.InspectNodes(s.compare)
 	})
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -184,7 +184,7 @@
 	gone, ready := listed("s-0", old, 0), listed("s-9", next, 0)
 	gone.Lifecycle = "draining"
 	r.list.change(gone, ready)
-	eventually(t, "the change is held", func() bool { _, v := r.s.core.Held(); return v == 8 })
+	eventually(t, "the change is held", func() bool { _, v := r.s.core.ListVersion(); return v == 8 })
 	c := r.dial()
 	for i := range 10 {
 		c.send(ask("GET", "read", fmt.Sprintf("a%d", i), 0, ""))
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -74,7 +74,7 @@
 func (c *Client) Fetch() { c.do(fetch) }
 
 // FetchWhole asks for the whole list once: what is held cannot be built on.
-func (c *Client) FetchWhole() { c.do(fetchFull) }
+func (c *Client) FetchFull() { c.do(fetchFull) }
 
 func (c *Client) do(cmd command) {
 	select {
--- a/internal/registry/nodelist_test.go
+++ b/internal/registry/nodelist_test.go
@@ -119,7 +119,7 @@
 		n.Endpoints[0].Server.Port != 2 {
 		t.Errorf("changes %+v", n)
 	}
-	r.c.FetchWhole()
+	r.c.FetchFull()
 	if n := next(t, r.news); !n.Full || len(n.Endpoints) != 2 {
 		t.Errorf("whole %+v", n)
 	}
