--- a/cmd/landingpaddle/standins.go
+++ b/cmd/landingpaddle/standins.go
@@ -121,7 +121,7 @@
 		wg.Go(func() {
 			n := uint64(i)
 			q := proto.Request{Token: token + n, Class: c.Class, Plan: c.Plan, Volume: 1 + n%c.Volumes,
-				Writers: 1, Key: 1 + n%997, Units: c.Units, Cell: int32(n) % c.Cells, Wait: c.Wait,
+				VolumeInstances: 1, Key: 1 + n%997, Units: c.Units, Cell: int32(n) % c.Cells, Timeout: c.Wait,
 				Write: c.Write}
 			r := client.Do(ctx, q, []int{i % len(c.To)}, 0)
 			mu.Lock()
@@ -134,6 +134,6 @@
 	client.Close()
 	mean := (took / time.Duration(c.Count)).Round(time.Microsecond)
 	fmt.Fprintf(out, "served %d, refused %d, failed %d, no answer %d; mean %v\n", ended[proto.OK],
-		ended[proto.Refused], ended[proto.Failed], ended[0], mean)
+		ended[proto.Rejected], ended[proto.Failed], ended[0], mean)
 	return orWrite(nil, events, c.Log)
 }
--- a/internal/daemon/extents_test.go
+++ b/internal/daemon/extents_test.go
@@ -64,12 +64,12 @@
 }
 
 // do carries an operation out and answers it.
-func (d *disk) do(c *proto.Conn, f proto.Frame, q proto.Request, bad []proto.Bad) error {
-	a := proto.Answer{Code: proto.OK, Bad: bad}
+func (d *disk) do(c *proto.Conn, f proto.Frame, q proto.Request, bad []proto.UnreadableRange) error {
+	a := proto.Answer{Code: proto.OK, Unreadable: bad}
 	d.mu.Lock()
 	var data []byte
 	if q.Ranged {
-		at := d.volume(q.Of())[q.Offset : q.Offset+uint64(q.Length)]
+		at := d.volume(q.DataVolume())[q.Offset : q.Offset+uint64(q.Length)]
 		if q.Write {
 			copy(at, f.Payload)
 		} else {
@@ -77,14 +77,14 @@
 		}
 	}
 	d.mu.Unlock()
-	c.Done(f.Stream)
-	_ = c.Post(proto.TypeAnswer, f.Stream, a, data) // a connection that is gone is a test's own doing
+	c.CloseStream(f.Stream)
+	_ = c.Send(proto.TypeAnswer, f.Stream, a, data) // a connection that is gone is a test's own doing
 	return nil
 }
 
 func answer(c *proto.Conn, f proto.Frame, a proto.Answer) bool {
-	c.Done(f.Stream)
-	_ = c.Post(proto.TypeAnswer, f.Stream, a, nil)
+	c.CloseStream(f.Stream)
+	_ = c.Send(proto.TypeAnswer, f.Stream, a, nil)
 	return true
 }
 
@@ -252,7 +252,7 @@
 		if !q.Ranged || broken < q.Offset || broken >= q.Offset+uint64(q.Length) {
 			return false
 		}
-		_ = d.do(c, f, q, []proto.Bad{{Offset: broken - q.Offset, Length: 1}})
+		_ = d.do(c, f, q, []proto.UnreadableRange{{Offset: broken - q.Offset, Length: 1}})
 		return true
 	}
 	var ids []uint64
@@ -322,7 +322,7 @@
 		return q.Ranged
 	}
 	patient := x.read(v, 0, 1000, nil)
-	short := x.read(v, 1000, 1000, func(q *proto.Request) { q.Wait = 700 * time.Millisecond })
+	short := x.read(v, 1000, 1000, func(q *proto.Request) { q.Timeout = 700 * time.Millisecond })
 	start := time.Now()
 	if a := x.c.wait(short); a.Code == proto.OK || time.Since(start) > 1500*time.Millisecond {
 		t.Errorf("the hasty one got %+v after %v", a, time.Since(start))
@@ -332,7 +332,7 @@
 	}
 	(<-late)()
 	x.got(patient, v, 0, 1000)
-	if ops := d.ranged(); len(ops[0].Members) != 2 || ops[0].Wait > 700*time.Millisecond {
+	if ops := d.ranged(); len(ops[0].Members) != 2 || ops[0].Timeout > 700*time.Millisecond {
 		t.Errorf("the node saw %+v", ops[0])
 	}
 	for x.inst.Stats.Late.Load() == 0 { // the hasty one's part came after its client's time
@@ -356,7 +356,7 @@
 	for i := range uint64(40) {
 		ids = append(ids, x.read(v, i*10, 10, func(q *proto.Request) {
 			if i%2 == 1 {
-				q.Wait = 40 * time.Millisecond
+				q.Timeout = 40 * time.Millisecond
 			}
 		}))
 	}
@@ -385,9 +385,9 @@
 		if !q.Ranged {
 			return false
 		}
-		_ = c.Post(proto.TypeDrain, 0, nil, nil)
+		_ = c.Send(proto.TypeDrain, 0, nil, nil)
 		next.fakeNode = x.node(0, next.serve)
-		return answer(c, f, proto.Answer{Code: proto.Full})
+		return answer(c, f, proto.Answer{Code: proto.Overloaded})
 	}
 	var ids []uint64
 	for i := range uint64(4) {
@@ -491,8 +491,8 @@
 		}
 		return len(q.Members) > 0
 	}
-	patient := x.write(v, 0, 1000, 1, func(q *proto.Request) { q.Key, q.Wait = 8, 2*time.Second })
-	hasty := x.write(v, 1000, 1000, 2, func(q *proto.Request) { q.Key, q.Wait = 7, 700*time.Millisecond })
+	patient := x.write(v, 0, 1000, 1, func(q *proto.Request) { q.Key, q.Timeout = 8, 2*time.Second })
+	hasty := x.write(v, 1000, 1000, 2, func(q *proto.Request) { q.Key, q.Timeout = 7, 700*time.Millisecond })
 	if a := x.c.wait(hasty); a.Code == proto.OK {
 		t.Errorf("the hasty one got %+v", a)
 	}
@@ -544,7 +544,7 @@
 	for x.inst.Stats.Operations.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	_ = x.c.conn.Post(proto.TypeCancel, ids[0], nil, nil)
+	_ = x.c.conn.Send(proto.TypeCancel, ids[0], nil, nil)
 	for x.inst.Stats.ClientGone.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -566,20 +566,20 @@
 	x := newExtents(t, nil)
 	v := x.volumeAt(0, 0)
 	full := func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool {
-		return q.Ranged && answer(c, f, proto.Answer{Code: proto.Full})
+		return q.Ranged && answer(c, f, proto.Answer{Code: proto.Overloaded})
 	}
 	x.disks[1].first = full
 	put := func(q *proto.Request) { q.Class = 2 }
 	a := x.c.wait(x.write(v, 12<<10, 24<<10, 9, put))
 	if a.Code != proto.Failed || a.Reason != ReasonNodeOverloaded || a.Done < 1 ||
-		a.Done+a.Unsure+a.Unsent != 3 {
+		a.Done+a.Uncertain+a.Unsent != 3 {
 		t.Errorf("got %+v", a)
 	}
 	for _, want := range []string{"write in part", "state=done", "node=" + x.disks[0].ln.Addr().String()} {
 		x.logged(want)
 	}
 	x.disks[0].first = full
-	if a := x.c.wait(x.write(v, 12<<10, 8<<10, 9, put)); a.Code != proto.Refused || a.Done+a.Unsure != 0 {
+	if a := x.c.wait(x.write(v, 12<<10, 8<<10, 9, put)); a.Code != proto.Rejected || a.Done+a.Uncertain != 0 {
 		t.Errorf("with nothing run: %+v", a)
 	}
 	x.c.once()
@@ -597,7 +597,7 @@
 		}
 		return q.Ranged
 	}
-	cancel := func(id uint64) { _ = x.c.conn.Post(proto.TypeCancel, id, nil, nil) }
+	cancel := func(id uint64) { _ = x.c.conn.Send(proto.TypeCancel, id, nil, nil) }
 	var ids []uint64
 	for i := range uint64(5) {
 		ids = append(ids, x.read(v, i*1000, 1000, nil))
@@ -662,7 +662,7 @@
 	x.got(free, v, 0, 1000)
 	x.got(again, v, 0, 2000)
 	x.got(other, v, 2000, 1000)
-	if a := x.c.wait(limited); a.Code != proto.Refused {
+	if a := x.c.wait(limited); a.Code != proto.Rejected {
 		t.Errorf("over its limit: %+v", a)
 	}
 	for _, q := range x.disks[0].ranged() {
@@ -690,7 +690,7 @@
 		"short payload":  x.write(v, 0, 10, 1, func(q *proto.Request) { q.Length = 11 }),
 		"payload on get": x.write(v, 0, 10, 1, func(q *proto.Request) { q.Write, q.Class = false, 0 }),
 	} {
-		if a := x.c.wait(id); a.Code != proto.Refused || a.Reason != ReasonBadRange {
+		if a := x.c.wait(id); a.Code != proto.Rejected || a.Reason != ReasonBadRange {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
@@ -736,7 +736,7 @@
 	v, d := x.volumeAt(0, 0), x.disks[0]
 	d.first = func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool {
 		return len(q.Members) > 0 && answer(c, f, proto.Answer{Code: proto.OK,
-			Bad: []proto.Bad{{Offset: 1 << 63, Length: 1 << 63}}})
+			Unreadable: []proto.UnreadableRange{{Offset: 1 << 63, Length: 1 << 63}}})
 	}
 	ids := []uint64{x.read(v, 0, 1000, nil), x.read(v, 1000, 1000, nil)}
 	for i, id := range ids {
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -61,7 +61,7 @@
 	defer f.mu.Unlock()
 	f.byeing = true
 	for c := range f.clients {
-		c.conn.Bye(reason)
+		c.conn.CloseGracefully(reason)
 	}
 	f.noteNone()
 }
@@ -82,8 +82,15 @@
 	f.mu.Unlock()
 	err := conn.Run(ctx, func(fr proto.Frame) error { return f.frame(c, fr) })
 	if err != nil && ctx.Err() == nil && !errors.Is(err, context.Canceled) {
-		f.i.log.Warn("client connection ended", "role", conn.Their().Role, "client", conn.Their().Number,
-			"error", err)
+		f.i.log.Warn(
+			"client connection ended",
+			"role",
+			conn.PeerHello().Role,
+			"client",
+			conn.PeerHello().Number,
+			"error",
+			err,
+		)
 	}
 	f.mu.Lock()
 	delete(f.clients, c)
@@ -110,14 +117,14 @@
 			f.i.ClientGone(k)
 		}
 		return nil
-	case proto.TypeProbe:
-		return c.conn.Post(proto.TypeProbed, fr.Stream, proto.Answer{Code: proto.OK}, nil)
+	case proto.TypeHealthCheck:
+		return c.conn.Send(proto.TypeHealthCheckResult, fr.Stream, proto.Answer{Code: proto.OK}, nil)
 	}
 	return fmt.Errorf("a client sends no frame of type %v", fr.Type)
 }
 
 func (f *front) request(c *client, fr proto.Frame) error {
-	if err := c.conn.Open(fr.Stream); err != nil {
+	if err := c.conn.OpenStream(fr.Stream); err != nil {
 		return err
 	}
 	k := &stream{front: f, client: c, stream: fr.Stream, payload: fr.Payload}
@@ -128,10 +135,10 @@
 	lim := f.i.cfg.Site.Limits
 	refuse := func(reason string, advice time.Duration) error {
 		f.i.Stats.Rejected.Add(1)
-		a := proto.Answer{Code: proto.Refused, Reason: reason, Advice: advice}
-		c.conn.Done(fr.Stream)
+		a := proto.Answer{Code: proto.Rejected, Reason: reason, RetryAfter: advice}
+		c.conn.CloseStream(fr.Stream)
 		f.i.log.Debug("refused", "reason", reason, "token", k.req.Token)
-		return c.conn.Post(proto.TypeAnswer, fr.Stream, a, nil)
+		return c.conn.Send(proto.TypeAnswer, fr.Stream, a, nil)
 	}
 	advice := lim.MaxRetryAfter
 	if !lim.RetryAfter {
@@ -154,9 +161,9 @@
 // asCall is the request as the loop takes it.
 func (k *stream) asCall(at time.Duration) *Call {
 	q := &k.req
-	call := &Call{Responder: k, ReceivedAt: at, Wait: q.Wait, Token: q.Token, DataVolume: q.Of(),
+	call := &Call{Responder: k, ReceivedAt: at, Wait: q.Timeout, Token: q.Token, DataVolume: q.DataVolume(),
 		Request: scheduler.Request{Class: int(q.Class), Cell: int(q.Cell), Retry: q.Try > 0, Write: k.write,
-			VolumeInstances: int(q.Writers), Plan: int(q.Plan), Key: q.Key, Volume: q.Volume,
+			VolumeInstances: int(q.VolumeInstances), Plan: int(q.Plan), Key: q.Key, Volume: q.Volume,
 			Units: float64(q.Units)}}
 	if q.Ranged {
 		call.Range = &extent.Range{Offset: q.Offset, Length: uint64(q.Length)}
@@ -169,7 +176,7 @@
 func (f *front) bad(k *stream) string {
 	q, site := &k.req, &f.i.cfg.Site
 	if int(q.Class) >= len(site.Classes) || int(q.Plan) >= len(site.Plans) || q.Units == 0 ||
-		float64(q.Units) > site.MostUnits || q.Wait <= 0 || q.Wait > time.Hour ||
+		float64(q.Units) > site.MostUnits || q.Timeout <= 0 || q.Timeout > time.Hour ||
 		q.Cell < scheduler.NewObject || q.Cell > 1<<16-1 {
 		return ReasonBadRequest
 	}
@@ -195,11 +202,11 @@
 	k.client.mu.Lock()
 	delete(k.client.calls, k.stream)
 	k.client.mu.Unlock()
-	k.client.conn.Done(k.stream)
-	err := k.client.conn.Post(proto.TypeAnswer, k.stream, a, payload)
+	k.client.conn.CloseStream(k.stream)
+	err := k.client.conn.Send(proto.TypeAnswer, k.stream, a, payload)
 	if errors.Is(err, proto.ErrPayload) || errors.Is(err, proto.ErrHeader) {
 		a = proto.Answer{Code: proto.Failed, Reason: ReasonTooLarge}
-		_ = k.client.conn.Post(proto.TypeAnswer, k.stream, a, nil) // a closed connection has its own end
+		_ = k.client.conn.Send(proto.TypeAnswer, k.stream, a, nil) // a closed connection has its own end
 	}
 	if hook := k.front.i.cfg.Hooks.OnAnswer; hook != nil {
 		hook(k.client.conn, k.stream, a, payload)
--- a/internal/daemon/learnt_test.go
+++ b/internal/daemon/learnt_test.go
@@ -206,7 +206,7 @@
 		r.logged("instance stopping")
 		stopping := c.wait(c.ask(nil))
 		for reason, a := range map[string]proto.Answer{ReasonOverload: over, ReasonStopping: stopping} {
-			if a.Reason != reason || (a.Advice > 0) != allowed {
+			if a.Reason != reason || (a.RetryAfter > 0) != allowed {
 				t.Errorf("advice allowed %v: got %+v", allowed, a)
 			}
 		}
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -316,7 +316,7 @@
 	)
 	if err != nil {
 		l.c.log.Debug("range refused", "token", k.Token, "error", err)
-		l.finish(k, proto.Answer{Code: proto.Refused, Reason: ReasonBadRange}, nil)
+		l.finish(k, proto.Answer{Code: proto.Rejected, Reason: ReasonBadRange}, nil)
 		return
 	}
 	k.id = l.wholes
@@ -375,7 +375,7 @@
 
 // tellPieces puts into an answer what is known of a request's pieces.
 func tellPieces(a *proto.Answer, ends *extent.Answer) {
-	a.Done, a.Unsure, a.Unsent = uint16(ends.Done), uint16(ends.Unsure), uint16(ends.Unsent)
+	a.Done, a.Uncertain, a.Unsent = uint16(ends.Done), uint16(ends.Unsure), uint16(ends.Unsent)
 }
 
 // withdraw tells the module that nothing is owed for requests any more.
@@ -400,13 +400,13 @@
 	switch a.Code {
 	case proto.OK:
 		l.c.Stats.Served.Add(1)
-	case proto.Refused:
+	case proto.Rejected:
 		l.c.Stats.Rejected.Add(1)
 	default:
 		l.c.Stats.Failed.Add(1)
 	}
 	if a.Code != proto.OK {
-		l.c.log.Debug(codeWord(a.Code), "reason", a.Reason, "token", k.Token, "advice", a.Advice)
+		l.c.log.Debug(codeWord(a.Code), "reason", a.Reason, "token", k.Token, "advice", a.RetryAfter)
 		if a.Done > 0 && k.Request.Write {
 			l.partial(k)
 		}
@@ -446,15 +446,15 @@
 	switch a.Code {
 	case proto.OK:
 		verdict = extent.Served
-	case proto.Refused:
+	case proto.Rejected:
 		verdict = extent.Refused
 	}
 	ends, withdraw := l.plan.Over(r.id, verdict, payload)
 	if ends != nil {
 		tellPieces(&a, ends)
-		a.Bad = nil
+		a.Unreadable = nil
 		if ends.Verdict == extent.Failed {
-			a.Code, a.Advice = proto.Failed, 0
+			a.Code, a.RetryAfter = proto.Failed, 0
 		}
 		payload = nil
 		if len(ends.Data) == 1 {
@@ -483,7 +483,7 @@
 	var parts []extent.Part
 	if x.code == scheduler.OK && x.op.ranged() {
 		var bad []extent.Range
-		for _, b := range x.answer.Bad {
+		for _, b := range x.answer.Unreadable {
 			bad = append(bad, extent.Range{Offset: b.Offset, Length: b.Length})
 		}
 		parts = x.op.plan.Deal(bad, x.payload)
@@ -534,10 +534,10 @@
 		Load:    answer.Load,
 	}
 	if lead {
-		out.MeteredRate, out.ElsewhereUnits = int(answer.Metered), float64(answer.Elsewhere)
+		out.MeteredRate, out.ElsewhereUnits = int(answer.MeteredRate), float64(answer.ElsewhereUnits)
 	}
 	if code == scheduler.OK {
-		answer.Code, answer.Metered, answer.Elsewhere, answer.Load = proto.OK, 0, 0, nil
+		answer.Code, answer.MeteredRate, answer.ElsewhereUnits, answer.Load = proto.OK, 0, 0, nil
 		l.over(r, answer, payload)
 	}
 	out.RequestDone = r.done
@@ -566,7 +566,7 @@
 		l.send(x)
 	case scheduler.Reject:
 		if r := l.reqs[x.ID]; r != nil {
-			l.over(r, proto.Answer{Code: proto.Refused, Reason: r.reason(), Advice: x.RetryAfter}, nil)
+			l.over(r, proto.Answer{Code: proto.Rejected, Reason: r.reason(), RetryAfter: x.RetryAfter}, nil)
 			l.settle(r)
 		}
 	case scheduler.Fail:
--- a/internal/daemon/pool.go
+++ b/internal/daemon/pool.go
@@ -109,7 +109,7 @@
 			return nil
 		}
 		c := &nodeConn{server: server, conn: conn, ops: map[uint64]*Operation{}}
-		p.i.in.put(greeted{server, conn.Their().Boot})
+		p.i.in.put(greeted{server, conn.PeerHello().StartedAt})
 		p.did(dialed{server: server, conn: c})
 		err = conn.Run(p.ctx, func(f proto.Frame) error { return p.frame(c, f) })
 		p.reset(c, err)
@@ -157,7 +157,7 @@
 	c.next++
 	stream := c.next
 	op.DriverState = flight{c, stream}
-	ended := c.ended || c.conn.Open(stream) != nil
+	ended := c.ended || c.conn.OpenStream(stream) != nil
 	if !ended {
 		c.ops[stream] = op
 	}
@@ -165,12 +165,12 @@
 	if !ended {
 		req, payload, copied := op.frame(p.i.Now())
 		p.i.Stats.Copied.Add(uint64(copied))
-		err := c.conn.Post(proto.TypeRequest, stream, req, payload)
+		err := c.conn.Send(proto.TypeRequest, stream, req, payload)
 		if err == nil {
 			return
 		}
 		p.i.log.Warn("request not sent", "node", addrText(op.server), "error", err)
-		c.conn.Done(stream) // no answer will come that would end it
+		c.conn.CloseStream(stream) // no answer will come that would end it
 	}
 	if c.take(stream) != nil || ended {
 		p.i.in.put(result{op: op, code: scheduler.ConnectFailed})
@@ -190,7 +190,7 @@
 // it, so that a node that answers nothing does not get more than was agreed.
 func (p *pool) Cancel(op *Operation) {
 	if at, ok := op.DriverState.(flight); ok && at.conn.take(at.stream) != nil {
-		_ = at.conn.conn.Post(proto.TypeCancel, at.stream, nil, nil) // a closed connection reports itself
+		_ = at.conn.conn.Send(proto.TypeCancel, at.stream, nil, nil) // a closed connection reports itself
 	}
 }
 
@@ -198,7 +198,7 @@
 func (p *pool) CancelMember(op *Operation, place int) {
 	if at, ok := op.DriverState.(flight); ok {
 		call := proto.Cancel{Members: []uint16{uint16(place)}}
-		_ = at.conn.conn.Post(proto.TypeCancel, at.stream, call, nil) // a closed connection reports itself
+		_ = at.conn.conn.Send(proto.TypeCancel, at.stream, call, nil) // a closed connection reports itself
 	}
 }
 
@@ -210,7 +210,7 @@
 		if err := f.Decode(&answer); err != nil {
 			return err
 		}
-		if !c.conn.Done(f.Stream) {
+		if !c.conn.CloseStream(f.Stream) {
 			return fmt.Errorf("an answer to stream %d, which is not in flight", f.Stream)
 		}
 		code, err := codeOf(answer.Code)
@@ -221,7 +221,7 @@
 			p.i.in.put(result{op: op, code: code, answer: answer, payload: f.Payload})
 		}
 		return nil
-	case proto.TypeFirst:
+	case proto.TypeResponseStarted:
 		c.mu.Lock()
 		op := c.ops[f.Stream]
 		c.mu.Unlock()
@@ -230,10 +230,10 @@
 		}
 		return nil
 	case proto.TypeDrain:
-		p.i.in.put(notice{c.server, c.conn.Their().Boot})
+		p.i.in.put(notice{c.server, c.conn.PeerHello().StartedAt})
 		return nil
-	case proto.TypeProbed:
-		c.conn.Done(f.Stream)
+	case proto.TypeHealthCheckResult:
+		c.conn.CloseStream(f.Stream)
 		return nil
 	}
 	return fmt.Errorf("a node sends no frame of type %v", f.Type)
@@ -278,7 +278,7 @@
 	if n := p.nodes[s]; n != nil {
 		for _, c := range n.conns {
 			if c.conn.InFlight() == 0 {
-				c.conn.Bye("not needed")
+				c.conn.CloseGracefully("not needed")
 			}
 		}
 	}
@@ -294,10 +294,10 @@
 		defer cancel()
 		if conn, err := proto.Dial(ctx, addrText(s), p.cfg); err == nil {
 			code = scheduler.TimedOut
-			_ = conn.Open(1)
-			_ = conn.Post(proto.TypeProbe, 1, nil, nil)
+			_ = conn.OpenStream(1)
+			_ = conn.Send(proto.TypeHealthCheck, 1, nil, nil)
 			_ = conn.Run(ctx, func(f proto.Frame) error { // its end is the result
-				if f.Type == proto.TypeProbed {
+				if f.Type == proto.TypeHealthCheckResult {
 					var a proto.Answer
 					if f.Decode(&a) == nil {
 						code, load = scheduler.OK, a.Load
@@ -321,7 +321,7 @@
 func (o *Operation) frame(now time.Duration) (req proto.Request, payload []byte, copied int) {
 	lead := o.members[0]
 	req = waiting(lead).req
-	req.Attempt, req.Wait, req.Members, req.Piece = uint16(lead.n), lead.deadline-now, nil, 0
+	req.Attempt, req.Timeout, req.Members, req.Piece = uint16(lead.n), lead.deadline-now, nil, 0
 	if !o.ranged() {
 		return req, waiting(lead).payload, 0
 	}
@@ -335,7 +335,7 @@
 		payload = make([]byte, o.plan.Range.Length)
 	}
 	for n, a := range o.members {
-		req.Wait = min(req.Wait, a.deadline-now)
+		req.Timeout = min(req.Timeout, a.deadline-now)
 		q, at := &waiting(a).req, o.plan.Slice(o.plan.Members[n])
 		req.Members = append(req.Members, proto.Member{Token: q.Token, Volume: q.Volume, Key: q.Key,
 			Plan: q.Plan, Units: uint32(max(1, a.req.piece.Units)), Offset: uint32(at.Offset),
@@ -360,7 +360,7 @@
 // codeOf is a node's code as the module's; they are the same numbers.
 func codeOf(c proto.Code) (scheduler.ResultCode, error) {
 	switch c {
-	case proto.OK, proto.Error, proto.Full, proto.Dropped, proto.Moot:
+	case proto.OK, proto.Error, proto.Overloaded, proto.Cancelled, proto.NotApplicable:
 		return scheduler.ResultCode(c), nil
 	}
 	return 0, fmt.Errorf("code %d is none of a node's", c)
--- a/internal/daemon/reasons.go
+++ b/internal/daemon/reasons.go
@@ -50,7 +50,7 @@
 	switch c {
 	case proto.OK:
 		return "served"
-	case proto.Refused:
+	case proto.Rejected:
 		return "refused"
 	}
 	return "failed"
--- a/internal/daemon/sched.go
+++ b/internal/daemon/sched.go
@@ -201,7 +201,7 @@
 }
 
 func (i *Instance) hello() proto.Hello {
-	return proto.Hello{Role: "instance", Number: uint32(i.cfg.Number), Boot: i.start.UnixNano()}
+	return proto.Hello{Role: "instance", Number: uint32(i.cfg.Number), StartedAt: i.start.UnixNano()}
 }
 
 // Addr is where clients connect.
--- a/internal/daemon/sched_test.go
+++ b/internal/daemon/sched_test.go
@@ -132,7 +132,7 @@
 				var q proto.Request
 				if f.Type == proto.TypeRequest {
 					n.got.Add(1)
-					if err := errors.Join(f.Decode(&q), c.Open(f.Stream)); err != nil {
+					if err := errors.Join(f.Decode(&q), c.OpenStream(f.Stream)); err != nil {
 						return err
 					}
 				}
@@ -152,8 +152,8 @@
 	if f.Type != proto.TypeRequest {
 		return nil
 	}
-	c.Done(f.Stream)
-	return c.Post(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.OK}, []byte("data"))
+	c.CloseStream(f.Stream)
+	return c.Send(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.OK}, []byte("data"))
 }
 
 func silent(*proto.Conn, proto.Frame, proto.Request) error { return nil }
@@ -217,7 +217,7 @@
 			if err := f.Decode(&a); err != nil {
 				return err
 			}
-			conn.Done(f.Stream)
+			conn.CloseStream(f.Stream)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.answers[f.Stream] = append(c.answers[f.Stream], a)
@@ -233,11 +233,11 @@
 func (c *caller) send(payload []byte, change func(*proto.Request)) uint64 {
 	c.t.Helper()
 	c.next++
-	q := proto.Request{Token: c.next, Volume: 1, Units: 1, Wait: 4 * time.Second, Writers: 1}
+	q := proto.Request{Token: c.next, Volume: 1, Units: 1, Timeout: 4 * time.Second, VolumeInstances: 1}
 	if change != nil {
 		change(&q)
 	}
-	err := errors.Join(c.conn.Open(c.next), c.conn.Post(proto.TypeRequest, c.next, q, payload))
+	err := errors.Join(c.conn.OpenStream(c.next), c.conn.Send(proto.TypeRequest, c.next, q, payload))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -287,9 +287,9 @@
 	for _, bad := range []func(*proto.Request){
 		func(q *proto.Request) { q.Class = 9 }, func(q *proto.Request) { q.Plan = 9 },
 		func(q *proto.Request) { q.Units = 0 }, func(q *proto.Request) { q.Units = 1000 },
-		func(q *proto.Request) { q.Wait = 0 }, func(q *proto.Request) { q.Wait = 100 * time.Hour },
+		func(q *proto.Request) { q.Timeout = 0 }, func(q *proto.Request) { q.Timeout = 100 * time.Hour },
 		func(q *proto.Request) { q.Cell = -2 }, func(q *proto.Request) { q.Cell = 1 << 20 }} {
-		if a := c.wait(c.ask(bad)); a.Code != proto.Refused || a.Reason != ReasonBadRequest {
+		if a := c.wait(c.ask(bad)); a.Code != proto.Rejected || a.Reason != ReasonBadRequest {
 			t.Errorf("a bad request got %+v", a)
 		}
 	}
@@ -319,7 +319,7 @@
 		c.ask(nil)
 	}
 	for s := uint64(1); s <= 30; s++ {
-		if a := c.wait(s); a.Code != proto.OK && a.Code != proto.Refused {
+		if a := c.wait(s); a.Code != proto.OK && a.Code != proto.Rejected {
 			t.Errorf("request %d: %+v", s, a)
 		}
 	}
@@ -380,12 +380,15 @@
 	c := r.client()
 	for range 8 {
 		c.next++
-		q := proto.Request{Token: c.next, Volume: 1, Units: 1, Wait: 300 * time.Millisecond, Write: true}
-		err := errors.Join(c.conn.Open(c.next), c.conn.Post(proto.TypeRequest, c.next, q, make([]byte, 100)))
+		q := proto.Request{Token: c.next, Volume: 1, Units: 1, Timeout: 300 * time.Millisecond, Write: true}
+		err := errors.Join(
+			c.conn.OpenStream(c.next),
+			c.conn.Send(proto.TypeRequest, c.next, q, make([]byte, 100)),
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a := c.wait(c.next); a.Code != proto.Refused {
+		if a := c.wait(c.next); a.Code != proto.Rejected {
 			t.Fatalf("an oversized request got %+v", a)
 		}
 	}
@@ -406,7 +409,7 @@
 	c := r.client()
 	start := time.Now()
 	for range 100 {
-		c.ask(func(q *proto.Request) { q.Wait = 500 * time.Millisecond })
+		c.ask(func(q *proto.Request) { q.Timeout = 500 * time.Millisecond })
 	}
 	for s := uint64(1); s <= 100; s++ {
 		c.wait(s)
@@ -435,7 +438,7 @@
 	c := r.client()
 	for cell := range int32(2) {
 		a := c.wait(c.ask(func(q *proto.Request) { q.Cell, q.Class = cell, 1; q.Key = uint64(cell) + 1 }))
-		if a.Code != proto.Refused || a.Reason != ReasonNodeUnreachable && a.Reason != ReasonNotInTime {
+		if a.Code != proto.Rejected || a.Reason != ReasonNodeUnreachable && a.Reason != ReasonNotInTime {
 			t.Errorf("cell %d: %+v", cell, a)
 		}
 	}
@@ -452,11 +455,11 @@
 			return nil
 		}
 		// Around the very end of the attempt's time, a little to either side.
-		d := q.Wait + time.Duration(int64(q.Token%7)-3)*300*time.Microsecond
+		d := q.Timeout + time.Duration(int64(q.Token%7)-3)*300*time.Microsecond
 		time.AfterFunc(d, func() {
 			late.Add(1)
-			c.Done(f.Stream)
-			_ = c.Post(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.OK}, nil)
+			c.CloseStream(f.Stream)
+			_ = c.Send(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.OK}, nil)
 		})
 		return nil
 	})
@@ -465,7 +468,7 @@
 	r.logged("node listed")
 	c := r.client()
 	for range 300 {
-		c.ask(func(q *proto.Request) { q.Wait = wait })
+		c.ask(func(q *proto.Request) { q.Timeout = wait })
 		time.Sleep(500 * time.Microsecond)
 	}
 	for s := uint64(1); s <= c.next; s++ {
@@ -495,13 +498,13 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for !stop.Load() {
-			c.ask(func(q *proto.Request) { q.Wait = 300 * time.Millisecond })
+			c.ask(func(q *proto.Request) { q.Timeout = 300 * time.Millisecond })
 			time.Sleep(time.Millisecond)
 		}
 	})
 	conn := <-n.conns
 	time.Sleep(50 * time.Millisecond)
-	if err := conn.Post(proto.TypeDrain, 0, nil, nil); err != nil {
+	if err := conn.Send(proto.TypeDrain, 0, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	r.logged("told by")
@@ -536,7 +539,7 @@
 	for _, c := range callers {
 		for s := uint64(1); s <= 5000; s++ {
 			if a := c.wait(s); a.Reason == ReasonOverload {
-				if overload++; a.Advice <= 0 {
+				if overload++; a.RetryAfter <= 0 {
 					t.Fatal("refused without advice")
 				}
 			}
@@ -555,8 +558,8 @@
 	r.node(0, func(c *proto.Conn, f proto.Frame, q proto.Request) error {
 		if f.Type == proto.TypeRequest {
 			time.AfterFunc(200*time.Millisecond, func() {
-				c.Done(f.Stream)
-				_ = c.Post(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.OK}, nil)
+				c.CloseStream(f.Stream)
+				_ = c.Send(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.OK}, nil)
 			})
 		}
 		return nil
@@ -572,7 +575,7 @@
 	}
 	inst.Stop()
 	r.logged("instance stopping")
-	if a := c.wait(c.ask(nil)); a.Reason != ReasonStopping || a.Advice <= 0 {
+	if a := c.wait(c.ask(nil)); a.Reason != ReasonStopping || a.RetryAfter <= 0 {
 		t.Errorf("a new request got %+v", a)
 	}
 	select {
@@ -643,7 +646,7 @@
 		cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return mute{} }
 	})
 	c := r.client()
-	a := c.wait(c.ask(func(q *proto.Request) { q.Wait = 100 * time.Millisecond }))
+	a := c.wait(c.ask(func(q *proto.Request) { q.Timeout = 100 * time.Millisecond }))
 	if a.Code != proto.Failed || a.Reason != ReasonOverdue || inst.Stats.Overdue.Load() != 1 {
 		t.Errorf("got %+v", a)
 	}
@@ -763,12 +766,17 @@
 	var called atomic.Int64
 	n := r.node(0, func(c *proto.Conn, f proto.Frame, q proto.Request) error {
 		switch f.Type {
-		case proto.TypeProbe:
-			return c.Post(proto.TypeProbed, f.Stream, proto.Answer{Code: proto.OK, Load: []float64{7}}, nil)
+		case proto.TypeHealthCheck:
+			return c.Send(
+				proto.TypeHealthCheckResult,
+				f.Stream,
+				proto.Answer{Code: proto.OK, Load: []float64{7}},
+				nil,
+			)
 		case proto.TypeCancel:
 			called.Add(1)
-			c.Done(f.Stream)
-			return c.Post(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.Dropped}, nil)
+			c.CloseStream(f.Stream)
+			return c.Send(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.Cancelled}, nil)
 		}
 		return nil
 	})
@@ -850,7 +858,7 @@
 	r := newRig(t)
 	boot := time.Now().Add(-2 * time.Minute).UnixNano()
 	n := &fakeNode{ln: r.listen(), conns: make(chan *proto.Conn, 64)}
-	r.serve(n, proto.Config{Hello: proto.Hello{Role: "node", Boot: boot + int64(time.Minute)}}, echo)
+	r.serve(n, proto.Config{Hello: proto.Hello{Role: "node", StartedAt: boot + int64(time.Minute)}}, echo)
 	e := n.entry(0, scheduler.Ready)
 	e.StartedAt = boot
 	r.list.Put(e)
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -87,7 +87,9 @@
 }
 
 // mayHaveRun: it was neither turned away nor of another cell.
-func (a *attemptLog) mayHaveRun() bool { return a.code != proto.Full && a.code != proto.Moot }
+func (a *attemptLog) mayHaveRun() bool {
+	return a.code != proto.Overloaded && a.code != proto.NotApplicable
+}
 
 // Audit judges all rules.
 func Audit(site *config.Site, events []Event) []Verdict {
@@ -307,7 +309,7 @@
 		e, ok := t.answered()
 		truthful := repeat == scheduler.IdempotentByKey &&
 			scheduler.DedupScope(class.Group) == scheduler.DedupAll
-		if ok && e.Code == proto.Refused && ran != nil && ran.arrive.T < e.T && !truthful {
+		if ok && e.Code == proto.Rejected && ran != nil && ran.arrive.T < e.T && !truthful {
 			a.broke(RuleEffects, e, "refused while it may have run on node %d", ran.arrive.Node)
 		}
 	}
@@ -516,7 +518,7 @@
 		if e.Kind != KindArrive || a.site.Plans[e.Plan].Limit <= 0 || seen[id] {
 			continue
 		}
-		if t := a.tries[tryID{e.Token, e.Try}]; t != nil && t.attempts[0].code == proto.Moot {
+		if t := a.tries[tryID{e.Token, e.Try}]; t != nil && t.attempts[0].code == proto.NotApplicable {
 			continue
 		}
 		seen[id] = true
@@ -680,7 +682,7 @@
 		case o.last.Code == proto.OK:
 			w.Late++
 			earned += worth * class.Late
-		case o.last.Code == proto.Refused:
+		case o.last.Code == proto.Rejected:
 			w.Refused++
 		default:
 			w.Failed++
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -151,6 +151,6 @@
 // AnswerTwice are the hooks of a scheduler that gives every answer twice.
 func AnswerTwice() daemon.Hooks {
 	return daemon.Hooks{OnAnswer: func(c *proto.Conn, stream uint64, a proto.Answer, payload []byte) {
-		_ = c.Post(proto.TypeAnswer, stream, a, payload) // a closed connection gets neither
+		_ = c.Send(proto.TypeAnswer, stream, a, payload) // a closed connection gets neither
 	}}
 }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -61,7 +61,7 @@
 				cc.mu.Lock()
 				cc.left = true
 				cc.mu.Unlock()
-				cc.conn.Bye("reconnect")
+				cc.conn.CloseGracefully("reconnect")
 			}
 		default:
 		}
@@ -130,10 +130,10 @@
 	done := cc.calls[f.Stream]
 	delete(cc.calls, f.Stream)
 	cc.mu.Unlock()
-	cc.conn.Done(f.Stream)
+	cc.conn.CloseStream(f.Stream)
 	cc.c.log.Add(Event{Kind: KindAnswer, Inst: cc.inst, Client: cc.c.number, Conn: cc.nth, Seq: f.Stream,
 		Token: q.Token, Try: int(q.Try), Class: int(q.Class), Plan: int(q.Plan), Volume: q.Volume, Key: q.Key,
-		Units: int(q.Units), Code: a.Code, Reason: a.Reason, Wait: int64(a.Advice), Cell: int(a.Cell) - 1,
+		Units: int(q.Units), Code: a.Code, Reason: a.Reason, Wait: int64(a.RetryAfter), Cell: int(a.Cell) - 1,
 		Sum: sumOf(q.Offset, f.Payload), Data: rangedOf(&q), Offset: q.Offset,
 		Length: uint64(len(f.Payload)), Write: q.Write})
 	if done != nil {
@@ -145,7 +145,7 @@
 // rangedOf is the volume whose bytes a ranged request is for, else 0.
 func rangedOf(q *proto.Request) uint64 {
 	if q.Ranged {
-		return q.Of()
+		return q.DataVolume()
 	}
 	return 0
 }
@@ -173,14 +173,14 @@
 // it waits for one try.
 func (c *Client) Do(ctx context.Context, q proto.Request, insts []int, patience time.Duration) Result {
 	start := time.Now()
-	deadline := start.Add(q.Wait)
+	deadline := start.Add(q.Timeout)
 	at := 0
 	q.Client = uint32(c.number)
 	for try := 0; ; try++ {
 		q.Try = uint16(try)
-		q.Wait = time.Until(deadline)
+		q.Timeout = time.Until(deadline)
 		if patience > 0 {
-			q.Wait = min(q.Wait, patience)
+			q.Timeout = min(q.Timeout, patience)
 		}
 		a, reached := c.try(ctx, q, insts[at%len(insts)])
 		if reached && a.Code == proto.OK {
@@ -191,7 +191,7 @@
 		}
 		wait := c.habit.Wait
 		if c.habit.Heed {
-			wait = max(wait, a.Advice)
+			wait = max(wait, a.RetryAfter)
 		}
 		if !reached && c.habit.Elsewhere {
 			at++
@@ -219,10 +219,10 @@
 	cc.calls[stream], cc.sent[stream] = done, q
 	e := Event{Kind: KindSent, Inst: inst, Client: c.number, Conn: cc.nth, Seq: stream, Token: q.Token,
 		Try: int(q.Try), Class: int(q.Class), Plan: int(q.Plan), Volume: q.Volume, Key: q.Key,
-		Units: int(q.Units), Wait: int64(q.Wait), Cell: int(q.Cell), Write: q.Write}
+		Units: int(q.Units), Wait: int64(q.Timeout), Cell: int(q.Cell), Write: q.Write}
 	var payload []byte
 	if q.Ranged {
-		e.Data, e.Offset, e.Length = q.Of(), q.Offset, uint64(q.Length)
+		e.Data, e.Offset, e.Length = q.DataVolume(), q.Offset, uint64(q.Length)
 		if q.Write {
 			payload = make([]byte, q.Length)
 			for i := range payload {
@@ -233,9 +233,9 @@
 	}
 	// Logged and posted under one lock: the order in the log is the order on the connection.
 	c.log.Add(e)
-	err := cc.conn.Open(stream)
+	err := cc.conn.OpenStream(stream)
 	if err == nil {
-		err = cc.conn.Post(proto.TypeRequest, stream, q, payload)
+		err = cc.conn.Send(proto.TypeRequest, stream, q, payload)
 	}
 	cc.mu.Unlock()
 	if err != nil {
@@ -244,7 +244,7 @@
 		return proto.Answer{}, false
 	}
 	// The client waits a little longer than it said, to see whether the answer comes when it must.
-	t := time.NewTimer(q.Wait + lateMargin)
+	t := time.NewTimer(q.Timeout + lateMargin)
 	defer t.Stop()
 	select {
 	case a, ok := <-done:
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -458,9 +458,9 @@
 	id := uint64(plan+1)<<32 | uint64(volume+1)
 	c := site.Classes[class]
 	q = proto.Request{Token: p.token.Add(1), Class: uint16(class), Plan: uint16(plan), Volume: id,
-		Wait:  c.Deadline,
-		Units: uint32(t.Units[0] + rng.IntN(t.Units[1]-t.Units[0]+1)), Write: c.Writes,
-		Writers: uint16(min(t.Writers, p.day.Instances))}
+		Timeout: c.Deadline,
+		Units:   uint32(t.Units[0] + rng.IntN(t.Units[1]-t.Units[0]+1)), Write: c.Writes,
+		VolumeInstances: uint16(min(t.Writers, p.day.Instances))}
 	switch {
 	case t.New && c.Writes:
 		q.Cell, q.Key = proto.NewObject, q.Token
@@ -485,7 +485,7 @@
 	now := time.Now()
 	for _, h := range p.heavy {
 		if now.Before(h.till) && rng.Float64() < h.share {
-			q.Odd = uint32(h.times)
+			q.WorkFactor = uint32(h.times)
 		}
 	}
 	for _, s := range p.impatient {
@@ -494,11 +494,11 @@
 		}
 	}
 	first := int(id) + p.shift[id]
-	if q.Writers > 1 && rng.Float64() > 0.6 {
-		first += 1 + rng.IntN(int(q.Writers)-1)
+	if q.VolumeInstances > 1 && rng.Float64() > 0.6 {
+		first += 1 + rng.IntN(int(q.VolumeInstances)-1)
 	}
-	for i := range int(q.Writers) {
-		insts = append(insts, (int(id)+(first-int(id)+i)%int(q.Writers))%p.day.Instances)
+	for i := range int(q.VolumeInstances) {
+		insts = append(insts, (int(id)+(first-int(id)+i)%int(q.VolumeInstances))%p.day.Instances)
 	}
 	return q, insts, patience, true
 }
--- a/internal/lab/disk.go
+++ b/internal/lab/disk.go
@@ -108,7 +108,7 @@
 	}
 	var data []byte
 	if !q.Write {
-		data = l.n.disk.read(q.Of(), q.Offset, uint64(q.Length))
+		data = l.n.disk.read(q.DataVolume(), q.Offset, uint64(q.Length))
 	}
 	o.sums = make([]uint64, len(o.members))
 	for i := range o.members {
@@ -118,7 +118,7 @@
 		case !q.Write:
 			o.sums[i] = sumOf(q.Offset+uint64(from), data[from:to])
 		case !m.repeat && int(to) <= len(o.payload):
-			l.n.disk.write(q.Of(), q.Offset+uint64(from), o.payload[from:to])
+			l.n.disk.write(q.DataVolume(), q.Offset+uint64(from), o.payload[from:to])
 			o.sums[i] = sumOf(q.Offset+uint64(from), o.payload[from:to])
 		}
 	}
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -218,7 +218,7 @@
 	lim := proto.Limits{Header: 4 << 10, Payload: int(n.cfg.Site.Limits.Payload),
 		Streams: n.cfg.Site.Limits.Streams, Backlog: 64 << 20}
 	cfg := proto.Config{Limits: lim, Idle: 10 * time.Minute, Gate: n.Faults.gate,
-		Hello: proto.Hello{Role: "node", Number: uint32(n.cfg.Number), Boot: l.told}}
+		Hello: proto.Hello{Role: "node", Number: uint32(n.cfg.Number), StartedAt: l.told}}
 	g.Go(func() error { return proto.Serve(ctx, ln, cfg, n.cfg.Kind.Conns, l.session) })
 	for range n.cfg.Kind.Cores {
 		g.Go(func() error { return l.work(ctx) })
@@ -280,7 +280,7 @@
 			Class: int(q.Class), Plan: int(m.Plan), Volume: m.Volume, Key: m.Key, Units: int(m.Units),
 			Code: code, Write: q.Write, Client: int(m.Client), Boot: l.told, Op: o.nth, Piece: int(m.Piece)}
 		if q.Ranged {
-			e.Data, e.Offset, e.Length = q.Of(), q.Offset+uint64(m.Offset), uint64(m.Length)
+			e.Data, e.Offset, e.Length = q.DataVolume(), q.Offset+uint64(m.Offset), uint64(m.Length)
 			if k == KindEnd && i < len(o.sums) {
 				e.Sum = o.sums[i]
 			}
@@ -325,8 +325,8 @@
 }
 
 func (l *life) notice(c *proto.Conn) {
-	if c.Post(proto.TypeDrain, 0, nil, nil) == nil {
-		l.log(Event{Kind: KindNotice, Inst: int(c.Their().Number), Boot: l.told})
+	if c.Send(proto.TypeDrain, 0, nil, nil) == nil {
+		l.log(Event{Kind: KindNotice, Inst: int(c.PeerHello().Number), Boot: l.told})
 	}
 }
 
@@ -342,7 +342,7 @@
 }
 
 func (l *life) session(ctx context.Context, c *proto.Conn) {
-	inst := int(c.Their().Number)
+	inst := int(c.PeerHello().Number)
 	ops := map[uint64]*op{}
 	l.mu.Lock()
 	l.conns[c] = ops
@@ -371,7 +371,7 @@
 		if err := f.Decode(&o.req); err != nil {
 			return err
 		}
-		if err := c.Open(f.Stream); err != nil {
+		if err := c.OpenStream(f.Stream); err != nil {
 			return err
 		}
 		var fit bool
@@ -403,8 +403,13 @@
 		if o != nil {
 			l.callSome(o, off.Members)
 		}
-	case proto.TypeProbe:
-		return c.Post(proto.TypeProbed, f.Stream, proto.Answer{Code: proto.OK, Load: l.load()}, nil)
+	case proto.TypeHealthCheck:
+		return c.Send(
+			proto.TypeHealthCheckResult,
+			f.Stream,
+			proto.Answer{Code: proto.OK, Load: l.load()},
+			nil,
+		)
 	default:
 		return fmt.Errorf("an instance sends no frame of type %v", f.Type)
 	}
@@ -442,7 +447,7 @@
 		l.logOp(KindCalled, one, 0)
 		if o.state == opWaits && l.n.cfg.Kind.Drops && !o.members[at].repeat {
 			o.members[at].repeat = true // it takes no effect, and its end is noted now
-			l.logOp(KindCancel, one, proto.Dropped)
+			l.logOp(KindCancel, one, proto.Cancelled)
 			l.forget(one)
 		}
 	}
@@ -497,9 +502,9 @@
 		l.log(Event{Kind: KindFell, Inst: o.inst, Token: o.req.Token, Boot: l.told})
 		l.kill()
 	case o.req.Cell >= 0 && o.req.Cell != int32(l.n.cfg.Cell):
-		l.answer(o, KindMoot, proto.Moot)
+		l.answer(o, KindMoot, proto.NotApplicable)
 	case draining:
-		l.answer(o, KindFull, proto.Full)
+		l.answer(o, KindFull, proto.Overloaded)
 	case keyed && l.repeats(o):
 		l.answer(o, KindRepeat, proto.OK)
 	default:
@@ -507,7 +512,7 @@
 		case l.queue <- o:
 		default:
 			l.forget(o)
-			l.answer(o, KindFull, proto.Full)
+			l.answer(o, KindFull, proto.Overloaded)
 		}
 	}
 }
@@ -566,7 +571,7 @@
 		return free
 	}
 	if !l.move(o, opRuns) {
-		l.answer(o, KindCancel, proto.Dropped)
+		l.answer(o, KindCancel, proto.Cancelled)
 		return free
 	}
 	l.logOp(KindStart, o, 0)
@@ -587,7 +592,7 @@
 		o.data = l.carry(o)
 		l.answer(o, KindEnd, proto.OK)
 	default:
-		l.answer(o, KindCancel, proto.Dropped)
+		l.answer(o, KindCancel, proto.Cancelled)
 	}
 	return free
 }
@@ -613,7 +618,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	work := float64(k.PerOperation) + float64(k.PerUnit)*float64(o.req.Units)
-	work *= (1 + k.Jitter*(2*l.rng.Float64()-1)) * float64(max(1, o.req.Odd))
+	work *= (1 + k.Jitter*(2*l.rng.Float64()-1)) * float64(max(1, o.req.WorkFactor))
 	if o.req.Write {
 		work *= k.WritePer
 		l.debt += time.Duration(work * k.Deferred)
@@ -646,7 +651,7 @@
 			elsewhere = l.elsewhere(m.Volume, o.inst, float64(m.Units), i == 0)
 		}
 		if i == 0 { // what is told of volumes concerns the lead's
-			a.Metered, a.Elsewhere = metered, elsewhere
+			a.MeteredRate, a.ElsewhereUnits = metered, elsewhere
 		}
 	}
 	a.Cell = 1 + int32(l.n.cfg.Cell)
@@ -669,8 +674,8 @@
 	l.mu.Lock()
 	delete(l.conns[o.conn], o.stream)
 	l.mu.Unlock()
-	o.conn.Done(o.stream)
-	if o.conn.Post(proto.TypeAnswer, o.stream, a, payload) != nil {
+	o.conn.CloseStream(o.stream)
+	if o.conn.Send(proto.TypeAnswer, o.stream, a, payload) != nil {
 		l.logOp(KindCalled, o, code) // its connection ended just now: for the instance the attempt is over
 		return
 	}
--- a/internal/lab/throughput_test.go
+++ b/internal/lab/throughput_test.go
@@ -47,7 +47,7 @@
 		conns = append(conns, c)
 		wg.Go(func() {
 			_ = c.Run(ctx, func(f proto.Frame) error {
-				c.Done(f.Stream)
+				c.CloseStream(f.Stream)
 				if done, ok := waits[i].LoadAndDelete(f.Stream); ok {
 					var a proto.Answer
 					_ = f.Decode(&a)
@@ -70,14 +70,14 @@
 				cell := k % nodesOfThroughput
 				i := cell % len(conns)
 				q := proto.Request{Token: uint64(k + 1), Volume: uint64(1 + k%16), Units: 1,
-					Cell: int32(cell),
-					Wait: 30 * time.Second, Writers: 1, Write: write}
+					Cell:    int32(cell),
+					Timeout: 30 * time.Second, VolumeInstances: 1, Write: write}
 				if write {
 					q.Class = 1
 				}
 				waits[i].Store(uint64(k+1), done)
-				if conns[i].Open(uint64(k+1)) != nil ||
-					conns[i].Post(proto.TypeRequest, uint64(k+1), &q, nil) != nil {
+				if conns[i].OpenStream(uint64(k+1)) != nil ||
+					conns[i].Send(proto.TypeRequest, uint64(k+1), &q, nil) != nil {
 					tb.Error("not sent")
 					return
 				}
@@ -104,7 +104,7 @@
 	workers.Wait()
 	rate := float64(n) / time.Since(start).Seconds()
 	for _, c := range conns {
-		c.Bye("done")
+		c.CloseGracefully("done")
 	}
 	wg.Wait()
 	return rate, lat
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -42,7 +42,7 @@
 	}
 	written("health before the list is there", func(c *clientConn) { f.health(c, true) })
 	answer := func(a proto.Answer, last bool) {
-		what := fmt.Sprintf("answer %d %q after %v, last %t", a.Code, a.Reason, a.Advice, last)
+		what := fmt.Sprintf("answer %d %q after %v, last %t", a.Code, a.Reason, a.RetryAfter, last)
 		written(what, func(c *clientConn) {
 			e := &exchange{front: f, c: c, close: last, done: make(chan struct{})}
 			e.write(a, []byte("payload"))
@@ -51,10 +51,14 @@
 	answer(proto.Answer{Code: proto.OK}, false)
 	answer(proto.Answer{Code: proto.OK}, true)
 	answer(
-		proto.Answer{Code: proto.Refused, Reason: daemon.ReasonNotInTime, Advice: 250 * time.Millisecond},
+		proto.Answer{
+			Code:       proto.Rejected,
+			Reason:     daemon.ReasonNotInTime,
+			RetryAfter: 250 * time.Millisecond,
+		},
 		false,
 	)
-	answer(proto.Answer{Code: proto.Refused, Reason: daemon.ReasonOverload}, true)
+	answer(proto.Answer{Code: proto.Rejected, Reason: daemon.ReasonOverload}, true)
 	for _, reason := range []string{daemon.ReasonNodeTimeout, daemon.ReasonNotInTime, daemon.ReasonOverdue,
 		daemon.ReasonNodeReset,
 		daemon.ReasonNodeUnreachable, daemon.ReasonNodeError, daemon.ReasonNodeOverloaded,
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -295,7 +295,7 @@
 		if !f.site.Control.RetryAfter {
 			advice = 0
 		}
-		e.write(proto.Answer{Code: proto.Refused, Reason: why, Advice: advice}, nil)
+		e.write(proto.Answer{Code: proto.Rejected, Reason: why, RetryAfter: advice}, nil)
 	} else {
 		f.core.Submit(e.call)
 		if !f.watch(c) {
@@ -330,10 +330,10 @@
 	status, h := 200, http1.Header(nil)
 	switch a.Code {
 	case proto.OK:
-	case proto.Refused:
+	case proto.Rejected:
 		status = 503
-		if a.Advice > 0 {
-			h = append(h, http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(a.Advice.Seconds(),
+		if a.RetryAfter > 0 {
+			h = append(h, http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(a.RetryAfter.Seconds(),
 				'f', 3, 64)})
 		}
 	default:
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -198,10 +198,10 @@
 func outcome(p *http1.Response) (scheduler.ResultCode, proto.Answer, []byte) {
 	a := proto.Answer{}
 	if v, ok := figure(p.Header, fieldMeter); ok {
-		a.Metered = 1 + v
+		a.MeteredRate = 1 + v
 	}
 	if v, ok := figure(p.Header, fieldDelta); ok {
-		a.Elsewhere = v
+		a.ElsewhereUnits = v
 	}
 	turned, _ := p.Header.Get(fieldTurned)
 	switch {
--- a/internal/proto/conn.go
+++ b/internal/proto/conn.go
@@ -24,7 +24,7 @@
 	ErrStream  = errors.New("stream is in use")
 	ErrVersion = errors.New("the other side speaks another version")
 	ErrIdle    = errors.New("idle")
-	ErrStuck   = errors.New("nothing was heard for too long")
+	ErrSilent  = errors.New("nothing was heard for too long")
 )
 
 // Config is how a connection is run.
@@ -61,11 +61,11 @@
 
 // Conn is one connection after its greeting. Post may be called by many goroutines, Run by one.
 type Conn struct {
-	nc    net.Conn
-	cfg   Config
-	r     *bufio.Reader
-	send  Limits // what the other side takes
-	their Hello
+	nc         net.Conn
+	cfg        Config
+	r          *bufio.Reader
+	peerLimits Limits // what the other side takes
+	peerHello  Hello
 
 	mu      sync.Mutex
 	pending *bytes.Buffer
@@ -118,34 +118,34 @@
 	if f.Type != TypeHello {
 		return fmt.Errorf("greeting: found a frame of type %v; want %v", f.Type, TypeHello)
 	}
-	if err := f.Decode(&c.their); err != nil {
+	if err := f.Decode(&c.peerHello); err != nil {
 		return err
 	}
-	if c.their.Version != Version {
-		return fmt.Errorf("%w: %d, not %d", ErrVersion, c.their.Version, Version)
+	if c.peerHello.Version != Version {
+		return fmt.Errorf("%w: %d, not %d", ErrVersion, c.peerHello.Version, Version)
 	}
-	c.send = Limits{Header: min(int(c.their.Header), c.cfg.Limits.Header),
-		Payload: min(int(c.their.Payload), c.cfg.Limits.Payload),
-		Streams: min(int(c.their.Streams), c.cfg.Limits.Streams), Backlog: c.cfg.Limits.Backlog}
+	c.peerLimits = Limits{Header: min(int(c.peerHello.Header), c.cfg.Limits.Header),
+		Payload: min(int(c.peerHello.Payload), c.cfg.Limits.Payload),
+		Streams: min(int(c.peerHello.Streams), c.cfg.Limits.Streams), Backlog: c.cfg.Limits.Backlog}
 	return c.nc.SetDeadline(time.Time{})
 }
 
 // Their is the other side's greeting.
-func (c *Conn) Their() Hello { return c.their }
+func (c *Conn) PeerHello() Hello { return c.peerHello }
 
 // Streams is how many requests may be in flight.
-func (c *Conn) Streams() int { return c.send.Streams }
+func (c *Conn) Streams() int { return c.peerLimits.Streams }
 
 // Open notes that a stream is in flight, Done that it is not any more; both sides count, and the one that
 // asks never goes over what was agreed.
-func (c *Conn) Open(stream uint64) error {
+func (c *Conn) OpenStream(stream uint64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.open[stream]; ok {
 		return fmt.Errorf("%w: %d", ErrStream, stream)
 	}
-	if len(c.open) >= c.send.Streams {
-		return fmt.Errorf("%w: %d", ErrStreams, c.send.Streams)
+	if len(c.open) >= c.peerLimits.Streams {
+		return fmt.Errorf("%w: %d", ErrStreams, c.peerLimits.Streams)
 	}
 	if len(c.open) == 0 {
 		c.busyAt = time.Now()
@@ -155,7 +155,7 @@
 }
 
 // Done ends a stream; it tells whether the stream was in flight.
-func (c *Conn) Done(stream uint64) bool {
+func (c *Conn) CloseStream(stream uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, ok := c.open[stream]
@@ -172,16 +172,16 @@
 
 // Post queues a frame; it never blocks on the socket. What cannot be queued for its size is an error of that
 // frame alone. A queue that is full ends the connection: the other side does not read.
-func (c *Conn) Post(t Type, stream uint64, header any, payload []byte) error {
+func (c *Conn) Send(t Type, stream uint64, header any, payload []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
 		return c.err
 	}
-	if err := appendFrame(c.pending, t, stream, header, payload, c.send); err != nil {
+	if err := appendFrame(c.pending, t, stream, header, payload, c.peerLimits); err != nil {
 		return err
 	}
-	if c.pending.Len() > c.send.Backlog {
+	if c.pending.Len() > c.peerLimits.Backlog {
 		c.err = ErrBacklog
 		c.end()
 		return ErrBacklog
@@ -218,8 +218,8 @@
 }
 
 // Bye ends the connection in order: what is queued is written first.
-func (c *Conn) Bye(reason string) {
-	_ = c.Post(TypeBye, 0, Bye{Reason: reason}, nil) // a closed connection needs no farewell
+func (c *Conn) CloseGracefully(reason string) {
+	_ = c.Send(TypeGoodbye, 0, Goodbye{Reason: reason}, nil) // a closed connection needs no farewell
 	c.mu.Lock()
 	if c.err == nil {
 		c.err = ErrClosed
@@ -243,7 +243,7 @@
 	cause := c.err
 	c.mu.Unlock()
 	switch {
-	case err == nil || errors.Is(err, errBye):
+	case err == nil || errors.Is(err, errGoodbye):
 		return nil
 	case errors.Is(cause, ErrClosed):
 		return nil // this side said goodbye
@@ -255,7 +255,7 @@
 	return err
 }
 
-var errBye = errors.New("the other side said goodbye")
+var errGoodbye = errors.New("the other side said goodbye")
 
 func (c *Conn) read(handle func(Frame) error) error {
 	fr := NewReader(c.r, c.cfg.Limits)
@@ -270,8 +270,8 @@
 		if err != nil {
 			return err
 		}
-		if f.Type == TypeBye {
-			return errBye
+		if f.Type == TypeGoodbye {
+			return errGoodbye
 		}
 		if err := handle(f); err != nil {
 			return err
@@ -282,7 +282,7 @@
 // await waits for the first byte of a frame. A connection with nothing in flight may be silent for Idle, one
 // with requests in flight for Silence; the rest of a frame must come within Silence too.
 func (c *Conn) await() error {
-	if c.r.Buffered() >= fixed {
+	if c.r.Buffered() >= headerSize {
 		return nil // deadlines are set once a burst of frames, not for each
 	}
 	start := time.Now()
@@ -290,7 +290,7 @@
 		limit, cause, since := c.cfg.Idle, ErrIdle, start
 		c.mu.Lock()
 		if len(c.open) > 0 {
-			limit, cause = c.cfg.Silence, ErrStuck
+			limit, cause = c.cfg.Silence, ErrSilent
 			if c.busyAt.After(since) {
 				since = c.busyAt // the silence before that was idleness
 			}
@@ -298,7 +298,7 @@
 		c.mu.Unlock()
 		if time.Since(since) >= limit {
 			if cause == ErrIdle {
-				c.Bye("idle")
+				c.CloseGracefully("idle")
 				return io.EOF
 			}
 			return fmt.Errorf("%w: %v", cause, limit)
@@ -313,7 +313,7 @@
 			return c.nc.SetReadDeadline(time.Now().Add(c.cfg.Silence))
 		case errors.Is(err, os.ErrDeadlineExceeded):
 		case errors.Is(err, io.EOF):
-			return errBye
+			return errGoodbye
 		default:
 			return err
 		}
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -21,20 +21,21 @@
 
 // The frame types.
 const (
-	TypeHello    Type = 1  // the greeting, first on each side; header Hello
-	TypeRequest  Type = 2  // header Request, payload of a write
-	TypeAnswer   Type = 3  // the one final answer of a stream; header Answer, payload of a read
-	TypeFirst    Type = 4  // a streamed answer has begun; no header
-	TypeCancel   Type = 5  // the stream's answer is no longer wanted; it still comes; no header or Cancel
-	TypeProbe    Type = 6  // asks whether the other side lives; no header
-	TypeProbed   Type = 7  // its answer; header Answer
-	TypeDrain    Type = 8  // the sender takes nothing new from now on
-	TypeBye      Type = 9  // the sender closes the connection in order; header Bye
-	TypeWatch    Type = 10 // to the list service: header Ask; News until the connection ends
-	TypeFetch    Type = 11 // to the list service: header Ask; one News or Answer
-	TypeNews     Type = 12 // from the list service: header is the list's own
-	TypeHeard    Type = 13 // to the list service: the News of this stream has been taken in
-	TypeRegister Type = 14 // to the list service, from a node: header is the list's own
+	TypeHello           Type = 1 // the greeting, first on each side; header Hello
+	TypeRequest         Type = 2 // header Request, payload of a write
+	TypeAnswer          Type = 3 // the one final answer of a stream; header Answer, payload of a read
+	TypeResponseStarted Type = 4 // a streamed answer has begun; no header
+	// the stream's answer is no longer wanted; it still comes; no header or Cancel
+	TypeCancel            Type = 5
+	TypeHealthCheck       Type = 6  // asks whether the other side lives; no header
+	TypeHealthCheckResult Type = 7  // its answer; header Answer
+	TypeDrain             Type = 8  // the sender takes nothing new from now on
+	TypeGoodbye           Type = 9  // the sender closes the connection in order; header Bye
+	TypeWatch             Type = 10 // to the list service: header Ask; News until the connection ends
+	TypeFetch             Type = 11 // to the list service: header Ask; one News or Answer
+	TypeUpdate            Type = 12 // from the list service: header is the list's own
+	TypeAcknowledge       Type = 13 // to the list service: the News of this stream has been taken in
+	TypeRegister          Type = 14 // to the list service, from a node: header is the list's own
 )
 
 func (t Type) String() string {
@@ -55,7 +56,7 @@
 //	10 u16  0
 //	12 u64  stream
 //	20 u32  CRC-32C of bytes 0 to 19, the header and the payload
-const fixed = 24
+const headerSize = 24
 
 // Limits bound what one connection takes from the other side.
 type Limits struct {
@@ -85,12 +86,12 @@
 
 // Errors of frames. Each ends the connection on which it came, and no other.
 var (
-	ErrSum      = errors.New("checksum does not match")
-	ErrHeader   = errors.New("header is over the limit")
-	ErrPayload  = errors.New("payload is over the limit")
-	ErrReserved = errors.New("reserved bytes are not zero")
-	ErrType     = errors.New("frame type is not known")
-	ErrCut      = errors.New("frame is cut short")
+	ErrChecksum  = errors.New("checksum does not match")
+	ErrHeader    = errors.New("header is over the limit")
+	ErrPayload   = errors.New("payload is over the limit")
+	ErrReserved  = errors.New("reserved bytes are not zero")
+	ErrType      = errors.New("frame type is not known")
+	ErrTruncated = errors.New("frame is cut short")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -126,7 +127,7 @@
 // appendFrame adds a frame to b. A nil header is none.
 func appendFrame(b *bytes.Buffer, t Type, stream uint64, header any, payload []byte, lim Limits) error {
 	start := b.Len()
-	var lead [fixed]byte
+	var lead [headerSize]byte
 	b.Write(lead[:])
 	if header != nil {
 		if err := encMode.MarshalToBuffer(header, b); err != nil {
@@ -134,7 +135,7 @@
 			return fmt.Errorf("%v header: %w", t, err)
 		}
 	}
-	size := b.Len() - start - fixed
+	size := b.Len() - start - headerSize
 	if size > lim.Header || len(payload) > lim.Payload {
 		b.Truncate(start)
 		if size > lim.Header {
@@ -148,7 +149,7 @@
 	binary.LittleEndian.PutUint32(out[4:], uint32(len(payload)))
 	out[8] = byte(t)
 	binary.LittleEndian.PutUint64(out[12:], stream)
-	sum := crc32.Update(crc32.Checksum(out[:20], castagnoli), castagnoli, out[fixed:])
+	sum := crc32.Update(crc32.Checksum(out[:20], castagnoli), castagnoli, out[headerSize:])
 	binary.LittleEndian.PutUint32(out[20:], sum)
 	return nil
 }
@@ -157,7 +158,7 @@
 type Reader struct {
 	r      io.Reader
 	lim    Limits
-	lead   [fixed]byte
+	lead   [headerSize]byte
 	header []byte
 }
 
@@ -168,7 +169,7 @@
 func (r *Reader) Next() (Frame, error) {
 	if n, err := io.ReadFull(r.r, r.lead[:]); err != nil {
 		if n > 0 && errors.Is(err, io.ErrUnexpectedEOF) {
-			return Frame{}, fmt.Errorf("%w: %d of %d bytes of its fixed part", ErrCut, n, fixed)
+			return Frame{}, fmt.Errorf("%w: %d of %d bytes of its fixed part", ErrTruncated, n, headerSize)
 		}
 		return Frame{}, err
 	}
@@ -199,7 +200,7 @@
 	}
 	sum := crc32.Update(crc32.Checksum(r.lead[:20], castagnoli), castagnoli, f.Header)
 	if crc32.Update(sum, castagnoli, f.Payload) != binary.LittleEndian.Uint32(r.lead[20:]) {
-		return Frame{}, fmt.Errorf("%v: %w", f.Type, ErrSum)
+		return Frame{}, fmt.Errorf("%v: %w", f.Type, ErrChecksum)
 	}
 	return f, nil
 }
@@ -207,7 +208,7 @@
 func (r *Reader) full(t Type, into []byte) error {
 	n, err := io.ReadFull(r.r, into)
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return fmt.Errorf("%v: %w: %d of %d bytes", t, ErrCut, n, len(into))
+		return fmt.Errorf("%v: %w: %d of %d bytes", t, ErrTruncated, n, len(into))
 	}
 	return err
 }
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -36,8 +36,8 @@
 		q := Request{Token: rapid.Uint64().Draw(t, "token"), Class: rapid.Uint16().Draw(t, "class"),
 			Key: rapid.Uint64().Draw(t, "key"), Units: rapid.Uint32().Draw(t, "units"),
 			Cell: rapid.Int32().Draw(t, "cell"), Write: rapid.Bool().Draw(t, "write"),
-			Wait:   time.Duration(rapid.Int64().Draw(t, "wait")),
-			Ranged: rapid.Bool().Draw(t, "ranged"), Data: rapid.Uint64().Draw(t, "data")}
+			Timeout: time.Duration(rapid.Int64().Draw(t, "wait")),
+			Ranged:  rapid.Bool().Draw(t, "ranged"), Data: rapid.Uint64().Draw(t, "data")}
 		for range rapid.IntRange(0, 3).Draw(t, "members") {
 			q.Members = append(q.Members, Member{Token: rapid.Uint64().Draw(t, "of"),
 				Offset: rapid.Uint32().Draw(t, "at"), Try: rapid.Uint16().Draw(t, "try")})
@@ -66,7 +66,8 @@
 func TestMostMembersFitAHeader(t *testing.T) {
 	const most = 1<<64 - 1
 	q := Request{Token: most, Class: 1<<16 - 1, Plan: 1<<16 - 1, Volume: most, Key: most, Units: 1<<32 - 1,
-		Cell: 1<<31 - 1, Wait: 1<<63 - 1, Try: 1<<16 - 1, Writers: 1<<16 - 1, Write: true, Offset: most,
+		Cell: 1<<31 - 1, Timeout: 1<<63 - 1, Try: 1<<16 - 1, VolumeInstances: 1<<16 - 1, Write: true,
+		Offset: most,
 		Length: 1<<32 - 1, Client: 1<<32 - 1, Ranged: true, Data: most, Piece: 1<<16 - 1}
 	for range extent.MostMembers {
 		q.Members = append(q.Members, Member{Token: most, Volume: most, Key: most, Plan: 1<<16 - 1,
@@ -77,7 +78,7 @@
 	if err := appendFrame(&b, TypeRequest, 1, q, nil, DefaultLimits); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes of %d", b.Len()-fixed, DefaultLimits.Header)
+	t.Logf("%d bytes of %d", b.Len()-headerSize, DefaultLimits.Header)
 }
 
 // A frame that is cut anywhere, changed anywhere or over a limit is one clear error.
@@ -85,7 +86,7 @@
 	good := frameBytes(t, TypeRequest, 7, Request{Token: 1, Units: 2}, []byte("payload"))
 	for n := 1; n < len(good); n++ {
 		_, err := NewReader(bytes.NewReader(good[:n]), DefaultLimits).Next()
-		if !errors.Is(err, ErrCut) {
+		if !errors.Is(err, ErrTruncated) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 	}
@@ -120,7 +121,7 @@
 			if err != nil {
 				return
 			}
-			for _, v := range []any{&Request{}, &Answer{}, &Hello{}, &Bye{}, &Ask{}} {
+			for _, v := range []any{&Request{}, &Answer{}, &Hello{}, &Goodbye{}, &ListVersion{}} {
 				_ = fr.Decode(v) // must not panic
 			}
 		}
@@ -160,7 +161,7 @@
 		held = append(held, f.Stream)
 		if len(held) == n {
 			for i := len(held) - 1; i >= 0; i-- { // the last first
-				if err := c.Post(TypeAnswer, held[i], Answer{Code: OK},
+				if err := c.Send(TypeAnswer, held[i], Answer{Code: OK},
 					[]byte(fmt.Sprint(held[i]))); err != nil {
 					return err
 				}
@@ -169,18 +170,18 @@
 		return nil
 	})
 	for i := range n {
-		if err := errors.Join(client.Open(uint64(i)), client.Post(TypeRequest, uint64(i), Request{},
+		if err := errors.Join(client.OpenStream(uint64(i)), client.Send(TypeRequest, uint64(i), Request{},
 			nil)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	got := 0
 	err := client.Run(context.Background(), func(f Frame) error {
-		if string(f.Payload) != fmt.Sprint(f.Stream) || !client.Done(f.Stream) {
+		if string(f.Payload) != fmt.Sprint(f.Stream) || !client.CloseStream(f.Stream) {
 			return fmt.Errorf("stream %d got %q", f.Stream, f.Payload)
 		}
 		if got++; got == n {
-			client.Bye("done")
+			client.CloseGracefully("done")
 		}
 		return nil
 	})
@@ -201,7 +202,7 @@
 	wg.Go(func() {
 		_ = Serve(ctx, ln, Config{Handshake: 300 * time.Millisecond}, 8, func(ctx context.Context, c *Conn) {
 			ended <- c.Run(ctx, func(f Frame) error {
-				return c.Post(TypeAnswer, f.Stream, Answer{Code: OK},
+				return c.Send(TypeAnswer, f.Stream, Answer{Code: OK},
 					nil)
 			})
 		})
@@ -219,7 +220,7 @@
 		want error
 	}{
 		{"garbage", []byte(strings.Repeat("garbage ", 10)), ErrType},
-		{"cut", frameBytes(t, TypeRequest, 1, Request{}, []byte("abc"))[:30], ErrCut},
+		{"cut", frameBytes(t, TypeRequest, 1, Request{}, []byte("abc"))[:30], ErrTruncated},
 	} {
 		bad, err := Dial(ctx, ln.Addr().String(), Config{})
 		if err != nil {
@@ -238,7 +239,7 @@
 	}
 	defer nc.Close()
 	answered := errors.New("answered")
-	if err := good.Post(TypeRequest, 1, Request{}, nil); err != nil {
+	if err := good.Send(TypeRequest, 1, Request{}, nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := good.Run(ctx, func(f Frame) error { return answered }); !errors.Is(err, answered) {
@@ -251,12 +252,12 @@
 	client, _ := pair(t, cfg, func(*Conn, Frame) error { return nil }) // never answers
 	go func() {
 		time.Sleep(1500 * time.Millisecond) // idle for longer than Silence
-		client.Open(1)
-		client.Post(TypeRequest, 1, Request{}, nil)
+		client.OpenStream(1)
+		client.Send(TypeRequest, 1, Request{}, nil)
 	}()
 	start := time.Now()
 	err := client.Run(context.Background(), func(Frame) error { return nil })
-	if !errors.Is(err, ErrStuck) {
+	if !errors.Is(err, ErrSilent) {
 		t.Fatalf("ended by %v", err)
 	}
 	if took := time.Since(start); took < 2500*time.Millisecond {
@@ -282,7 +283,7 @@
 	go client.Run(context.Background(), func(Frame) error { return nil })
 	var err error
 	for i := 0; i < 1000 && err == nil; i++ {
-		err = client.Post(TypeRequest, uint64(i), Request{}, make([]byte, 1<<20))
+		err = client.Send(TypeRequest, uint64(i), Request{}, make([]byte, 1<<20))
 	}
 	if !errors.Is(err, ErrBacklog) {
 		t.Errorf("got %v", err)
@@ -292,11 +293,12 @@
 func TestStreamsAreBounded(t *testing.T) {
 	client, _ := pair(t, Config{Limits: Limits{Header: 4096, Payload: 1, Streams: 2, Backlog: 1 << 20}},
 		func(*Conn, Frame) error { return nil })
-	err := errors.Join(client.Open(1), client.Open(2))
-	if err != nil || !errors.Is(client.Open(2), ErrStream) || !errors.Is(client.Open(3), ErrStreams) {
-		t.Errorf("%v, then %v and %v", err, client.Open(2), client.Open(3))
+	err := errors.Join(client.OpenStream(1), client.OpenStream(2))
+	if err != nil || !errors.Is(client.OpenStream(2), ErrStream) ||
+		!errors.Is(client.OpenStream(3), ErrStreams) {
+		t.Errorf("%v, then %v and %v", err, client.OpenStream(2), client.OpenStream(3))
 	}
-	if client.Done(1); client.Open(3) != nil {
+	if client.CloseStream(1); client.OpenStream(3) != nil {
 		t.Error("a stream that ended still counts")
 	}
 }
@@ -305,7 +307,7 @@
 	for _, size := range []int{0, 64 << 10} {
 		b.Run(fmt.Sprintf("payload=%d", size), func(b *testing.B) {
 			payload := make([]byte, size)
-			q := Request{Token: 1 << 40, Volume: 1 << 33, Key: 1 << 50, Units: 4, Wait: time.Second}
+			q := Request{Token: 1 << 40, Volume: 1 << 33, Key: 1 << 50, Units: 4, Timeout: time.Second}
 			var buf bytes.Buffer
 			r := NewReader(&buf, DefaultLimits)
 			b.SetBytes(int64(size))
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -132,7 +132,7 @@
 		select {
 		case <-ctx.Done():
 			if l != nil {
-				l.conn.Bye("stopping")
+				l.conn.CloseGracefully("stopping")
 				<-ended
 			}
 			return nil
@@ -172,7 +172,7 @@
 }
 
 func (l *link) call(cmd command, held func() (uint64, uint64)) error {
-	var ask proto.Ask
+	var ask proto.ListVersion
 	if cmd != fetchFull && held != nil {
 		ask.Epoch, ask.Version = held()
 	}
@@ -180,29 +180,29 @@
 	switch cmd {
 	case watchOn:
 		l.watching = true
-		return l.conn.Post(proto.TypeWatch, streamWatch, ask, nil)
+		return l.conn.Send(proto.TypeWatch, streamWatch, ask, nil)
 	case watchOff:
 		if l.watching {
 			l.watching = false
-			return l.conn.Post(proto.TypeCancel, streamWatch, nil, nil)
+			return l.conn.Send(proto.TypeCancel, streamWatch, nil, nil)
 		}
 		return nil
 	}
 	l.next++
-	return l.conn.Post(proto.TypeFetch, l.next, ask, nil)
+	return l.conn.Send(proto.TypeFetch, l.next, ask, nil)
 }
 
 // frame takes in what the service says. News is acknowledged once it has been handed on, so that the
 // service's own record tells when this instance knew.
 func (c *Client) frame(conn *proto.Conn, f proto.Frame) error {
 	switch f.Type {
-	case proto.TypeNews:
+	case proto.TypeUpdate:
 		n, err := DecodeUpdate(f)
 		if err != nil {
 			return err
 		}
 		c.cfg.OnUpdate(n)
-		return conn.Post(proto.TypeHeard, n.Version, nil, nil)
+		return conn.Send(proto.TypeAcknowledge, n.Version, nil, nil)
 	case proto.TypeAnswer:
 		var a proto.Answer
 		if err := f.Decode(&a); err != nil {
--- a/internal/registry/nodelist_test.go
+++ b/internal/registry/nodelist_test.go
@@ -247,7 +247,7 @@
 func FuzzNews(f *testing.F) {
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n, err := DecodeUpdate(proto.Frame{Type: proto.TypeNews, Header: data})
+		n, err := DecodeUpdate(proto.Frame{Type: proto.TypeUpdate, Header: data})
 		if err == nil && len(n.Endpoints) > MaxEndpoints {
 			t.Fatal("more entries than the bound")
 		}
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -118,7 +118,7 @@
 }
 
 func (s *Server) session(ctx context.Context, c *proto.Conn) {
-	w := &session{conn: c, instance: c.Their().Number, unacknowledged: map[uint64][]endpoints.Endpoint{}}
+	w := &session{conn: c, instance: c.PeerHello().Number, unacknowledged: map[uint64][]endpoints.Endpoint{}}
 	var node *endpoints.Endpoint
 	_ = c.Run(ctx, func(f proto.Frame) error { // why a peer left is its own matter
 		switch f.Type {
@@ -134,7 +134,7 @@
 			s.Put(*node)
 			return nil
 		case proto.TypeWatch, proto.TypeFetch:
-			var ask proto.Ask
+			var ask proto.ListVersion
 			if err := f.Decode(&ask); err != nil {
 				return err
 			}
@@ -145,7 +145,7 @@
 			delete(s.watchers, w)
 			s.mu.Unlock()
 			return nil
-		case proto.TypeHeard:
+		case proto.TypeAcknowledge:
 			s.acknowledge(w, f.Stream)
 			return nil
 		}
@@ -209,7 +209,7 @@
 }
 
 // call serves a watch or fetch when a worker is free.
-func (s *Server) call(w *session, t proto.Type, stream uint64, ask proto.Ask) {
+func (s *Server) call(w *session, t proto.Type, stream uint64, ask proto.ListVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -219,7 +219,7 @@
 		start = first
 	}
 	fail := func(reason string) {
-		_ = w.conn.Post(proto.TypeAnswer, stream, proto.Answer{Code: proto.Error, Reason: reason}, nil)
+		_ = w.conn.Send(proto.TypeAnswer, stream, proto.Answer{Code: proto.Error, Reason: reason}, nil)
 	}
 	switch wait := start.Sub(now); {
 	case s.down:
@@ -238,7 +238,7 @@
 }
 
 // since is what has changed since the list that an instance holds, or the whole list where that is unknown.
-func (s *Server) since(ask proto.Ask) endpoints.Update {
+func (s *Server) since(ask proto.ListVersion) endpoints.Update {
 	n := endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: ask.Version,
 		Full: ask.Epoch != s.cfg.Epoch || ask.Version == 0 || ask.Version > s.version}
 	for _, e := range s.listed {
@@ -253,7 +253,7 @@
 func (s *Server) tell(w *session, n endpoints.Update, stream uint64) {
 	m := Message{Epoch: n.Epoch, Version: n.Version, BaseVersion: n.BaseVersion, Full: n.Full,
 		Endpoints: recordsOf(n.Endpoints)}
-	if w.conn.Post(proto.TypeNews, stream, m, nil) != nil {
+	if w.conn.Send(proto.TypeUpdate, stream, m, nil) != nil {
 		return
 	}
 	told := n.Endpoints
@@ -297,7 +297,7 @@
 			_ = conn.Run(ctx, func(f proto.Frame) error { return fmt.Errorf("unasked frame %v", f.Type) })
 		}()
 		put := func(e endpoints.Endpoint) {
-			_ = conn.Post(proto.TypeRegister, 0, Message{Endpoints: recordsOf([]endpoints.Endpoint{e})}, nil)
+			_ = conn.Send(proto.TypeRegister, 0, Message{Endpoints: recordsOf([]endpoints.Endpoint{e})}, nil)
 		}
 		if last != nil {
 			put(*last)
