--- a/extent/extent.go
+++ b/extent/extent.go
@@ -31,8 +31,8 @@
 	switch {
 	case s.Extent == 0 || s.Largest == 0 || s.Largest > s.Extent:
 		return fmt.Errorf("an operation's %d bytes must be 1 to the extent's %d", s.Largest, s.Extent)
-	case s.Members < 1 || s.Members > MostMembers:
-		return fmt.Errorf("an operation has 1 to %d members, not %d", MostMembers, s.Members)
+	case s.Members < 1 || s.Members > MaxMembers:
+		return fmt.Errorf("an operation has 1 to %d members, not %d", MaxMembers, s.Members)
 	case s.Pieces < 1 || s.Cells < 1:
 		return fmt.Errorf("%d pieces of a request, %d cells; want 1 or more", s.Pieces, s.Cells)
 	}
@@ -40,7 +40,7 @@
 }
 
 // MostMembers is the most that one operation's frame tells of.
-const MostMembers = 64
+const MaxMembers = 64
 
 // Cell is where an extent lies: a volume's extents are dealt out over the cells in turn, each volume's from a
 // cell of its own on, so that the first extents of all volumes do not meet on one node.
@@ -63,15 +63,15 @@
 
 // Request is what a client asks.
 type Request struct {
-	ID       uint64
-	Data     uint64 // the volume whose bytes are meant; plan and limit are charged to the asker's own
-	Range    Range
-	Write    bool
-	Class    int
-	Plan     int
-	Units    int
-	At       time.Duration // when it was taken
-	Harmless bool          // to run again, even if a piece of it has run
+	ID         uint64
+	DataVolume uint64 // the volume whose bytes are meant; plan and limit are charged to the asker's own
+	Range      Range
+	Write      bool
+	Class      int
+	Plan       int
+	Units      int
+	ReceivedAt time.Duration // when it was taken
+	RetrySafe  bool          // to run again, even if a piece of it has run
 }
 
 // Errors of requests.
@@ -110,7 +110,7 @@
 		}
 		extent := at / s.Extent
 		length := min(q.Range.End()-at, s.Largest, s.Extent-at%s.Extent)
-		out = append(out, Piece{Nth: len(out), Extent: extent, Cell: s.Cell(q.Data, extent),
+		out = append(out, Piece{Nth: len(out), Extent: extent, Cell: s.Cell(q.DataVolume, extent),
 			Range: Range{at, length}})
 		at += length
 	}
--- a/extent/joint_test.go
+++ b/extent/joint_test.go
@@ -69,13 +69,13 @@
 func (j *joint) take(class int) {
 	j.seq++
 	a := &ask{id: j.seq, expires: j.now + time.Duration(rapid.IntRange(40, 900).Draw(j.t, "wait"))*ms}
-	q := extent.Request{ID: a.id, Data: 1, Class: class, Write: class == 1, Units: 1, At: j.now,
-		Harmless: class == 0, Range: extent.Range{Offset: 8 * rapid.Uint64Range(0, 14).Draw(j.t, "offset"),
+	q := extent.Request{ID: a.id, DataVolume: 1, Class: class, Write: class == 1, Units: 1, ReceivedAt: j.now,
+		RetrySafe: class == 0, Range: extent.Range{Offset: 8 * rapid.Uint64Range(0, 14).Draw(j.t, "offset"),
 			Length: 8 * rapid.Uint64Range(1, 5).Draw(j.t, "length")}}
 	if class == 1 {
 		a.key = rapid.Uint64Range(1, 2).Draw(j.t, "key")
 	}
-	cut, err := j.plan.Take(q, func() uint32 { j.id++; return j.id })
+	cut, err := j.plan.Add(q, func() uint32 { j.id++; return j.id })
 	if err != nil {
 		j.t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 		switch x := act.(type) {
 		case scheduler.Send:
 			p := j.pieces[x.ID]
-			j.plan.Sent(x.ID)
+			j.plan.AttemptSent(x.ID)
 			p.sends++
 			p.at, p.sent = x.Server, j.now
 			if x.Leader == 0 {
@@ -109,7 +109,7 @@
 			last.parts = append(last.parts, p)
 			p.op = last
 		case scheduler.Reject:
-			j.over(x.ID, extent.Refused)
+			j.over(x.ID, extent.Rejected)
 		case scheduler.Fail:
 			j.over(x.ID, extent.Failed)
 		case scheduler.SetTimer:
@@ -126,7 +126,7 @@
 	for i, p := range o.parts {
 		ids[i] = p.id
 	}
-	j.plan.Left(ids)
+	j.plan.SealOperation(ids)
 	if len(ids) > 1 {
 		j.merged++
 	}
@@ -159,13 +159,13 @@
 }
 
 // over takes in a piece's final word and checks that its request has one answer, in time.
-func (j *joint) over(id uint32, v extent.Verdict) {
+func (j *joint) over(id uint32, v extent.Outcome) {
 	p := j.pieces[id]
 	if p.done {
 		return
 	}
 	p.done = true
-	answer, withdraw := j.plan.Over(id, v, nil)
+	answer, withdraw := j.plan.Resolve(id, v, nil)
 	if answer != nil {
 		if p.ask.answered || j.now > p.ask.expires+longestStep {
 			j.t.Fatalf("request %d answered twice, or %v late", p.ask.id, j.now-p.ask.expires)
@@ -181,7 +181,7 @@
 // outcome ends one member's attempt.
 func (j *joint) outcome(p *part, code scheduler.ResultCode) {
 	p.op = nil
-	j.plan.Ended(p.id, code != scheduler.Overloaded)
+	j.plan.AttemptEnded(p.id, code != scheduler.Overloaded)
 	if code == scheduler.OK {
 		j.over(p.id, extent.Served)
 	}
--- a/extent/planner.go
+++ b/extent/planner.go
@@ -71,7 +71,7 @@
 	if x.Write {
 		plans = cmp.Compare(x.Plan, y.Plan)
 	}
-	return cmp.Or(cmp.Compare(x.Data, y.Data), cmp.Compare(a.Extent, b.Extent),
+	return cmp.Or(cmp.Compare(x.DataVolume, y.DataVolume), cmp.Compare(a.Extent, b.Extent),
 		cmp.Compare(number(x.Write), number(y.Write)), cmp.Compare(x.Class, y.Class), plans)
 }
 
@@ -88,7 +88,7 @@
 
 // Take cuts a request into the pieces that the scheduler's module is to see, in the order of their offsets;
 // next hands out their IDs. An error is the request's answer: it is refused, and nothing of it is known.
-func (p *Planner) Take(q Request, next func() uint32) ([]Piece, error) {
+func (p *Planner) Add(q Request, next func() uint32) ([]Piece, error) {
 	if p.wholes[q.ID] != nil {
 		return nil, fmt.Errorf("request %d is known already", q.ID)
 	}
@@ -178,7 +178,7 @@
 
 // apart tells whether two pieces were taken too far apart to share an operation.
 func (p *Planner) apart(a, b *piece) bool {
-	d := a.whole.At - b.whole.At
+	d := a.whole.ReceivedAt - b.whole.ReceivedAt
 	return p.set.Window > 0 && max(d, -d) > p.set.Window
 }
 
@@ -190,7 +190,7 @@
 }
 
 // Sent notes that an attempt of a piece leaves.
-func (p *Planner) Sent(id uint32) {
+func (p *Planner) AttemptSent(id uint32) {
 	if x := p.pieces[id]; x != nil {
 		p.unhold(x)
 		x.out++
@@ -199,7 +199,7 @@
 
 // Left notes that the attempts sent just now for these pieces, the lead first, leave as one operation, and
 // returns it.
-func (p *Planner) Left(ids []uint32) Operation {
+func (p *Planner) SealOperation(ids []uint32) Operation {
 	p.Stats.Operations++
 	if len(ids) > 1 {
 		p.Stats.Merged++
@@ -217,7 +217,7 @@
 			op.Range = x.Range
 		}
 		op.Range = op.Range.with(x.Range)
-		op.Data, op.Extent, op.Write = x.whole.Data, x.Extent, x.whole.Write
+		op.DataVolume, op.Extent, op.Write = x.whole.DataVolume, x.Extent, x.whole.Write
 		size = size.with(x.Piece, op.Range)
 		op.Members = append(op.Members, x.Piece)
 	}
@@ -226,7 +226,7 @@
 }
 
 // Ended notes how an attempt of a piece ended; ran: it may have run.
-func (p *Planner) Ended(id uint32, ran bool) {
+func (p *Planner) AttemptEnded(id uint32, ran bool) {
 	x := p.pieces[id]
 	if x == nil {
 		return
@@ -236,30 +236,30 @@
 }
 
 // Verdict is how a piece, or a request, ended.
-type Verdict uint8
+type Outcome uint8
 
 // The verdicts.
 const (
-	Served  Verdict = iota
-	Refused         // trying again does no harm
-	Failed          // promises nothing
+	Served   Outcome = iota
+	Rejected         // trying again does no harm
+	Failed           // promises nothing
 )
 
 // Answer is a request's one final answer.
 type Answer struct {
 	Request uint64
-	Verdict Verdict
+	Outcome Outcome
 	Data    [][]byte // of a read that was served, by offset
 	// Of a request that was not served: how many of its pieces are done, may yet run or may have run, and
 	// were never sent.
-	Done, Unsure, Unsent int
+	Done, Uncertain, Unsent int
 }
 
 // Over takes in a piece's final word: what the module says of it, and the bytes of a read that was served.
 // It returns the request's answer, where this is what decides it, and the pieces of it that are held and
 // now want no sending: the module is told that they have left. The first piece that is not served ends its
 // request. A refusal stays one only where no piece may have run, or running again does no harm.
-func (p *Planner) Over(id uint32, v Verdict, data []byte) (answer *Answer, withdraw []uint32) {
+func (p *Planner) Resolve(id uint32, v Outcome, data []byte) (answer *Answer, withdraw []uint32) {
 	x := p.pieces[id]
 	if x == nil || x.done {
 		return nil, nil
@@ -285,22 +285,22 @@
 		return nil, nil
 	}
 	answer, withdraw = p.end(w)
-	answer.Verdict = v
-	if v == Refused && !w.Harmless && answer.Done+answer.Unsure > 0 {
-		answer.Verdict = Failed
+	answer.Outcome = v
+	if v == Rejected && !w.RetrySafe && answer.Done+answer.Uncertain > 0 {
+		answer.Outcome = Failed
 	}
 	return answer, withdraw
 }
 
 // Drop ends a request that wants no answer any more, or whose time is up. What is out goes on: others may
 // share it. It returns the pieces that are not over, and what is known of all; nil if it was over.
-func (p *Planner) Drop(request uint64) (*Answer, []uint32) {
+func (p *Planner) Abandon(request uint64) (*Answer, []uint32) {
 	w := p.wholes[request]
 	if w == nil || w.over {
 		return nil, nil
 	}
 	a, withdraw := p.end(w)
-	a.Verdict = Failed
+	a.Outcome = Failed
 	return a, withdraw
 }
 
@@ -314,7 +314,7 @@
 		case y.served:
 			a.Done++
 		case y.ran || y.out > 0:
-			a.Unsure++
+			a.Uncertain++
 		default:
 			a.Unsent++
 		}
@@ -352,12 +352,12 @@
 
 // Operation is what is done at a node at once: one piece, or several that were held at the same time.
 type Operation struct {
-	Data    uint64
-	Extent  uint64
-	Write   bool
-	Range   Range // the bytes that all members need
-	Units   int
-	Members []Piece // the lead first
+	DataVolume uint64
+	Extent     uint64
+	Write      bool
+	Range      Range // the bytes that all members need
+	Units      int
+	Members    []Piece // the lead first
 }
 
 // touches tells whether one more range can be part of the operation without a gap; a write may not overlap.
@@ -383,7 +383,7 @@
 // byte on, that the node could not serve: only members that need one of them fail. A node carries out writes
 // in the order of the members and ends at the first that fails, so those after it fail too: one of the same
 // key must not be done before it. A read whose bytes are not all there fails as a whole.
-func (o *Operation) Deal(bad []Range, data []byte) []Part {
+func (o *Operation) Distribute(bad []Range, data []byte) []Part {
 	parts := make([]Part, len(o.Members))
 	whole := o.Write || uint64(len(data)) == o.Range.Length
 	for i, m := range o.Members {
--- a/extent/planner_test.go
+++ b/extent/planner_test.go
@@ -49,14 +49,14 @@
 
 func (m *machine) take(*rapid.T) {
 	offset := 4 * rapid.Uint64Range(0, diskSize/4-1).Draw(m.t, "offset") // so that many touch
-	q := Request{ID: uint64(len(m.asked) + 1), Data: 1 + rapid.Uint64Range(0, 9).Draw(m.t, "data")/9,
+	q := Request{ID: uint64(len(m.asked) + 1), DataVolume: 1 + rapid.Uint64Range(0, 9).Draw(m.t, "data")/9,
 		Range: Range{offset, min(diskSize-offset, 4*rapid.Uint64Range(1, 15).Draw(m.t, "length"))},
 		Write: rapid.Bool().Draw(m.t, "write"), Class: rapid.IntRange(0, 9).Draw(m.t, "class") / 9,
 		Plan: rapid.IntRange(0, 9).Draw(m.t, "plan") / 9, Units: rapid.IntRange(1, 9).Draw(m.t, "units"),
-		At: m.now, Harmless: rapid.Bool().Draw(m.t, "harmless")}
+		ReceivedAt: m.now, RetrySafe: rapid.Bool().Draw(m.t, "harmless")}
 	a := &plain{Request: q, pieces: map[uint32]Piece{}, held: map[uint32]bool{}, ran: map[uint32]bool{}}
 	m.asked[q.ID] = a
-	cut, err := m.p.Take(q, func() uint32 { m.id++; return m.id })
+	cut, err := m.p.Add(q, func() uint32 { m.id++; return m.id })
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 		return true
 	})
 	for _, id := range ids {
-		m.p.Sent(id)
+		m.p.AttemptSent(id)
 		m.of[id].held[id] = false
 	}
 	if op := m.leave(ids); len(ids) > 1 && float64(op.Units) != last {
@@ -108,7 +108,7 @@
 
 // leave checks an operation as it leaves and lets the disk carry it out.
 func (m *machine) leave(ids []uint32) Operation {
-	op := m.p.Left(ids)
+	op := m.p.SealOperation(ids)
 	if op.Range.Length > m.set.Largest || len(ids) > m.set.Members || len(op.Members) != len(ids) ||
 		op.Range.Offset/m.set.Extent != op.Extent || (op.Range.End()-1)/m.set.Extent != op.Extent {
 		m.t.Fatalf("operation out of bounds: %+v", op)
@@ -118,11 +118,11 @@
 	for _, x := range op.Members {
 		a := m.of[x.ID]
 		first := m.of[ids[0]]
-		if a.Data != op.Data || a.Write != op.Write || a.Class != first.Class ||
+		if a.DataVolume != op.DataVolume || a.Write != op.Write || a.Class != first.Class ||
 			a.Write && a.Plan != first.Plan {
 			m.t.Fatalf("members of two kinds: %+v", op)
 		}
-		if d := a.At - first.At; m.set.Window > 0 && max(d, -d) > m.set.Window {
+		if d := a.ReceivedAt - first.ReceivedAt; m.set.Window > 0 && max(d, -d) > m.set.Window {
 			m.t.Fatal("members taken too far apart")
 		}
 		at := op.Slice(x)
@@ -165,9 +165,9 @@
 		}
 		var data []byte
 		if !op.Write {
-			data = slices.Clone(m.fill(op.Data)[op.Range.Offset:op.Range.End()])
+			data = slices.Clone(m.fill(op.DataVolume)[op.Range.Offset:op.Range.End()])
 		}
-		parts = op.Deal(bad, data)
+		parts = op.Distribute(bad, data)
 		failed := false // of writes, those after the first that fails
 		for n, x := range op.Members {
 			at := op.Slice(x)
@@ -177,13 +177,13 @@
 				t.Fatalf("bad byte %v: member %+v got %v", bad, at, parts[n].OK)
 			}
 			if a := m.of[x.ID]; op.Write && parts[n].OK {
-				copy(m.fill(op.Data)[x.Range.Offset:x.Range.End()], a.write)
+				copy(m.fill(op.DataVolume)[x.Range.Offset:x.Range.End()], a.write)
 			}
 		}
 	}
 	for n, id := range ids {
 		ran := how <= 2
-		m.p.Ended(id, ran)
+		m.p.AttemptEnded(id, ran)
 		a := m.of[id]
 		if ran {
 			a.ran[id] = true
@@ -192,12 +192,12 @@
 		case parts != nil && parts[n].OK:
 			m.over(id, Served, parts[n].Data)
 		case rapid.Bool().Draw(m.t, "again") && !a.ended:
-			m.p.Sent(id) // repeated alone
+			m.p.AttemptSent(id) // repeated alone
 			m.leave([]uint32{id})
-		case a.ran[id] && !a.Harmless:
+		case a.ran[id] && !a.RetrySafe:
 			m.over(id, Failed, nil)
 		default:
-			m.over(id, Refused, nil)
+			m.over(id, Rejected, nil)
 		}
 	}
 	m.forget()
@@ -208,7 +208,7 @@
 	for id := uint32(1); id <= m.id; id++ {
 		if a := m.of[id]; a != nil && a.held[id] && !a.ended {
 			a.held[id] = false
-			m.over(id, Refused, nil)
+			m.over(id, Rejected, nil)
 			m.forget()
 			return
 		}
@@ -221,7 +221,7 @@
 		return
 	}
 	id := rapid.Uint64Range(1, uint64(len(m.asked))).Draw(m.t, "client")
-	a, withdrawn := m.p.Drop(id)
+	a, withdrawn := m.p.Abandon(id)
 	if (a == nil) != m.asked[id].ended {
 		t.Fatalf("request %d: dropped %v, ended %v", id, a, m.asked[id].ended)
 	}
@@ -240,9 +240,9 @@
 }
 
 // over hands in a piece's end and checks the answer against the plain model.
-func (m *machine) over(id uint32, v Verdict, data []byte) {
+func (m *machine) over(id uint32, v Outcome, data []byte) {
 	a := m.of[id]
-	got, withdrawn := m.p.Over(id, v, data)
+	got, withdrawn := m.p.Resolve(id, v, data)
 	m.withdraw(a, withdrawn)
 	if got == nil {
 		if v != Served && !a.ended {
@@ -258,9 +258,9 @@
 	for p := range a.pieces {
 		ran = ran || slices.ContainsFunc(m.out, func(op []uint32) bool { return slices.Contains(op, p) })
 	}
-	switch got.Verdict {
+	switch got.Outcome {
 	case Served:
-		if v != Served || got.Done+got.Unsure+got.Unsent != 0 {
+		if v != Served || got.Done+got.Uncertain+got.Unsent != 0 {
 			m.t.Fatalf("served after %v: %+v", v, got)
 		}
 		if have := bytes.Join(got.Data, nil); !a.Write && uint64(len(have)) != a.Range.Length {
@@ -268,23 +268,28 @@
 		}
 		for i, b := range bytes.Join(got.Data, nil) {
 			at := a.Range.Offset + uint64(i)
-			if old := byte(at*7 + a.Data); b != old && !m.written(a.Data, at, b) {
+			if old := byte(at*7 + a.DataVolume); b != old && !m.written(a.DataVolume, at, b) {
 				m.t.Fatalf("request %d: byte %d is %d, which was never there", a.ID, at, b)
 			}
 		}
-	case Refused:
-		if ran && !a.Harmless {
+	case Rejected:
+		if ran && !a.RetrySafe {
 			m.t.Fatalf("request %d is refused though a piece may have run", a.ID)
 		}
 	}
-	if got.Verdict != Served && got.Done+got.Unsure+got.Unsent != len(a.pieces) {
-		m.t.Fatalf("%+v counts %d pieces, there are %d", got, got.Done+got.Unsure+got.Unsent, len(a.pieces))
+	if got.Outcome != Served && got.Done+got.Uncertain+got.Unsent != len(a.pieces) {
+		m.t.Fatalf(
+			"%+v counts %d pieces, there are %d",
+			got,
+			got.Done+got.Uncertain+got.Unsent,
+			len(a.pieces),
+		)
 	}
 }
 
 func (m *machine) written(volume, at uint64, b byte) bool {
 	w := m.asked[uint64(b)]
-	return w != nil && w.Write && w.Data == volume && at >= w.Range.Offset && at < w.Range.End()
+	return w != nil && w.Write && w.DataVolume == volume && at >= w.Range.Offset && at < w.Range.End()
 }
 
 // forget lets the planner forget what is over, as the driver does.
@@ -341,7 +346,7 @@
 			m.now++
 		}
 		for id := range m.asked {
-			m.p.Drop(id)
+			m.p.Abandon(id)
 			m.asked[id].ended = true
 		}
 		m.out = nil
@@ -359,7 +364,7 @@
 	p, id := New(s), uint32(0)
 	for i, r := range ranges {
 		q := Request{ID: uint64(i + 1), Range: r, Units: 1, Write: write}
-		if _, err := p.Take(q, func() uint32 { id++; return id }); err != nil {
+		if _, err := p.Add(q, func() uint32 { id++; return id }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -376,7 +381,7 @@
 	return ids, units
 }
 
-var wide = Settings{Extent: 1000, Largest: 1000, Members: MostMembers, Pieces: 8, Cells: 2}
+var wide = Settings{Extent: 1000, Largest: 1000, Members: MaxMembers, Pieces: 8, Cells: 2}
 
 func TestWhatLeavesTogether(t *testing.T) {
 	for _, c := range []struct {
@@ -407,8 +412,8 @@
 	s.Window = 5
 	p, id := New(s), uint32(0)
 	for i, at := range []time.Duration{0, 4, 5, 6, 11} {
-		q := Request{ID: uint64(i + 1), Range: Range{uint64(i) * 10, 10}, Units: 1, At: at}
-		if _, err := p.Take(q, func() uint32 { id++; return id }); err != nil {
+		q := Request{ID: uint64(i + 1), Range: Range{uint64(i) * 10, 10}, Units: 1, ReceivedAt: at}
+		if _, err := p.Add(q, func() uint32 { id++; return id }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -420,7 +425,7 @@
 // A thousand members that want the same 4 KiB become as few operations as the bound on members allows, each
 // of the work of one.
 func TestAThousandOfTheSame(t *testing.T) {
-	s := Settings{Extent: 4096, Largest: 4096, Members: MostMembers, Pieces: 1, Cells: 1}
+	s := Settings{Extent: 4096, Largest: 4096, Members: MaxMembers, Pieces: 1, Cells: 1}
 	p := fresh(t, s, false, slices.Repeat([]Range{{0, 4096}}, 1000)...)
 	ops := 0
 	for id := uint32(1); id <= 1000; id++ {
@@ -429,8 +434,8 @@
 		}
 		ids, units := beside(p, id)
 		ops++
-		op := p.Left(append([]uint32{id}, ids...))
-		if len(op.Members) > MostMembers || units > 1 || op.Units != 1 || op.Range != (Range{0, 4096}) {
+		op := p.SealOperation(append([]uint32{id}, ids...))
+		if len(op.Members) > MaxMembers || units > 1 || op.Units != 1 || op.Range != (Range{0, 4096}) {
 			t.Fatalf("%d members, %v and %d units, %+v", len(op.Members), units, op.Units, op.Range)
 		}
 	}
@@ -442,16 +447,17 @@
 // A split write whose second piece is refused while its first has run is failed, and what is known is told;
 // had nothing run, it would be a refusal.
 func TestASplitWritesRefusal(t *testing.T) {
-	for ran, want := range map[bool]Answer{true: {Request: 1, Verdict: Failed, Done: 1, Unsure: 1, Unsent: 2},
-		false: {Request: 1, Verdict: Refused, Unsent: 4}} {
+	for ran, want := range map[bool]Answer{true: {Request: 1, Outcome: Failed, Done: 1, Uncertain: 1,
+		Unsent: 2},
+		false: {Request: 1, Outcome: Rejected, Unsent: 4}} {
 		p := fresh(t, wide, true, Range{500, 3000})
 		if ran {
-			p.Sent(1)
-			p.Ended(1, true)
-			p.Over(1, Served, nil)
-			p.Sent(4)
+			p.AttemptSent(1)
+			p.AttemptEnded(1, true)
+			p.Resolve(1, Served, nil)
+			p.AttemptSent(4)
 		}
-		got, withdrawn := p.Over(2, Refused, nil)
+		got, withdrawn := p.Resolve(2, Rejected, nil)
 		if fmt.Sprint(*got) != fmt.Sprint(want) {
 			t.Errorf("ran %v: %+v, want %+v", ran, *got, want)
 		}
@@ -464,7 +470,7 @@
 func TestDealIsLocal(t *testing.T) {
 	p := fresh(t, wide, false, Range{0, 10}, Range{10, 10}, Range{5, 10})
 	ids, _ := beside(p, 1)
-	op := p.Left(append([]uint32{1}, ids...))
+	op := p.SealOperation(append([]uint32{1}, ids...))
 	data := []byte("abcdefghijklmnopqrst")
 	for _, c := range []struct {
 		bad  []Range
@@ -477,7 +483,7 @@
 		{nil, nil, "- - -"},
 	} {
 		got := ""
-		for i, part := range op.Deal(c.bad, c.data) {
+		for i, part := range op.Distribute(c.bad, c.data) {
 			if i > 0 {
 				got += " "
 			}
@@ -497,8 +503,8 @@
 func TestAFailedWriteFailsThoseAfterIt(t *testing.T) {
 	p := fresh(t, wide, true, Range{0, 10}, Range{10, 10}, Range{20, 10})
 	ids, _ := beside(p, 1)
-	op := p.Left(append([]uint32{1}, ids...))
-	if got := fmt.Sprint(op.Deal([]Range{{12, 1}}, nil)); got != "[{true []} {false []} {false []}]" {
+	op := p.SealOperation(append([]uint32{1}, ids...))
+	if got := fmt.Sprint(op.Distribute([]Range{{12, 1}}, nil)); got != "[{true []} {false []} {false []}]" {
 		t.Errorf("got %s", got)
 	}
 }
@@ -518,7 +524,8 @@
 				take := func() {
 					seq++
 					at := Range{seq % 1_000_000 * stride, 4096}
-					if _, err := p.Take(Request{ID: seq, Data: 1, Range: at, Units: 1}, next); err != nil {
+					if _, err := p.Add(Request{ID: seq, DataVolume: 1, Range: at, Units: 1},
+						next); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -536,12 +543,12 @@
 					ids := []uint32{lead}
 					p.Propose(lead, func(id uint32, _ float64) bool { ids = append(ids, id); return true })
 					for _, id := range ids {
-						p.Sent(id)
+						p.AttemptSent(id)
 					}
-					op := p.Left(ids)
+					op := p.SealOperation(ids)
 					for _, x := range op.Members {
-						p.Ended(x.ID, true)
-						p.Over(x.ID, Served, nil)
+						p.AttemptEnded(x.ID, true)
+						p.Resolve(x.ID, Served, nil)
 						p.Forget(x.ID)
 						take()
 						done++
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -308,10 +308,10 @@
 		return
 	}
 	l.wholes++
-	pieces, err := l.plan.Take(
-		extent.Request{ID: l.wholes, Data: k.DataVolume, Range: *k.Range, Write: ask.Write,
-			Class: ask.Class, Plan: ask.Plan, Units: int(ask.Units), At: k.ReceivedAt,
-			Harmless: l.set.Classes[ask.Class].RetrySafe()},
+	pieces, err := l.plan.Add(
+		extent.Request{ID: l.wholes, DataVolume: k.DataVolume, Range: *k.Range, Write: ask.Write,
+			Class: ask.Class, Plan: ask.Plan, Units: int(ask.Units), ReceivedAt: k.ReceivedAt,
+			RetrySafe: l.set.Classes[ask.Class].RetrySafe()},
 		l.id,
 	)
 	if err != nil {
@@ -363,7 +363,7 @@
 	var withdraw []uint32
 	if k.id != 0 {
 		var ends *extent.Answer
-		if ends, withdraw = l.plan.Drop(k.id); ends != nil {
+		if ends, withdraw = l.plan.Abandon(k.id); ends != nil {
 			tellPieces(&a, ends)
 		}
 	} else {
@@ -375,7 +375,7 @@
 
 // tellPieces puts into an answer what is known of a request's pieces.
 func tellPieces(a *proto.Answer, ends *extent.Answer) {
-	a.Done, a.Uncertain, a.Unsent = uint16(ends.Done), uint16(ends.Unsure), uint16(ends.Unsent)
+	a.Done, a.Uncertain, a.Unsent = uint16(ends.Done), uint16(ends.Uncertain), uint16(ends.Unsent)
 }
 
 // withdraw tells the module that nothing is owed for requests any more.
@@ -447,19 +447,19 @@
 	case proto.OK:
 		verdict = extent.Served
 	case proto.Rejected:
-		verdict = extent.Refused
+		verdict = extent.Rejected
 	}
-	ends, withdraw := l.plan.Over(r.id, verdict, payload)
+	ends, withdraw := l.plan.Resolve(r.id, verdict, payload)
 	if ends != nil {
 		tellPieces(&a, ends)
 		a.Unreadable = nil
-		if ends.Verdict == extent.Failed {
+		if ends.Outcome == extent.Failed {
 			a.Code, a.RetryAfter = proto.Failed, 0
 		}
 		payload = nil
 		if len(ends.Data) == 1 {
 			payload = ends.Data[0]
-		} else if ends.Verdict == extent.Served {
+		} else if ends.Outcome == extent.Served {
 			payload = slices.Concat(ends.Data...)
 			l.c.Stats.Copied.Add(uint64(len(payload)))
 		}
@@ -486,7 +486,7 @@
 		for _, b := range x.answer.Unreadable {
 			bad = append(bad, extent.Range{Offset: b.Offset, Length: b.Length})
 		}
-		parts = x.op.plan.Deal(bad, x.payload)
+		parts = x.op.plan.Distribute(bad, x.payload)
 	}
 	for n, a := range x.op.members {
 		code, payload := x.code, x.payload
@@ -518,7 +518,7 @@
 	r.out = slices.DeleteFunc(r.out, func(o *attempt) bool { return o == a })
 	r.why = reasonOf(code)
 	if k := r.call; k.id != 0 {
-		l.plan.Ended(r.id, code.MayHaveRun())
+		l.plan.AttemptEnded(r.id, code.MayHaveRun())
 		if k.done && k.Request.Write && code.MayHaveRun() {
 			at := r.piece.Range
 			l.c.log.Info("piece of an answered write ended", "token", k.Token, "data", k.DataVolume,
@@ -623,7 +623,7 @@
 	r.server = x.Server
 	r.out = append(r.out, a)
 	if r.call.id != 0 {
-		l.plan.Sent(r.id)
+		l.plan.AttemptSent(r.id)
 	}
 	if x.Timeout > 0 {
 		a.deadline = min(a.deadline, l.now+x.Timeout)
--- a/internal/daemon/pool.go
+++ b/internal/daemon/pool.go
@@ -327,7 +327,7 @@
 	}
 	req.Cell = int32(lead.req.piece.Cell)
 	req.Offset, req.Length, req.Units = o.plan.Range.Offset, uint32(o.plan.Range.Length), uint32(o.plan.Units)
-	req.Data, req.Write, req.Piece = o.plan.Data, o.plan.Write, uint16(lead.req.piece.Nth)
+	req.Data, req.Write, req.Piece = o.plan.DataVolume, o.plan.Write, uint16(lead.req.piece.Nth)
 	if len(o.members) == 1 {
 		return req, lead.bytes(), 0
 	}
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -69,7 +69,7 @@
 		Cell: 1<<31 - 1, Timeout: 1<<63 - 1, Try: 1<<16 - 1, VolumeInstances: 1<<16 - 1, Write: true,
 		Offset: most,
 		Length: 1<<32 - 1, Client: 1<<32 - 1, Ranged: true, Data: most, Piece: 1<<16 - 1}
-	for range extent.MostMembers {
+	for range extent.MaxMembers {
 		q.Members = append(q.Members, Member{Token: most, Volume: most, Key: most, Plan: 1<<16 - 1,
 			Units: 1<<32 - 1, Offset: 1<<32 - 1, Length: 1<<32 - 1, Piece: 1<<16 - 1, Try: 1<<16 - 1,
 			Client: 1<<32 - 1})
