--- a/cmd/landingpaddle/day.go
+++ b/cmd/landingpaddle/day.go
@@ -68,7 +68,7 @@
 		}
 	}
 	if c.Unmerged {
-		day.Site.Extents.Alone = true
+		day.Site.Extents.MergingDisabled = true
 		if r.Unmerged, err = c.again(&day, daemon.Hooks{}); err != nil {
 			return err
 		}
@@ -212,7 +212,7 @@
 	}
 	head := nodes[0].Head()
 	inst, node := config.DefaultInstance(), config.DefaultNode()
-	list, day, site := config.DefaultList(), lab.DefaultDay(), config.DefaultSite()
+	list, day, site := config.DefaultRegistry(), lab.DefaultDay(), config.DefaultSite()
 	into := map[string]any{"instance": &inst, "node": &node, "list": &list, "day": &day, "site": &site}[head]
 	if into == nil {
 		return sexpr.Errorf(nodes[0].Pos, "found %q; want instance, node, list, day or site", head)
--- a/cmd/landingpaddle/serve.go
+++ b/cmd/landingpaddle/serve.go
@@ -29,15 +29,15 @@
 	}
 	cfg := daemon.Config{
 		Number:          set.Number,
-		Instances:       set.Of,
+		Instances:       set.Instances,
 		Zone:            uint8(set.Site.Zone(set.Zone)),
 		Seed:            set.Seed,
 		Site:            set.Site,
 		Listener:        ln,
-		Registry:        set.List.String(),
-		Snapshot:        registry.SnapshotFile{Path: set.KeptList},
-		StatisticsFile:  set.Learnt,
-		ShutdownTimeout: set.StopWithin,
+		Registry:        set.Registry.String(),
+		Snapshot:        registry.SnapshotFile{Path: set.SnapshotFile},
+		StatisticsFile:  set.StatisticsFile,
+		ShutdownTimeout: set.ShutdownTimeout,
 		Log:             log,
 	}
 	if set.PeerListen.IsValid() {
--- a/cmd/landingpaddle/standins.go
+++ b/cmd/landingpaddle/standins.go
@@ -32,9 +32,9 @@
 	}
 	events, group := lab.NewLog(), lab.NewGroup()
 	n, err := lab.NewNode(lab.NodeConfig{Number: set.Number, Cell: set.Cell,
-		Zone: uint8(set.Site.Zone(set.Zone)), Kind: set.Kind, Site: &set.Site, List: set.List.String(),
+		Zone: uint8(set.Site.Zone(set.Zone)), Kind: set.Model, Site: &set.Site, List: set.Registry.String(),
 		Addr: set.Listen.AddrPort, Seed: set.Seed,
-		Log: events, Meter: lab.NewMeter(set.Site.Meter), Cold: true,
+		Log: events, Meter: lab.NewMeter(set.Site.MeterPeriod), Cold: true,
 		Groups: func(scheduler.DedupScope) *lab.Group { return group }})
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 
 // Run serves as a stand-in list service until a signal.
 func (c *listCmd) Run() error {
-	set := config.DefaultList()
+	set := config.DefaultRegistry()
 	if err := config.Load(c.Config, "list", &set); err != nil {
 		return err
 	}
--- a/cmd/landingpaddle/sweep.go
+++ b/cmd/landingpaddle/sweep.go
@@ -36,12 +36,12 @@
 func (c *sweepCmd) set(e *config.Extents, value string) (err error) {
 	switch c.Bound {
 	case "members":
-		e.Members, err = strconv.Atoi(value)
-		e.Alone = e.Members == 1
+		e.MaxMembers, err = strconv.Atoi(value)
+		e.MergingDisabled = e.MaxMembers == 1
 	case "largest":
 		var size sexpr.Size
 		err = size.UnmarshalText([]byte(value))
-		e.Largest = size
+		e.MaxOperation = size
 	case "window":
 		e.Window, err = time.ParseDuration(value)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := i.Site.Control(i.Number, i.Of, uint8(i.Site.Zone(i.Zone)), true)
+	s := i.Site.Scheduler(i.Number, i.Instances, uint8(i.Site.Zone(i.Zone)), true)
 	w, p := s.Classes[1], s.Plans[0]
 	if s.InstanceIndex != 1 || s.Instances != 4 || s.Zone != 1 || !s.PollEndpoints || !s.PeerMessages ||
 		s.MeanUnits != 3 ||
@@ -78,10 +78,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := i.Site.Control(0, 1, 0, false)
+	s := i.Site.Scheduler(0, 1, 0, false)
 	if s.ShareWeight != 1 || s.Classes[0].PriorityWeight != s.Classes[1].PriorityWeight ||
 		s.Plans[0].PriorityWeight != s.Plans[1].PriorityWeight || !s.RetryAfter || s.RetryBudget ||
-		!i.Site.Limits.Peers {
+		!i.Site.Limits.PeerMessages {
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -158,6 +158,6 @@
 			}
 			return
 		}
-		i.Site.Control(i.Number, i.Of, uint8(i.Site.Zone(i.Zone)), false)
+		i.Site.Scheduler(i.Number, i.Instances, uint8(i.Site.Zone(i.Zone)), false)
 	})
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -81,7 +81,7 @@
 
 // plan turns a fleet's file into what the checker takes.
 func (f *Fleet) plan() (*expect.Model, error) {
-	out := &expect.Fleet{Instances: f.Instances, ColdUnits: f.Site.Rules.ColdUnits,
+	out := &expect.Fleet{Instances: f.Instances, ColdUnits: f.Site.Rules.ColdCapacity,
 		MeanUnits: f.Site.MeanUnits}
 	for _, p := range f.Site.Plans {
 		out.Plans = append(out.Plans, expect.Plan{Name: p.Name, Reserve: p.Reserve, Weight: p.Weight,
--- a/internal/config/programs.go
+++ b/internal/config/programs.go
@@ -37,31 +37,31 @@
 
 // Instance is the settings file of landingpaddle serve: (instance …).
 type Instance struct {
-	Number     int           `s:"number" min:"0" max:"65535"`
-	Of         int           `s:"of" min:"1" max:"65535"`
-	Zone       string        `s:"zone"`
-	Seed       uint64        `s:"seed"`
-	Listen     Addr          `s:"listen,required"`
-	List       Addr          `s:"list,required"`
-	KeptList   string        `s:"kept-list"`
-	Learnt     string        `s:"learnt"` // file of what was learnt, for the next life
-	PeerListen Addr          `s:"peer-listen"`
-	Peers      []Peer        `s:"peer"`
-	LogLevel   string        `s:"log-level"`
-	LogJSON    bool          `s:"log-json"`
-	StopWithin time.Duration `s:"stop-within" min:"0s" max:"10m"`
-	Site       Site          `s:"site,required"`
+	Number          int           `s:"number" min:"0" max:"65535"`
+	Instances       int           `s:"of" min:"1" max:"65535"`
+	Zone            string        `s:"zone"`
+	Seed            uint64        `s:"seed"`
+	Listen          Addr          `s:"listen,required"`
+	Registry        Addr          `s:"list,required"`
+	SnapshotFile    string        `s:"kept-list"`
+	StatisticsFile  string        `s:"learnt"` // file of what was learnt, for the next life
+	PeerListen      Addr          `s:"peer-listen"`
+	Peers           []Peer        `s:"peer"`
+	LogLevel        string        `s:"log-level"`
+	LogJSON         bool          `s:"log-json"`
+	ShutdownTimeout time.Duration `s:"stop-within" min:"0s" max:"10m"`
+	Site            Site          `s:"site,required"`
 }
 
 // DefaultInstance is an instance before its file is read.
 func DefaultInstance() Instance {
-	return Instance{Of: 1, StopWithin: 10 * time.Second, LogLevel: "info", Site: DefaultSite()}
+	return Instance{Instances: 1, ShutdownTimeout: 10 * time.Second, LogLevel: "info", Site: DefaultSite()}
 }
 
 // Check holds what binds fields to one another.
 func (i *Instance) Check() error {
-	if i.Number >= i.Of {
-		return fmt.Errorf("instance number %d of %d: numbers count from 0", i.Number, i.Of)
+	if i.Number >= i.Instances {
+		return fmt.Errorf("instance number %d of %d: numbers count from 0", i.Number, i.Instances)
 	}
 	if i.Zone == "" {
 		i.Zone = i.Site.Zones[0]
@@ -69,11 +69,11 @@
 	if i.Site.Zone(i.Zone) < 0 {
 		return fmt.Errorf("zone %s is none of %v", i.Zone, i.Site.Zones)
 	}
-	if !i.Site.Limits.Peers && (i.PeerListen.IsValid() || len(i.Peers) > 0) {
+	if !i.Site.Limits.PeerMessages && (i.PeerListen.IsValid() || len(i.Peers) > 0) {
 		return fmt.Errorf("the site has (peers no): want no (peer-listen …) and no (peer …)")
 	}
-	if i.Learnt != "" && i.Learnt == i.KeptList {
-		return fmt.Errorf("(learnt …) and (kept-list …) name the same file %s", i.Learnt)
+	if i.StatisticsFile != "" && i.StatisticsFile == i.SnapshotFile {
+		return fmt.Errorf("(learnt …) and (kept-list …) name the same file %s", i.StatisticsFile)
 	}
 	for n, p := range i.Peers {
 		for _, q := range i.Peers[:n] {
@@ -96,7 +96,7 @@
 }
 
 // List is the settings file of landingpaddle list: (list …), a stand-in list service.
-type List struct {
+type Registry struct {
 	Listen   Addr          `s:"listen,required"`
 	Delay    time.Duration `s:"delay" min:"0s" max:"10m"`
 	Workers  int           `s:"workers" min:"1" max:"1024"`
@@ -105,25 +105,25 @@
 }
 
 // DefaultList is a list service before its file is read.
-func DefaultList() List {
-	return List{Delay: 500 * time.Millisecond, Workers: 2, CallTime: 2 * time.Millisecond,
+func DefaultRegistry() Registry {
+	return Registry{Delay: 500 * time.Millisecond, Workers: 2, CallTime: 2 * time.Millisecond,
 		MaxWait: 500 * time.Millisecond}
 }
 
 // Node is the settings file of landingpaddle node: (node …), a stand-in node.
 type Node struct {
-	Number int    `s:"number" min:"0" max:"65535"`
-	Listen Addr   `s:"listen,required"`
-	List   Addr   `s:"list,required"`
-	Cell   uint16 `s:"cell"`
-	Zone   string `s:"zone"`
-	Seed   uint64 `s:"seed"`
-	Kind   Kind   `s:"kind"`
-	Site   Site   `s:"site,required"`
+	Number   int       `s:"number" min:"0" max:"65535"`
+	Listen   Addr      `s:"listen,required"`
+	Registry Addr      `s:"list,required"`
+	Cell     uint16    `s:"cell"`
+	Zone     string    `s:"zone"`
+	Seed     uint64    `s:"seed"`
+	Model    NodeModel `s:"kind"`
+	Site     Site      `s:"site,required"`
 }
 
 // DefaultNode is a node before its file is read.
-func DefaultNode() Node { return Node{Kind: DefaultKind(), Site: DefaultSite()} }
+func DefaultNode() Node { return Node{Model: DefaultNodeModel(), Site: DefaultSite()} }
 
 // Check holds what binds fields to one another.
 func (n *Node) Check() error {
@@ -137,7 +137,7 @@
 }
 
 // Kind is how a stand-in node works.
-type Kind struct {
+type NodeModel struct {
 	Cores        int           `s:"cores" min:"1" max:"64"`
 	Queue        int           `s:"queue" min:"1" max:"100000"`
 	PerUnit      time.Duration `s:"per-unit" min:"0s" max:"10s"`      // work of a read of one unit
@@ -158,9 +158,18 @@
 }
 
 // DefaultKind is a small box.
-func DefaultKind() Kind {
-	return Kind{Cores: 2, Queue: 64, PerUnit: 5 * time.Millisecond, WritePer: 1.5, Jitter: 0.2, Conns: 512,
-		Drops: true, Stops: true, Notices: true}
+func DefaultNodeModel() NodeModel {
+	return NodeModel{
+		Cores:    2,
+		Queue:    64,
+		PerUnit:  5 * time.Millisecond,
+		WritePer: 1.5,
+		Jitter:   0.2,
+		Conns:    512,
+		Drops:    true,
+		Stops:    true,
+		Notices:  true,
+	}
 }
 
 // Load reads a file that holds one form of that head into out, which holds the defaults.
--- a/internal/daemon/extents_test.go
+++ b/internal/daemon/extents_test.go
@@ -116,13 +116,21 @@
 		x.disks = append(x.disks, d)
 	}
 	x.start(func(cfg *Config) {
-		cfg.Site.Extents = &config.Extents{Size: 16 << 10, Largest: 16 << 10, Members: 16, Pieces: 4,
-			Cells: 2}
-		cfg.Site.Limits.Tick = 200 * time.Millisecond
-		cfg.Site.MostUnits = 1000
-		cfg.Site.Classes = append(cfg.Site.Classes, config.Class{Name: "put", Aim: 2 * time.Second,
-			Writes: true, Deadline: 4 * time.Second, Worth: 1,
-			Repeat: config.Repeat(scheduler.NotIdempotent)})
+		cfg.Site.Extents = &config.Extents{
+			Size:         16 << 10,
+			MaxOperation: 16 << 10,
+			MaxMembers:   16,
+			MaxPieces:    4,
+			Cells:        2,
+		}
+		cfg.Site.Limits.BatchInterval = 200 * time.Millisecond
+		cfg.Site.MaxUnits = 1000
+		cfg.Site.Classes = append(
+			cfg.Site.Classes,
+			config.Class{Name: "put", LatencyObjective: 2 * time.Second,
+				Writes: true, Deadline: 4 * time.Second, PriorityWeight: 1,
+				Idempotency: config.Idempotency(scheduler.NotIdempotent)},
+		)
 		if change != nil {
 			change(cfg)
 		}
@@ -204,7 +212,7 @@
 func TestNeighboursAreReadAtOnce(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		t.Run(fmt.Sprint("alone ", alone), func(t *testing.T) {
-			x := newExtents(t, func(cfg *Config) { cfg.Site.Extents.Alone = alone })
+			x := newExtents(t, func(cfg *Config) { cfg.Site.Extents.MergingDisabled = alone })
 			v := x.volumeAt(0, 0)
 			var ids []uint64
 			for i := range uint64(8) {
@@ -343,7 +351,7 @@
 
 // One of 40 ms patience never joins where the node takes longer, by the module's own reckoning.
 func TestTooHastyToJoin(t *testing.T) {
-	x := newExtents(t, func(cfg *Config) { cfg.Site.Limits.Tick = 0 })
+	x := newExtents(t, func(cfg *Config) { cfg.Site.Limits.BatchInterval = 0 })
 	v, d := x.volumeAt(0, 0), x.disks[0]
 	d.first = func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool {
 		time.AfterFunc(60*time.Millisecond, func() { _ = d.do(c, f, q, nil) })
@@ -627,7 +635,7 @@
 // A thousand members want the same 4 KiB: a few operations, each client its own copy of the bytes, none made
 // on the way.
 func TestAThousandWantTheSame(t *testing.T) {
-	x := newExtents(t, func(cfg *Config) { cfg.Site.Extents.Members = 64 })
+	x := newExtents(t, func(cfg *Config) { cfg.Site.Extents.MaxMembers = 64 })
 	v := x.volumeAt(0, 0)
 	var ids []uint64
 	for range 1000 {
@@ -652,7 +660,7 @@
 func TestAMemberAtItsLimit(t *testing.T) {
 	x := newExtents(t, func(cfg *Config) {
 		cfg.Site.Plans = append(cfg.Site.Plans, config.Plan{Name: "limited", Rate: 1, Limit: 0.001, Burst: 1,
-			Weight: 1, Worth: 1})
+			Weight: 1, PriorityWeight: 1})
 	})
 	v := x.volumeAt(0, 0)
 	free := x.read(v, 0, 1000, nil)
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -51,8 +51,8 @@
 func (f *front) serve(ctx context.Context) error {
 	lim := f.i.cfg.Site.Limits
 	cfg := proto.Config{Hello: f.i.hello(), Gate: f.i.cfg.Hooks.Gate, Idle: 10 * time.Minute,
-		Limits: proto.LimitsFor(int(lim.Payload), max(lim.Streams, 64)*64)}
-	return proto.Serve(ctx, f.i.cfg.Listener, cfg, lim.ClientConns, f.session)
+		Limits: proto.LimitsFor(int(lim.MaxPayload), max(lim.Streams, 64)*64)}
+	return proto.Serve(ctx, f.i.cfg.Listener, cfg, lim.ClientConnections, f.session)
 }
 
 // bye closes all clients' connections in order.
@@ -147,7 +147,7 @@
 	if why := f.bad(k); why != "" {
 		return refuse(why, 0)
 	}
-	if why := f.i.Admit(lim.Open); why != "" {
+	if why := f.i.Admit(lim.MaxOpenRequests); why != "" {
 		return refuse(why, advice)
 	}
 	k.call = k.asCall(at)
@@ -176,7 +176,7 @@
 func (f *front) bad(k *stream) string {
 	q, site := &k.req, &f.i.cfg.Site
 	if int(q.Class) >= len(site.Classes) || int(q.Plan) >= len(site.Plans) || q.Units == 0 ||
-		float64(q.Units) > site.MostUnits || q.Timeout <= 0 || q.Timeout > time.Hour ||
+		float64(q.Units) > site.MaxUnits || q.Timeout <= 0 || q.Timeout > time.Hour ||
 		q.Cell < scheduler.NewObject || q.Cell > 1<<16-1 {
 		return ReasonBadRequest
 	}
@@ -191,7 +191,7 @@
 	if k.write {
 		payload = int(q.Length)
 	}
-	if uint64(q.Length) > uint64(site.Limits.Payload) || len(k.payload) != payload {
+	if uint64(q.Length) > uint64(site.Limits.MaxPayload) || len(k.payload) != payload {
 		return ReasonBadRange
 	}
 	return ""
--- a/internal/daemon/learnt.go
+++ b/internal/daemon/learnt.go
@@ -19,7 +19,7 @@
 	s := checkpoint.Fingerprint{
 		Instance:  i.cfg.Number,
 		MeanUnits: i.cfg.Site.MeanUnits,
-		MaxUnits:  i.cfg.Site.MostUnits,
+		MaxUnits:  i.cfg.Site.MaxUnits,
 	}
 	for _, c := range i.cfg.Site.Classes {
 		s.Classes = append(s.Classes, checkpoint.Class{Name: c.Name, Writes: c.Writes})
--- a/internal/daemon/learnt_test.go
+++ b/internal/daemon/learnt_test.go
@@ -28,13 +28,13 @@
 // newShape is a site as deployments of the newer build have it: no peers, no advice, a budget, unsafe writes.
 func newShape() config.Site {
 	s := testSite()
-	s.Limits.Peers, s.Limits.RetryAfter = false, false
-	s.Rules.Budget = &config.Budget{Floor: 3, Ratio: 0.15, Window: 5 * time.Second}
+	s.Limits.PeerMessages, s.Limits.RetryAfter = false, false
+	s.Rules.RetryBudget = &config.RetryBudget{Floor: 3, Ratio: 0.15, Window: 5 * time.Second}
 	s.Rules.DrainGrace = 250 * time.Millisecond
-	s.Share, s.Spare = 0.35, 0.08
-	s.Classes[0].Worth, s.Classes[1].Worth = 3, 2
-	s.Classes[1] = config.Class{Name: "write", Aim: 2 * time.Second, Deadline: 4 * time.Second,
-		Repeat: config.Repeat(scheduler.NotIdempotent), Writes: true, Worth: 2}
+	s.ShareWeight, s.SpareWeight = 0.35, 0.08
+	s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight = 3, 2
+	s.Classes[1] = config.Class{Name: "write", LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second,
+		Idempotency: config.Idempotency(scheduler.NotIdempotent), Writes: true, PriorityWeight: 2}
 	return s
 }
 
@@ -194,7 +194,9 @@
 	for _, allowed := range []bool{true, false} {
 		r := newRig(t)
 		r.node(0, after(200*time.Millisecond))
-		inst := r.start(func(cfg *Config) { cfg.Site.Limits.RetryAfter, cfg.Site.Limits.Open = allowed, 1 })
+		inst := r.start(
+			func(cfg *Config) { cfg.Site.Limits.RetryAfter, cfg.Site.Limits.MaxOpenRequests = allowed, 1 },
+		)
 		r.logged("node listed")
 		c := r.client()
 		c.ask(nil)
--- a/internal/daemon/pool.go
+++ b/internal/daemon/pool.go
@@ -56,8 +56,8 @@
 func newPool(ctx context.Context, g *errgroup.Group, i *Instance) *pool {
 	lim := i.cfg.Site.Limits
 	cfg := proto.Config{Hello: i.hello(), Gate: i.cfg.Hooks.Gate, Handshake: lim.ConnectTimeout,
-		Idle: lim.IdleClose, Silence: lim.Silence}
-	cfg.Limits = proto.LimitsFor(int(lim.Payload), lim.Streams)
+		Idle: lim.IdleTimeout, Silence: lim.SilenceTimeout}
+	cfg.Limits = proto.LimitsFor(int(lim.MaxPayload), lim.Streams)
 	return &pool{ctx: ctx, g: g, i: i, cfg: cfg, nodes: map[scheduler.Server]*nodeLink{}}
 }
 
@@ -88,7 +88,7 @@
 	}
 	lim := p.i.cfg.Site.Limits
 	if len(n.waiting) >= n.dialing*lim.Streams {
-		if len(n.conns)+n.dialing >= lim.NodeConns {
+		if len(n.conns)+n.dialing >= lim.NodeConnections {
 			p.i.in.put(result{op: op, code: scheduler.ConnectFailed})
 			return
 		}
--- a/internal/daemon/sched.go
+++ b/internal/daemon/sched.go
@@ -166,8 +166,8 @@
 	i := &Instance{cfg: cfg}
 	core := EventLoopConfig{
 		Seed:            cfg.Seed,
-		BatchInterval:   site.Limits.Tick,
-		ResponseMargin:  site.Limits.Transit,
+		BatchInterval:   site.Limits.BatchInterval,
+		ResponseMargin:  site.Limits.ResponseMargin,
 		AnswerSlack:     site.Rules.AnswerSlack,
 		ClockSkew:       site.Limits.ClockSkew,
 		Snapshot:        cfg.Snapshot,
@@ -175,7 +175,7 @@
 		Fingerprint:     i.facts(),
 		ShutdownTimeout: cfg.ShutdownTimeout,
 		Log:             cfg.Log.With("instance", cfg.Number),
-		Settings:        site.Control(cfg.Number, cfg.Instances, cfg.Zone, cfg.PeerListen != ""),
+		Settings:        site.Scheduler(cfg.Number, cfg.Instances, cfg.Zone, cfg.PeerListen != ""),
 		Hooks:           cfg.Hooks,
 	}
 	if site.Extents != nil {
@@ -184,7 +184,7 @@
 	}
 	i.EventLoop = NewEventLoop(core)
 	i.front = newFront(i)
-	if cfg.PeerListen != "" && !cfg.Site.Limits.Peers {
+	if cfg.PeerListen != "" && !cfg.Site.Limits.PeerMessages {
 		return nil, errors.New("peers: the site allows no messages between instances")
 	}
 	if cfg.PeerListen != "" {
@@ -194,7 +194,7 @@
 		}
 		i.link = link
 	}
-	i.list = registry.NewClient(registry.ClientConfig{Addr: cfg.Registry, Push: !cfg.Site.Ask,
+	i.list = registry.NewClient(registry.ClientConfig{Addr: cfg.Registry, Push: !cfg.Site.PollEndpoints,
 		Conn:    proto.Config{Hello: i.hello(), Gate: cfg.Hooks.Gate},
 		Version: i.ListVersion, OnUpdate: i.ReceiveUpdate, OnFailure: i.ReportListFailure})
 	return i, nil
--- a/internal/daemon/sched_test.go
+++ b/internal/daemon/sched_test.go
@@ -32,20 +32,20 @@
 func testSite() config.Site {
 	s := config.DefaultSite()
 	s.Classes = []config.Class{
-		{Name: "read", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1},
+		{Name: "read", LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
 		{
-			Name:     "write",
-			Aim:      2 * time.Second,
-			Deadline: 4 * time.Second,
-			Repeat:   config.Repeat(scheduler.IdempotentByKey),
-			Group:    config.Group(scheduler.DedupCell),
-			Window:   5 * time.Second,
-			InOrder:  true,
-			Writes:   true,
-			Worth:    1,
+			Name:             "write",
+			LatencyObjective: 2 * time.Second,
+			Deadline:         4 * time.Second,
+			Idempotency:      config.Idempotency(scheduler.IdempotentByKey),
+			DedupScope:       config.DedupScope(scheduler.DedupCell),
+			DedupWindow:      5 * time.Second,
+			OrderedByKey:     true,
+			Writes:           true,
+			PriorityWeight:   1,
 		}}
-	s.Plans = []config.Plan{{Name: "p", Rate: 100, Weight: 1, Worth: 1}}
-	s.Rules.OrderPause = 50 * time.Millisecond
+	s.Plans = []config.Plan{{Name: "p", Rate: 100, Weight: 1, PriorityWeight: 1}}
+	s.Rules.OrderingPause = 50 * time.Millisecond
 	return s
 }
 
@@ -375,7 +375,7 @@
 	r := newRig(t)
 	r.nodeOf(proto.Config{Limits: proto.Limits{Header: 4096, Payload: 10, Streams: 4, Backlog: 1 << 20}}, 0,
 		echo)
-	r.start(func(cfg *Config) { cfg.Site.Limits.NodeConns = 1 })
+	r.start(func(cfg *Config) { cfg.Site.Limits.NodeConnections = 1 })
 	r.logged("node listed")
 	c := r.client()
 	for range 8 {
@@ -404,7 +404,7 @@
 func TestANodeThatNeverAnswers(t *testing.T) {
 	r := newRig(t)
 	n := r.node(0, silent)
-	r.start(func(cfg *Config) { cfg.Site.Limits.Streams, cfg.Site.Limits.NodeConns = 8, 2 })
+	r.start(func(cfg *Config) { cfg.Site.Limits.Streams, cfg.Site.Limits.NodeConnections = 8, 2 })
 	r.logged("node listed")
 	c := r.client()
 	start := time.Now()
@@ -527,7 +527,7 @@
 func TestABurstOfTenThousand(t *testing.T) {
 	r := newRig(t)
 	r.node(0, echo)
-	inst := r.start(func(cfg *Config) { cfg.Site.Limits.Open = 2000 })
+	inst := r.start(func(cfg *Config) { cfg.Site.Limits.MaxOpenRequests = 2000 })
 	r.logged("node listed")
 	callers := []*caller{r.client(), r.client()} // one connection has 8,192 in flight at most
 	for range 5000 {
@@ -676,7 +676,7 @@
 	inst.Stop()
 	<-r.ended
 	r.list.SetDown(true)
-	r.start(func(cfg *Config) { cfg.Snapshot, cfg.Site.Ask = file, true })
+	r.start(func(cfg *Config) { cfg.Snapshot, cfg.Site.PollEndpoints = file, true })
 	c := r.client()
 	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
 		t.Errorf("with the kept list alone: %+v", a)
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -279,7 +279,7 @@
 	done := map[piece]int{}
 	for _, t := range a.sent {
 		class := a.site.Classes[t.sent.Class]
-		repeat := scheduler.Idempotency(class.Repeat)
+		repeat := scheduler.Idempotency(class.Idempotency)
 		if repeat == scheduler.Idempotent {
 			continue
 		}
@@ -308,7 +308,7 @@
 		}
 		e, ok := t.answered()
 		truthful := repeat == scheduler.IdempotentByKey &&
-			scheduler.DedupScope(class.Group) == scheduler.DedupAll
+			scheduler.DedupScope(class.DedupScope) == scheduler.DedupAll
 		if ok && e.Code == proto.Rejected && ran != nil && ran.arrive.T < e.T && !truthful {
 			a.broke(RuleEffects, e, "refused while it may have run on node %d", ran.arrive.Node)
 		}
@@ -317,12 +317,12 @@
 
 // repeat judges an attempt after one that may have run.
 func (a *audit) repeat(class config.Class, ran, at *attemptLog) {
-	if scheduler.Idempotency(class.Repeat) == scheduler.NotIdempotent {
+	if scheduler.Idempotency(class.Idempotency) == scheduler.NotIdempotent {
 		a.broke(RuleEffects, at.arrive, "sent again while it may have run on node %d", ran.arrive.Node)
 		return
 	}
 	same := true
-	switch scheduler.DedupScope(class.Group) {
+	switch scheduler.DedupScope(class.DedupScope) {
 	case scheduler.DedupZone:
 		same = a.zones[ran.arrive.Node] == a.zones[at.arrive.Node]
 	case scheduler.DedupCell:
@@ -331,7 +331,7 @@
 	if !same {
 		a.broke(RuleEffects, at.arrive, "sent again outside the group of node %d", ran.arrive.Node)
 	}
-	over := at.arrive.T - ran.arrive.T - int64(class.Window) - int64(transit)
+	over := at.arrive.T - ran.arrive.T - int64(class.DedupWindow) - int64(transit)
 	if over > 0 && over > a.excuse(at.arrive.Inst, at.arrive.Node, ran.arrive.T, at.arrive.T) {
 		a.broke(RuleEffects, at.arrive, "sent again %v after the first send",
 			time.Duration(at.arrive.T-ran.arrive.T))
@@ -401,7 +401,7 @@
 	for _, e := range a.events {
 		switch e.Kind {
 		case KindArrive:
-			if e.Boot != 0 && e.T-e.Boot < int64(a.site.Rules.Ramp) {
+			if e.Boot != 0 && e.T-e.Boot < int64(a.site.Rules.SlowStartPeriod) {
 				a.out[RuleCold].Judged++
 			}
 		case KindFell:
@@ -419,12 +419,12 @@
 	const near = int64(10 * time.Millisecond)
 	chains := map[chain][]*tryLog{}
 	for _, t := range a.sent {
-		if s := t.sent; a.site.Classes[s.Class].InOrder && s.Key != 0 {
+		if s := t.sent; a.site.Classes[s.Class].OrderedByKey && s.Key != 0 {
 			c := chain{s.Inst, s.Client, s.Conn, s.Key}
 			chains[c] = append(chains[c], t)
 		}
 	}
-	pause := int64(a.site.Rules.OrderPause)
+	pause := int64(a.site.Rules.OrderingPause)
 	for _, list := range chains {
 		slices.SortFunc(list, func(x, y *tryLog) int { return cmp.Compare(x.sent.Seq, y.sent.Seq) })
 		for i, later := range list {
@@ -476,7 +476,7 @@
 }
 
 func (a *audit) budget() {
-	b := a.site.Rules.Budget
+	b := a.site.Rules.RetryBudget
 	if b == nil {
 		return
 	}
@@ -533,9 +533,9 @@
 		s.at = e.T
 		s.level -= float64(e.Units)
 		excuse := p.Limit * time.Duration(int64(transit)+a.excuse(e.Inst, e.Node, e.T, e.T)).Seconds()
-		if s.level < -p.Slack-excuse {
+		if s.level < -p.LimitSlack-excuse {
 			a.broke(RuleLimits, e, "volume %d is %.1f units over its limit, %.1f are allowed",
-				e.Volume, -s.level, p.Slack)
+				e.Volume, -s.level, p.LimitSlack)
 		}
 	}
 }
@@ -666,7 +666,7 @@
 	total, earned := 0.0, 0.0
 	for _, o := range ops {
 		class, plan := site.Classes[o.first.Class], site.Plans[o.first.Plan]
-		worth := class.Worth * plan.Worth * float64(o.first.Units) / max(site.MeanUnits, 1)
+		worth := class.PriorityWeight * plan.PriorityWeight * float64(o.first.Units) / max(site.MeanUnits, 1)
 		w.Asked++
 		total += worth
 		took := time.Duration(o.last.T - o.first.T)
@@ -676,12 +676,12 @@
 		switch {
 		case !o.ended:
 			w.None++
-		case o.last.Code == proto.OK && took <= class.Aim:
+		case o.last.Code == proto.OK && took <= class.LatencyObjective:
 			w.InTime++
 			earned += worth
 		case o.last.Code == proto.OK:
 			w.Late++
-			earned += worth * class.Late
+			earned += worth * class.LateFraction
 		case o.last.Code == proto.Rejected:
 			w.Refused++
 		default:
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -188,7 +188,7 @@
 	p.list = registry.NewServer(registry.ServerConfig{Epoch: 1 + p.opt.Seed, Delay: d.List.Delay,
 		Workers: d.List.Workers, CallTime: d.List.CallTime, MaxWait: d.List.MaxWait, OnAcknowledged: p.told})
 	g.Go(func() error { return p.list.Serve(ctx, ln) })
-	groups, meter := newGroups(), NewMeter(d.Site.Meter)
+	groups, meter := newGroups(), NewMeter(d.Site.MeterPeriod)
 	for i := range d.Nodes.Count {
 		zone := uint8(i % len(d.Site.Zones))
 		n, err := NewNode(NodeConfig{Number: i, Cell: uint16(i), Zone: zone, Kind: d.Nodes.Kind,
--- a/internal/lab/dayfile.go
+++ b/internal/lab/dayfile.go
@@ -25,9 +25,9 @@
 
 // NodeSet is the nodes: all of one kind, dealt out over the zones in turn.
 type NodeSet struct {
-	Count int           `s:",arg"`
-	Kind  config.Kind   `s:"kind"`
-	Ahead time.Duration `s:"clock-ahead" max:"1h"` // of the instances' clocks
+	Count int              `s:",arg"`
+	Kind  config.NodeModel `s:"kind"`
+	Ahead time.Duration    `s:"clock-ahead" max:"1h"` // of the instances' clocks
 }
 
 // ListSet is the list service.
@@ -299,7 +299,7 @@
 
 // DefaultDay is a day before its file is read.
 func DefaultDay() Day {
-	return Day{Name: "day", Instances: 3, Nodes: NodeSet{Count: 4, Kind: config.DefaultKind()},
+	return Day{Name: "day", Instances: 3, Nodes: NodeSet{Count: 4, Kind: config.DefaultNodeModel()},
 		List: ListSet{Delay: 200 * time.Millisecond, Workers: 2, CallTime: time.Millisecond,
 			MaxWait: 300 * time.Millisecond},
 		Clients: ClientSet{Count: 8, Retries: 1, Wait: 100 * time.Millisecond, Heed: true, Elsewhere: true},
--- a/internal/lab/fields_test.go
+++ b/internal/lab/fields_test.go
@@ -77,7 +77,7 @@
 func TestNothingIsMergedWhenAlone(t *testing.T) {
 	t.Parallel()
 	d := fieldsDay(t)
-	d.Site.Extents.Alone = true
+	d.Site.Extents.MergingDisabled = true
 	seen := map[[2]uint64]bool{}
 	for _, e := range play(t, d) {
 		if id := [2]uint64{uint64(e.Node), e.Op}; e.Kind == KindArrive {
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -87,7 +87,7 @@
 	Number int
 	Cell   uint16
 	Zone   uint8
-	Kind   config.Kind
+	Kind   config.NodeModel
 	Site   *config.Site
 	List   string // address of the list service
 	Addr   netip.AddrPort
@@ -215,7 +215,7 @@
 	l.log(Event{Kind: KindBoot, Boot: l.told, Reason: n.cfg.Addr.String()})
 	defer l.log(Event{Kind: KindDown, Boot: l.told})
 	g, ctx := errgroup.WithContext(ctx)
-	lim := proto.Limits{Header: 4 << 10, Payload: int(n.cfg.Site.Limits.Payload),
+	lim := proto.Limits{Header: 4 << 10, Payload: int(n.cfg.Site.Limits.MaxPayload),
 		Streams: n.cfg.Site.Limits.Streams, Backlog: 64 << 20}
 	cfg := proto.Config{Limits: lim, Idle: 10 * time.Minute, Gate: n.Faults.gate,
 		Hello: proto.Hello{Role: "node", Number: uint32(n.cfg.Number), StartedAt: l.told}}
@@ -383,7 +383,7 @@
 				return fmt.Errorf("class %d or plan %d is not known", o.req.Class, m.Plan)
 			}
 		}
-		if size := uint64(o.req.Length); o.req.Ranged && (size > uint64(l.n.cfg.Site.Limits.Payload) ||
+		if size := uint64(o.req.Length); o.req.Ranged && (size > uint64(l.n.cfg.Site.Limits.MaxPayload) ||
 			o.req.Write && size != uint64(len(f.Payload))) {
 			return fmt.Errorf("an operation of %d bytes with %d bytes of payload", size, len(f.Payload))
 		}
@@ -454,7 +454,9 @@
 }
 
 func (l *life) forget(o *op) {
-	if class := l.n.cfg.Site.Classes[o.req.Class]; class.Repeat == config.Repeat(scheduler.IdempotentByKey) {
+	if class := l.n.cfg.Site.Classes[o.req.Class]; class.Idempotency == config.Idempotency(
+		scheduler.IdempotentByKey,
+	) {
 		for _, m := range o.members {
 			if !m.repeat {
 				l.group(class).forget(m.effect())
@@ -468,7 +470,7 @@
 	class, all := l.n.cfg.Site.Classes[o.req.Class], true
 	for i := range o.members {
 		m := &o.members[i]
-		m.repeat = !l.group(class).first(m.effect(), class.Window)
+		m.repeat = !l.group(class).first(m.effect(), class.DedupWindow)
 		all = all && m.repeat
 		if m.repeat {
 			l.logOp(KindRepeat, o.only(member{Member: m.Member}), proto.OK)
@@ -496,7 +498,7 @@
 	fell, draining := l.press(float64(o.req.Units)), l.draining
 	l.mu.Unlock()
 	class := l.n.cfg.Site.Classes[o.req.Class]
-	keyed := class.Repeat == config.Repeat(scheduler.IdempotentByKey)
+	keyed := class.Idempotency == config.Idempotency(scheduler.IdempotentByKey)
 	switch {
 	case fell:
 		l.log(Event{Kind: KindFell, Inst: o.inst, Token: o.req.Token, Boot: l.told})
@@ -517,34 +519,36 @@
 	}
 }
 
-func (l *life) group(c config.Class) *Group { return l.n.cfg.Groups(scheduler.DedupScope(c.Group)) }
+func (l *life) group(c config.Class) *Group {
+	return l.n.cfg.Groups(scheduler.DedupScope(c.DedupScope))
+}
 
 // capacity is the part of its work that the node can do now: it warms over the ramp.
 func (l *life) capacity() float64 {
 	r := l.n.cfg.Site.Rules
-	if !l.cold || r.Ramp <= 0 {
+	if !l.cold || r.SlowStartPeriod <= 0 {
 		return 1
 	}
-	return min(1, r.ColdShare+(1-r.ColdShare)*time.Since(l.boot).Seconds()/r.Ramp.Seconds())
+	return min(1, r.ColdFraction+(1-r.ColdFraction)*time.Since(l.boot).Seconds()/r.SlowStartPeriod.Seconds())
 }
 
 // press adds work and tells whether a cold node falls over: sent more than the stated multiple of what it
 // can do now, over the stated time.
 func (l *life) press(units float64) bool {
 	r := l.n.cfg.Site.Rules
-	if !l.cold || r.Ramp <= 0 || time.Since(l.boot) > r.Ramp+r.FallWindow {
+	if !l.cold || r.SlowStartPeriod <= 0 || time.Since(l.boot) > r.SlowStartPeriod+r.OverloadWindow {
 		return false
 	}
 	now := time.Now()
 	l.sent = append(l.sent, sentUnits{now, units})
 	l.sum += units
-	for now.Sub(l.sent[0].at) > r.FallWindow {
+	for now.Sub(l.sent[0].at) > r.OverloadWindow {
 		l.sum -= l.sent[0].units
 		l.sent = l.sent[1:]
 	}
 	k := l.n.cfg.Kind
 	rate := float64(k.Cores) / max(k.PerUnit, 100*time.Microsecond).Seconds() * l.capacity()
-	return l.sum > r.FallMultiple*rate*r.FallWindow.Seconds()
+	return l.sum > r.OverloadFactor*rate*r.OverloadWindow.Seconds()
 }
 
 // work is one core.
@@ -647,7 +651,7 @@
 		}
 		metered := l.n.cfg.Meter.served(m.Volume, float64(m.Units), l.n.cfg.Site.Plans[m.Plan].Rate)
 		elsewhere := uint32(0)
-		if l.n.cfg.Site.Elsewhere {
+		if l.n.cfg.Site.ReportsElsewhere {
 			elsewhere = l.elsewhere(m.Volume, o.inst, float64(m.Units), i == 0)
 		}
 		if i == 0 { // what is told of volumes concerns the lead's
@@ -714,7 +718,7 @@
 // loadLocked is the load report: what the site's settings name, of what this node knows.
 func (l *life) loadLocked() []float64 {
 	var out []float64
-	for _, field := range l.n.cfg.Site.Load {
+	for _, field := range l.n.cfg.Site.LoadFields {
 		switch field {
 		case "q":
 			out = append(out, float64(len(l.queue)))
--- a/internal/lab/throughput_test.go
+++ b/internal/lab/throughput_test.go
@@ -24,9 +24,15 @@
 func throughputSite() config.Site {
 	s := config.DefaultSite()
 	s.Classes = []config.Class{
-		{Name: "read", Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 1},
-		{Name: "write", Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 1, Writes: true}}
-	s.Plans = []config.Plan{{Name: "p", Rate: 100, Weight: 1, Worth: 1}}
+		{Name: "read", LatencyObjective: 20 * time.Second, Deadline: 30 * time.Second, PriorityWeight: 1},
+		{
+			Name:             "write",
+			LatencyObjective: 20 * time.Second,
+			Deadline:         30 * time.Second,
+			PriorityWeight:   1,
+			Writes:           true,
+		}}
+	s.Plans = []config.Plan{{Name: "p", Rate: 100, Weight: 1, PriorityWeight: 1}}
 	s.Limits.Streams = 1024
 	return s
 }
@@ -132,7 +138,7 @@
 			}
 			list := registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
 			wg.Go(func() { _ = list.Serve(ctx, lists) })
-			kind := config.Kind{Cores: 4, Queue: 4096, PerUnit: work, WritePer: 1, Conns: 64}
+			kind := config.NodeModel{Cores: 4, Queue: 4096, PerUnit: work, WritePer: 1, Conns: 64}
 			group := NewGroup()
 			var direct []string
 			for i := range nodesOfThroughput {
--- a/internal/platform/book.go
+++ b/internal/platform/book.go
@@ -120,7 +120,7 @@
 
 func entry(l *Listed, site *wire.Site) (endpoints.Endpoint, error) {
 	e := endpoints.Endpoint{Server: serverOf(l.ID), Cell: uint16(l.Cell), Zone: site.Zone(l.Zone),
-		MachineType: site.Kind(l.Kind), NominalCapacity: l.Weight}
+		MachineType: site.MachineType(l.Kind), NominalCapacity: l.Weight}
 	switch l.Lifecycle {
 	case "ready":
 		e.Status = scheduler.Ready
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -125,8 +125,8 @@
 	c.Known = f.Known
 	// A pushed list comes from the machine's agent on a watch that has to be kept open like any other: the
 	// module is to ask for it.
-	if c.Pushed = !c.Site.Control.PollEndpoints; c.Pushed {
-		set := &c.Site.Control
+	if c.Pushed = !c.Site.Settings.PollEndpoints; c.Pushed {
+		set := &c.Site.Settings
 		set.PollEndpoints, set.PollTimeout, set.PushGrace = true, 0, set.DrainGrace
 	}
 	return c, c.peers(f)
@@ -152,8 +152,8 @@
 }
 
 func (c *Config) peers(f file) error {
-	if !c.Site.Control.PeerMessages || f.PeerListen == "" {
-		c.Site.Control.PeerMessages = false
+	if !c.Site.Settings.PeerMessages || f.PeerListen == "" {
+		c.Site.Settings.PeerMessages = false
 		return nil
 	}
 	var err error
--- a/internal/platform/crossings_lists_test.go
+++ b/internal/platform/crossings_lists_test.go
@@ -397,5 +397,5 @@
 	})
 	eventually(t, "it has been asked for some time", func() bool { return l.calls() > 5 })
 	close(back)
-	r.holds(9, time.Now().Add(r.s.cfg.Site.Control.DrainGrace))
+	r.holds(9, time.Now().Add(r.s.cfg.Site.Settings.DrainGrace))
 }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -159,7 +159,7 @@
 	if ask.Plan = slices.Index(f.site.Plans, values[fieldPlan]); ask.Plan < 0 {
 		return bad(fieldPlan + " names no plan of the settings")
 	}
-	class := &f.site.Control.Classes[ask.Class]
+	class := &f.site.Settings.Classes[ask.Class]
 	wait, err := strconv.ParseFloat(values[fieldBudget], 64)
 	if err != nil || !(wait > 0 && wait <= longestWait.Seconds()) ||
 		strings.Trim(values[fieldBudget], "0123456789.") != "" {
@@ -243,7 +243,7 @@
 		case "units":
 			ask.Units, err = strconv.ParseFloat(value, 64)
 			if err != nil || !(ask.Units > 0) || ask.Units != math.Trunc(ask.Units) ||
-				ask.Units > max(1, f.site.Control.MaxUnits) {
+				ask.Units > max(1, f.site.Settings.MaxUnits) {
 				return bad(fieldExtent + ": units out of range")
 			}
 		case "shard":
@@ -257,7 +257,7 @@
 			}
 		case "hosts":
 			if ask.VolumeInstances, err = strconv.Atoi(value); err != nil || ask.VolumeInstances < 1 ||
-				ask.VolumeInstances > max(1, f.site.Control.Instances) {
+				ask.VolumeInstances > max(1, f.site.Settings.Instances) {
 				return bad(fieldExtent + ": hosts out of range")
 			}
 		}
@@ -291,8 +291,8 @@
 		f.forget(e)
 		f.counts.crowded.Add(1)
 		f.log.Debug("refused", "reason", why, "id", e.id)
-		advice := f.site.Control.MaxRetryAfter
-		if !f.site.Control.RetryAfter {
+		advice := f.site.Settings.MaxRetryAfter
+		if !f.site.Settings.RetryAfter {
 			advice = 0
 		}
 		e.write(proto.Answer{Code: proto.Rejected, Reason: why, RetryAfter: advice}, nil)
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -263,7 +263,7 @@
 }
 
 func (n *nodes) idleFor() time.Duration {
-	if t := n.cfg.Site.IdleClose; t > 0 {
+	if t := n.cfg.Site.IdleTimeout; t > 0 {
 		return time.Duration(idlePart * float64(t))
 	}
 	return longestRead
@@ -331,7 +331,7 @@
 }
 
 func (n *nodes) connectTimeout() time.Duration {
-	if t := n.cfg.Site.Control.ConnectTimeout; t > 0 {
+	if t := n.cfg.Site.Settings.ConnectTimeout; t > 0 {
 		return t
 	}
 	return time.Second
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -45,7 +45,7 @@
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		number := slices.Index(p.cfg.Peers, from)
-		if number < 0 || number == p.cfg.Site.Control.InstanceIndex || n > maxDatagram {
+		if number < 0 || number == p.cfg.Site.Settings.InstanceIndex || n > maxDatagram {
 			continue
 		}
 		core.ReceivePeerMessage(scheduler.PeerMessage{From: uint32(number), Body: slices.Clone(buf[:n])})
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -48,8 +48,8 @@
 	b.lingering = max(2, b.clients/lingeringPart)
 	b.clients -= b.lingering
 	b.open = b.clients
-	if c.Site.MostOpen > 0 {
-		b.open = min(b.open, c.Site.MostOpen)
+	if c.Site.MaxOpenRequests > 0 {
+		b.open = min(b.open, c.Site.MaxOpenRequests)
 	}
 	return b
 }
@@ -121,9 +121,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("key %q: %w", "known", err)
 	}
-	last, end := stopTimes(&cfg.Site.Control)
-	s.core = daemon.NewEventLoop(daemon.EventLoopConfig{Seed: cfg.Seed, Settings: cfg.Site.Control,
-		BatchInterval: cfg.Site.Control.BatchInterval, ResponseMargin: transit,
+	last, end := stopTimes(&cfg.Site.Settings)
+	s.core = daemon.NewEventLoop(daemon.EventLoopConfig{Seed: cfg.Seed, Settings: cfg.Site.Settings,
+		BatchInterval: cfg.Site.Settings.BatchInterval, ResponseMargin: transit,
 		AnswerSlack:      cfg.Site.AnswerSlack + lateSlack,
 		InitialList:      endpoints.Snapshot{Version: news.Version, Endpoints: news.Endpoints},
 		TrustInitialList: cfg.Known != nil, NodeName: s.book.name, ShutdownTimeout: end - last, Log: s.log})
@@ -149,7 +149,7 @@
 
 // stopBy is when a scheduler that was asked to end has to have ended, its connections lingering included.
 func (s *Scheduler) stopBy() time.Time {
-	_, end := stopTimes(&s.cfg.Site.Control)
+	_, end := stopTimes(&s.cfg.Site.Settings)
 	return s.termAt.Add(end + killMargin/2)
 }
 
@@ -241,7 +241,7 @@
 		return
 	case <-s.term:
 	}
-	last, end := stopTimes(&s.cfg.Site.Control)
+	last, end := stopTimes(&s.cfg.Site.Settings)
 	s.front.staying.Store(true)
 	s.log.Info("scheduler stops", "cause", "asked", "serves", last, "ends", end)
 	if !wait(last) {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -229,7 +229,7 @@
 func TestTermServesThenEnds(t *testing.T) {
 	d := newDisk(t, func(int, *got) []byte { time.Sleep(20 * time.Millisecond); return ok("ok") })
 	r := start(t, 256, d)
-	last, end := stopTimes(&r.s.cfg.Site.Control)
+	last, end := stopTimes(&r.s.cfg.Site.Settings)
 	c := r.dial()
 	began := time.Now()
 	r.s.Term()
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -21,13 +21,13 @@
 // Site is an instance's settings with what a running program needs of them beside the module's: names as
 // clients and the list use them, and the figures of connections.
 type Site struct {
-	Control        scheduler.Settings
-	Classes, Plans []string
-	Zones, Kinds   []string
-	Shards         int
-	MostOpen       int
-	IdleClose      time.Duration
-	AnswerSlack    time.Duration
+	Settings            scheduler.Settings
+	Classes, Plans      []string
+	Zones, MachineTypes []string
+	Shards              int
+	MaxOpenRequests     int
+	IdleTimeout         time.Duration
+	AnswerSlack         time.Duration
 }
 
 // ParseNested reads the settings of a first message in their nested JSON form. They are flattened to the
@@ -117,13 +117,13 @@
 
 // site reads what ParseSettings reads, and the rest of Site.
 func (p *parser) site() (Site, error) {
-	s := Site{Control: p.settings(), Zones: p.list("failure_domains"), Kinds: p.list("kinds"),
-		Shards: p.count("domain.shards"), MostOpen: p.whole("limits.max_open"),
-		IdleClose: p.span("limits.idle_close_ns"), AnswerSlack: p.span("rules.answer_slack_ns")}
-	for i := range s.Control.Classes {
+	s := Site{Settings: p.settings(), Zones: p.list("failure_domains"), MachineTypes: p.list("kinds"),
+		Shards: p.count("domain.shards"), MaxOpenRequests: p.whole("limits.max_open"),
+		IdleTimeout: p.span("limits.idle_close_ns"), AnswerSlack: p.span("rules.answer_slack_ns")}
+	for i := range s.Settings.Classes {
 		s.Classes = append(s.Classes, p.vals[fmt.Sprintf("classes.%d.name", i)])
 	}
-	for i := range s.Control.Plans {
+	for i := range s.Settings.Plans {
 		s.Plans = append(s.Plans, p.vals[fmt.Sprintf("contracts.%d.name", i)])
 	}
 	if p.err == nil && len(s.Classes) == 0 {
@@ -136,7 +136,7 @@
 func (s *Site) Zone(name string) uint8 { return place(s.Zones, name) }
 
 // Kind is the number of a machine kind.
-func (s *Site) Kind(name string) uint8 { return place(s.Kinds, name) }
+func (s *Site) MachineType(name string) uint8 { return place(s.MachineTypes, name) }
 
 func place(names []string, name string) uint8 {
 	if i := slices.Index(names, listed(name)); i >= 0 && i < 255 {
--- a/internal/wire/nested_test.go
+++ b/internal/wire/nested_test.go
@@ -80,12 +80,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(got.Control, want) {
-		t.Fatalf("nested\n%+v\nflat\n%+v", got.Control, want)
+	if !reflect.DeepEqual(got.Settings, want) {
+		t.Fatalf("nested\n%+v\nflat\n%+v", got.Settings, want)
 	}
 	if got.Classes[1] != "field-write" || got.Plans[0] != "standard" || got.Zone("hall b") != 1 ||
-		got.Zone("hall-z") != 255 || got.Shards != 9 || got.MostOpen != 333 ||
-		got.IdleClose.Seconds() != 15 ||
+		got.Zone("hall-z") != 255 || got.Shards != 9 || got.MaxOpenRequests != 333 ||
+		got.IdleTimeout.Seconds() != 15 ||
 		got.AnswerSlack.Milliseconds() != 8 {
 		t.Fatalf("beside the module's: %+v", got)
 	}
