--- a/cmd/landingpaddle/day.go
+++ b/cmd/landingpaddle/day.go
@@ -10,8 +10,8 @@
 
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/daemon"
-	"landingpaddle/internal/lab"
 	"landingpaddle/internal/sexpr"
+	"landingpaddle/internal/testbed"
 )
 
 type dayCmd struct {
@@ -28,20 +28,20 @@
 const siteFile = "site.lisp"
 
 type dayResult struct {
-	Day      string        `json:"day"`
-	Seed     uint64        `json:"seed"`
-	Verdicts []lab.Verdict `json:"rules"`
-	Worth    lab.Worth     `json:"worth"`
-	Baseline *lab.Worth    `json:"baseline,omitempty"`
-	Unmerged *lab.Worth    `json:"unmerged,omitempty"`
-	NotAsked int64         `json:"not_asked,omitempty"`
+	Day      string            `json:"day"`
+	Seed     uint64            `json:"seed"`
+	Verdicts []testbed.Verdict `json:"rules"`
+	Worth    testbed.Worth     `json:"worth"`
+	Baseline *testbed.Worth    `json:"baseline,omitempty"`
+	Unmerged *testbed.Worth    `json:"unmerged,omitempty"`
+	NotAsked int64             `json:"not_asked,omitempty"`
 }
 
 // Run plays the day; a broken rule is an error.
 func (c *dayCmd) Run(out io.Writer) error {
-	day, err := lab.BadDay()
+	day, err := testbed.BadDay()
 	if c.File != "" {
-		day, err = lab.ReadDay(c.File)
+		day, err = testbed.ReadDay(c.File)
 	}
 	if err != nil {
 		return err
@@ -60,10 +60,10 @@
 			return err
 		}
 	}
-	r := dayResult{Day: day.Name, Seed: c.Seed, Verdicts: lab.Audit(&day.Site, played.Events),
-		Worth: lab.WorthOf(&day.Site, played), NotAsked: played.NotAsked}
+	r := dayResult{Day: day.Name, Seed: c.Seed, Verdicts: testbed.Audit(&day.Site, played.Events),
+		Worth: testbed.WorthOf(&day.Site, played), NotAsked: played.NotAsked}
 	if c.Baseline {
-		if r.Baseline, err = c.again(&day, lab.Baseline(nil)); err != nil {
+		if r.Baseline, err = c.again(&day, testbed.Baseline(nil)); err != nil {
 			return err
 		}
 	}
@@ -77,30 +77,30 @@
 }
 
 // again plays a day once more for what is compared with it.
-func (c *dayCmd) again(day *lab.Day, hooks daemon.Hooks) (*lab.Worth, error) {
+func (c *dayCmd) again(day *testbed.Day, hooks daemon.Hooks) (*testbed.Worth, error) {
 	played, err := c.play(day, hooks)
 	if err != nil {
 		return nil, err
 	}
-	worth := lab.WorthOf(&day.Site, played)
+	worth := testbed.WorthOf(&day.Site, played)
 	return &worth, nil
 }
 
 // merges is an error where a day's site merges nothing, so that there is nothing to compare.
-func merges(day *lab.Day) error {
+func merges(day *testbed.Day) error {
 	if day.Site.Extents == nil {
 		return fmt.Errorf("%s: the site has no (extents …), nothing is merged", day.Name)
 	}
 	return nil
 }
 
-func (c *dayCmd) play(day *lab.Day, hooks daemon.Hooks) (*lab.Played, error) {
+func (c *dayCmd) play(day *testbed.Day, hooks daemon.Hooks) (*testbed.Played, error) {
 	dir, err := os.MkdirTemp("", "landingpaddle-day-*")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	opt := lab.Options{Seed: c.Seed, Dir: dir, Hooks: hooks}
+	opt := testbed.Options{Seed: c.Seed, Dir: dir, Hooks: hooks}
 	if c.Verbose {
 		if opt.Log, err = logger("info", false); err != nil {
 			return nil, err
@@ -108,10 +108,10 @@
 	}
 	ctx, cancel := signals(func() {})
 	defer cancel()
-	return lab.Play(ctx, day, opt)
+	return testbed.Play(ctx, day, opt)
 }
 
-func writeLogs(dir string, site *config.Site, events []lab.Event) error {
+func writeLogs(dir string, site *config.Site, events []testbed.Event) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 	if err := os.WriteFile(filepath.Join(dir, siteFile), text, 0o644); err != nil {
 		return err
 	}
-	return lab.WriteEvents(filepath.Join(dir, "day.jsonl"), events)
+	return testbed.WriteEvents(filepath.Join(dir, "day.jsonl"), events)
 }
 
 func (r *dayResult) print(out io.Writer, asJSON bool) error {
@@ -156,7 +156,7 @@
 	return enc.Encode(v)
 }
 
-func printVerdicts(out io.Writer, verdicts []lab.Verdict) {
+func printVerdicts(out io.Writer, verdicts []testbed.Verdict) {
 	for _, v := range verdicts {
 		word := "kept"
 		if !v.Kept {
@@ -166,7 +166,7 @@
 	}
 }
 
-func printWorth(out io.Writer, what string, w lab.Worth) {
+func printWorth(out io.Writer, what string, w testbed.Worth) {
 	fmt.Fprintf(out,
 		"  %s: worth %.3f of what was asked; %d asked, %d in time, %d late, %d refused, %d failed, "+
 			"%d without answer; %d sends, %d of them for nothing\n"+
@@ -188,12 +188,12 @@
 	if err := config.Load(filepath.Join(c.Dir, siteFile), "site", &site); err != nil {
 		return err
 	}
-	events, err := lab.ReadDir(c.Dir)
+	events, err := testbed.ReadDir(c.Dir)
 	if err != nil {
 		return err
 	}
-	r := dayResult{Day: c.Dir, Verdicts: lab.Audit(&site, events)}
-	r.Worth = lab.WorthOf(&site, &lab.Played{Events: events})
+	r := dayResult{Day: c.Dir, Verdicts: testbed.Audit(&site, events)}
+	r.Worth = testbed.WorthOf(&site, &testbed.Played{Events: events})
 	return r.print(out, c.JSON)
 }
 
@@ -212,7 +212,7 @@
 	}
 	head := nodes[0].Head()
 	inst, node := config.DefaultInstance(), config.DefaultNode()
-	list, day, site := config.DefaultRegistry(), lab.DefaultDay(), config.DefaultSite()
+	list, day, site := config.DefaultRegistry(), testbed.DefaultDay(), config.DefaultSite()
 	into := map[string]any{"instance": &inst, "node": &node, "list": &list, "day": &day, "site": &site}[head]
 	if into == nil {
 		return sexpr.Errorf(nodes[0].Pos, "found %q; want instance, node, list, day or site", head)
--- a/cmd/landingpaddle/standins.go
+++ b/cmd/landingpaddle/standins.go
@@ -11,9 +11,9 @@
 
 	"landingpaddle/endpoints"
 	"landingpaddle/internal/config"
-	"landingpaddle/internal/lab"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/registry"
+	"landingpaddle/internal/testbed"
 	"landingpaddle/scheduler"
 )
 
@@ -30,12 +30,12 @@
 	if err := config.Load(c.Config, "node", &set); err != nil {
 		return err
 	}
-	events, group := lab.NewLog(), lab.NewGroup()
-	n, err := lab.NewNode(lab.NodeConfig{Number: set.Number, Cell: set.Cell,
+	events, group := testbed.NewLog(), testbed.NewGroup()
+	n, err := testbed.NewNode(testbed.NodeConfig{Number: set.Number, Cell: set.Cell,
 		Zone: uint8(set.Site.Zone(set.Zone)), Kind: set.Model, Site: &set.Site, List: set.Registry.String(),
 		Addr: set.Listen.AddrPort, Seed: set.Seed,
-		Log: events, Meter: lab.NewMeter(set.Site.MeterPeriod), Cold: true,
-		Groups: func(scheduler.DedupScope) *lab.Group { return group }})
+		Log: events, Meter: testbed.NewMeter(set.Site.MeterPeriod), Cold: true,
+		Groups: func(scheduler.DedupScope) *testbed.Group { return group }})
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 	return orWrite(err, events, c.Log)
 }
 
-func orWrite(err error, events *lab.Log, path string) error {
+func orWrite(err error, events *testbed.Log, path string) error {
 	if err == nil && path != "" {
 		return events.WriteFile(path)
 	}
@@ -70,10 +70,10 @@
 	if err != nil {
 		return err
 	}
-	events := lab.NewLog()
+	events := testbed.NewLog()
 	told := func(instance uint32, e endpoints.Endpoint) {
 		addr := registry.AddrPortOf(e.Server).String()
-		events.Add(lab.Event{Kind: lab.KindTold, Inst: int(instance), Node: -1, Boot: e.StartedAt,
+		events.Add(testbed.Event{Kind: testbed.KindTold, Inst: int(instance), Node: -1, Boot: e.StartedAt,
 			Status: e.Status.String(), Reason: addr})
 	}
 	s := registry.NewServer(registry.ServerConfig{Epoch: uint64(time.Now().UnixNano()), Delay: set.Delay,
@@ -104,8 +104,8 @@
 	if c.Count < 1 || c.Count > 100_000 || c.Rate <= 0 || c.Cells < 1 || c.Volumes < 1 {
 		return fmt.Errorf("count is 1 to 100000; rate, cells and volumes are over 0")
 	}
-	events := lab.NewLog()
-	client := lab.NewClient(0, events, c.To, lab.Habit{})
+	events := testbed.NewLog()
+	client := testbed.NewClient(0, events, c.To, testbed.Habit{})
 	ctx, cancel := signals(func() {})
 	defer cancel()
 	var mu sync.Mutex
--- a/internal/lab/faults.go
+++ b/internal/testbed/faults.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"math/rand/v2"
--- a/internal/lab/log.go
+++ b/internal/testbed/log.go
@@ -1,6 +1,6 @@
 // Package lab is the laboratory: stand-ins for clients and nodes, days with faults, and the audit that
 // judges the rules from what passed on the sockets. Nothing on the daemon's path imports it.
-package lab
+package testbed
 
 import (
 	"bufio"
