--- a/cmd/landingpaddle/day.go
+++ b/cmd/landingpaddle/day.go
@@ -31,17 +31,17 @@
 	Day      string            `json:"day"`
 	Seed     uint64            `json:"seed"`
 	Verdicts []testbed.Verdict `json:"rules"`
-	Worth    testbed.Worth     `json:"worth"`
-	Baseline *testbed.Worth    `json:"baseline,omitempty"`
-	Unmerged *testbed.Worth    `json:"unmerged,omitempty"`
+	Worth    testbed.Summary   `json:"worth"`
+	Baseline *testbed.Summary  `json:"baseline,omitempty"`
+	Unmerged *testbed.Summary  `json:"unmerged,omitempty"`
 	NotAsked int64             `json:"not_asked,omitempty"`
 }
 
 // Run plays the day; a broken rule is an error.
 func (c *dayCmd) Run(out io.Writer) error {
-	day, err := testbed.BadDay()
+	day, err := testbed.FaultScenario()
 	if c.File != "" {
-		day, err = testbed.ReadDay(c.File)
+		day, err = testbed.ReadScenario(c.File)
 	}
 	if err != nil {
 		return err
@@ -60,8 +60,8 @@
 			return err
 		}
 	}
-	r := dayResult{Day: day.Name, Seed: c.Seed, Verdicts: testbed.Audit(&day.Site, played.Events),
-		Worth: testbed.WorthOf(&day.Site, played), NotAsked: played.NotAsked}
+	r := dayResult{Day: day.Name, Seed: c.Seed, Verdicts: testbed.CheckInvariants(&day.Site, played.Events),
+		Worth: testbed.Summarize(&day.Site, played), NotAsked: played.Suppressed}
 	if c.Baseline {
 		if r.Baseline, err = c.again(&day, testbed.Baseline(nil)); err != nil {
 			return err
@@ -77,24 +77,24 @@
 }
 
 // again plays a day once more for what is compared with it.
-func (c *dayCmd) again(day *testbed.Day, hooks daemon.Hooks) (*testbed.Worth, error) {
+func (c *dayCmd) again(day *testbed.Scenario, hooks daemon.Hooks) (*testbed.Summary, error) {
 	played, err := c.play(day, hooks)
 	if err != nil {
 		return nil, err
 	}
-	worth := testbed.WorthOf(&day.Site, played)
+	worth := testbed.Summarize(&day.Site, played)
 	return &worth, nil
 }
 
 // merges is an error where a day's site merges nothing, so that there is nothing to compare.
-func merges(day *testbed.Day) error {
+func merges(day *testbed.Scenario) error {
 	if day.Site.Extents == nil {
 		return fmt.Errorf("%s: the site has no (extents …), nothing is merged", day.Name)
 	}
 	return nil
 }
 
-func (c *dayCmd) play(day *testbed.Day, hooks daemon.Hooks) (*testbed.Played, error) {
+func (c *dayCmd) play(day *testbed.Scenario, hooks daemon.Hooks) (*testbed.Recording, error) {
 	dir, err := os.MkdirTemp("", "landingpaddle-day-*")
 	if err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 	}
 	ctx, cancel := signals(func() {})
 	defer cancel()
-	return testbed.Play(ctx, day, opt)
+	return testbed.RunScenario(ctx, day, opt)
 }
 
 func writeLogs(dir string, site *config.Site, events []testbed.Event) error {
@@ -166,7 +166,7 @@
 	}
 }
 
-func printWorth(out io.Writer, what string, w testbed.Worth) {
+func printWorth(out io.Writer, what string, w testbed.Summary) {
 	fmt.Fprintf(out,
 		"  %s: worth %.3f of what was asked; %d asked, %d in time, %d late, %d refused, %d failed, "+
 			"%d without answer; %d sends, %d of them for nothing\n"+
@@ -192,8 +192,8 @@
 	if err != nil {
 		return err
 	}
-	r := dayResult{Day: c.Dir, Verdicts: testbed.Audit(&site, events)}
-	r.Worth = testbed.WorthOf(&site, &testbed.Played{Events: events})
+	r := dayResult{Day: c.Dir, Verdicts: testbed.CheckInvariants(&site, events)}
+	r.Worth = testbed.Summarize(&site, &testbed.Recording{Events: events})
 	return r.print(out, c.JSON)
 }
 
@@ -212,7 +212,7 @@
 	}
 	head := nodes[0].Head()
 	inst, node := config.DefaultInstance(), config.DefaultNode()
-	list, day, site := config.DefaultRegistry(), testbed.DefaultDay(), config.DefaultSite()
+	list, day, site := config.DefaultRegistry(), testbed.DefaultScenario(), config.DefaultSite()
 	into := map[string]any{"instance": &inst, "node": &node, "list": &list, "day": &day, "site": &site}[head]
 	if into == nil {
 		return sexpr.Errorf(nodes[0].Pos, "found %q; want instance, node, list, day or site", head)
--- a/cmd/landingpaddle/standins.go
+++ b/cmd/landingpaddle/standins.go
@@ -73,8 +73,10 @@
 	events := testbed.NewLog()
 	told := func(instance uint32, e endpoints.Endpoint) {
 		addr := registry.AddrPortOf(e.Server).String()
-		events.Add(testbed.Event{Kind: testbed.KindTold, Inst: int(instance), Node: -1, Boot: e.StartedAt,
-			Status: e.Status.String(), Reason: addr})
+		events.Add(
+			testbed.Event{Kind: testbed.KindAcknowledged, Inst: int(instance), Node: -1, Boot: e.StartedAt,
+				Status: e.Status.String(), Reason: addr},
+		)
 	}
 	s := registry.NewServer(registry.ServerConfig{Epoch: uint64(time.Now().UnixNano()), Delay: set.Delay,
 		Workers: set.Workers, CallTime: set.CallTime, MaxWait: set.MaxWait, OnAcknowledged: told})
@@ -105,7 +107,7 @@
 		return fmt.Errorf("count is 1 to 100000; rate, cells and volumes are over 0")
 	}
 	events := testbed.NewLog()
-	client := testbed.NewClient(0, events, c.To, testbed.Habit{})
+	client := testbed.NewClient(0, events, c.To, testbed.ClientBehavior{})
 	ctx, cancel := signals(func() {})
 	defer cancel()
 	var mu sync.Mutex
--- a/cmd/landingpaddle/sweep.go
+++ b/cmd/landingpaddle/sweep.go
@@ -29,7 +29,7 @@
 // swept is what a day came to with one value of a bound.
 type swept struct {
 	value string
-	testbed.Worth
+	testbed.Summary
 }
 
 // set puts a value of the bound into the settings.
@@ -58,7 +58,7 @@
 	fmt.Fprintf(out, "%-10s %8s %8s %8s %12s %8s %8s\n", c.Bound, "worth", "served", "ops", "ops/served",
 		"p50 ms", "p99 ms")
 	for _, value := range c.Values {
-		day, err := testbed.ReadDay(c.File)
+		day, err := testbed.ReadScenario(c.File)
 		if err != nil {
 			return err
 		}
@@ -74,12 +74,12 @@
 		if err != nil {
 			return err
 		}
-		for _, v := range testbed.Audit(&day.Site, played.Events) {
+		for _, v := range testbed.CheckInvariants(&day.Site, played.Events) {
 			if !v.Kept {
 				return errBroken{fmt.Sprintf("%s %s: %s broken: %s", c.Bound, value, v.Rule, v.First)}
 			}
 		}
-		w := testbed.WorthOf(&day.Site, played)
+		w := testbed.Summarize(&day.Site, played)
 		fmt.Fprintf(out, "%-10s %8.3f %8d %8d %12.2f %8.0f %8.0f\n", value, w.Share, w.Served(), w.Ops,
 			w.OpsEach(), w.P50, w.P99)
 		all = append(all, swept{value, w})
--- a/internal/testbed/audit.go
+++ b/internal/testbed/audit.go
@@ -92,7 +92,7 @@
 }
 
 // Audit judges all rules.
-func Audit(site *config.Site, events []Event) []Verdict {
+func CheckInvariants(site *config.Site, events []Event) []Verdict {
 	a := &audit{site: site, events: slices.Clone(events), out: map[string]*Verdict{},
 		stalls: map[int][]span{}, stuck: map[int][]span{}, kills: map[int][]int64{}, zones: map[int]int{},
 		nodes: map[string]int{},
@@ -165,22 +165,22 @@
 		id := tryID{e.Token, e.Try}
 		key := open{id, e.Piece, e.Node, e.Attempt}
 		switch e.Kind {
-		case KindPulse:
+		case KindProcessStalled:
 			a.still = append(a.still, span{e.T - e.Wait, e.T})
-		case KindStall:
+		case KindInstanceStalled:
 			a.stalls[e.Inst] = append(a.stalls[e.Inst], span{e.T, e.T + e.Wait})
-		case KindStuck:
+		case KindConnectionsStuck:
 			a.stuck[e.Node] = append(a.stuck[e.Node], span{e.T, e.T + e.Wait})
-		case KindKill:
+		case KindInstanceKilled:
 			a.kills[e.Inst] = append(a.kills[e.Inst], e.T)
-		case KindBoot:
+		case KindNodeStarted:
 			a.zones[e.Node] = e.Zone
 			a.nodes[e.Reason] = e.Node
 		case KindSent:
 			t := &tryLog{sent: e}
 			a.tries[id] = t
 			a.sent = append(a.sent, t)
-		case KindAnswer, KindBroken, KindLeft, KindWaited:
+		case KindAnswer, KindBroken, KindClientLeft, KindTimedOut:
 			if t := a.tries[id]; t != nil {
 				t.ends = append(t.ends, e)
 			}
@@ -190,7 +190,7 @@
 			if t := a.tries[id]; t != nil {
 				t.attempts = append(t.attempts, at)
 			}
-		case KindFull, KindMoot, KindRepeat, KindEnd, KindCancel:
+		case KindOverloaded, KindNotApplicable, KindRepeat, KindEnd, KindCancel:
 			if at := live[key]; at != nil {
 				at.code = e.Code
 				at.effect = e.Kind == KindEnd && e.Write
@@ -200,11 +200,11 @@
 			if at := live[key]; at != nil && at.replied == 0 {
 				at.replied = e.T
 			}
-		case KindCalled:
+		case KindCancelArrived:
 			if at := live[key]; at != nil && at.called == 0 {
 				at.called = e.T
 			}
-		case KindDown:
+		case KindNodeStopped:
 			for k, at := range live {
 				if k.node == e.Node && at.replied == 0 && at.called == 0 {
 					at.called = e.T
@@ -242,7 +242,7 @@
 			switch e.Kind {
 			case KindAnswer:
 				answers++
-			case KindLeft:
+			case KindClientLeft:
 				left = true
 			case KindBroken:
 				broken = true
@@ -355,7 +355,7 @@
 	}
 	for _, e := range a.events {
 		switch e.Kind {
-		case KindUp:
+		case KindInstanceStarted:
 			for p := range told {
 				if p.inst == e.Inst {
 					delete(told, p)
@@ -367,7 +367,7 @@
 			if s.since == 0 {
 				s.since = e.T
 			}
-		case KindTold:
+		case KindAcknowledged:
 			if e.Reason != "" {
 				node, ok := a.nodes[e.Reason]
 				if !ok {
@@ -404,7 +404,7 @@
 			if e.Boot != 0 && e.T-e.Boot < int64(a.site.Rules.SlowStartPeriod) {
 				a.out[RuleCold].Judged++
 			}
-		case KindFell:
+		case KindCollapsed:
 			a.broke(RuleCold, e, "the node fell over")
 		}
 	}
@@ -483,7 +483,7 @@
 	taken, extras, up := map[int][]int64{}, map[int][]int64{}, map[int]int64{}
 	for _, e := range a.events {
 		switch {
-		case e.Kind == KindUp:
+		case e.Kind == KindInstanceStarted:
 			taken[e.Inst], extras[e.Inst], up[e.Inst] = nil, nil, e.T
 		case e.Kind == KindSent:
 			taken[e.Inst] = append(taken[e.Inst], e.T)
@@ -603,7 +603,7 @@
 }
 
 // Worth is what a day earned.
-type Worth struct {
+type Summary struct {
 	Asked   int     `json:"asked"` // operations; a client's retries belong to them
 	InTime  int     `json:"in_time"`
 	Late    int     `json:"late"`
@@ -620,14 +620,14 @@
 }
 
 // Served is how many operations were served, in time or late.
-func (w *Worth) Served() int { return w.InTime + w.Late }
+func (w *Summary) Served() int { return w.InTime + w.Late }
 
 // OpsEach is how many operations the nodes did for each that was served.
-func (w *Worth) OpsEach() float64 { return float64(w.Ops) / float64(max(1, w.Served())) }
+func (w *Summary) OpsEach() float64 { return float64(w.Ops) / float64(max(1, w.Served())) }
 
 // WorthOf adds up what was served, by the clients' logs: full worth within a class's aim from the first try
 // on, its late share after that, in units and by plan.
-func WorthOf(site *config.Site, p *Played) Worth {
+func Summarize(site *config.Site, p *Recording) Summary {
 	events := p.Events
 	type asked struct {
 		first Event
@@ -635,7 +635,7 @@
 		ended bool
 	}
 	ops := map[uint64]*asked{}
-	var w Worth
+	var w Summary
 	replies := 0
 	type operation struct {
 		node int
--- a/internal/testbed/audit_test.go
+++ b/internal/testbed/audit_test.go
@@ -17,9 +17,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // smallDay is a short day for one rule; the forms given are added to it.
-func smallDay(t *testing.T, classes, rules, more string) *Day {
+func smallDay(t *testing.T, classes, rules, more string) *Scenario {
 	t.Helper()
-	d, err := ParseDay("small.lisp", fmt.Appendf(nil, `(day (length 3s) (instances 2)
+	d, err := ParseScenario("small.lisp", fmt.Appendf(nil, `(day (length 3s) (instances 2)
   (nodes 3 (kind (cores 2) (queue 64) (per-unit 2ms) (cancel-drops) (cancel-stops) (drain-notices)))
   (list (delay 50ms)) (clients 6 (retries 0))
   (site (zones a b c) (mean-units 2) (most-units 4) %s
@@ -46,7 +46,7 @@
 func TestTheAuditCatchesAMutantOfEachRule(t *testing.T) {
 	for _, c := range []struct {
 		rule   string
-		day    *Day
+		day    *Scenario
 		mutant daemon.Hooks
 	}{
 		{RuleAnswers, smallDay(t, readClass, "", reads), AnswerTwice()},
@@ -74,11 +74,11 @@
 				if mutant {
 					opt.Hooks = c.mutant
 				}
-				p, err := Play(context.Background(), c.day, opt)
+				p, err := RunScenario(context.Background(), c.day, opt)
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, v := range Audit(&c.day.Site, p.Events) {
+				for _, v := range CheckInvariants(&c.day.Site, p.Events) {
 					switch {
 					case v.Rule == c.rule && v.Judged == 0:
 						t.Errorf("mutant %v: nothing judged", mutant)
@@ -112,20 +112,20 @@
 	note := func(t int64, k Kind, token uint64, node, attempt int) Event {
 		return Event{T: at(t), Kind: k, Token: token, Node: node, Attempt: attempt, Write: true, Code: 100}
 	}
-	end := Event{T: at(9000), Kind: KindUp, Inst: 99}
+	end := Event{T: at(9000), Kind: KindInstanceStarted, Inst: 99}
 	for _, c := range []struct {
 		name   string
 		rule   string // "": all are kept
 		events []Event
 	}{
 		{"answered", "", []Event{sent(0, 1, 0, 1), note(100, KindAnswer, 1, 0, 0)}},
-		{"never answered", RuleAnswers, []Event{sent(0, 1, 0, 1), note(700, KindWaited, 1, 0, 0)}},
+		{"never answered", RuleAnswers, []Event{sent(0, 1, 0, 1), note(700, KindTimedOut, 1, 0, 0)}},
 		{"never answered by an instance that was killed", "", []Event{sent(0, 1, 0, 1),
-			{T: at(50), Kind: KindKill}, note(60, KindBroken, 1, 0, 0)}},
+			{T: at(50), Kind: KindInstanceKilled}, note(60, KindBroken, 1, 0, 0)}},
 		{"its connection broke by itself", RuleAnswers, []Event{sent(0, 1, 0, 1), note(60, KindBroken, 1, 0,
 			0)}},
 		{"late", RuleAnswers, []Event{sent(0, 1, 0, 1), note(600, KindAnswer, 1, 0, 0)}},
-		{"late while it stood still", "", []Event{sent(0, 1, 0, 1), {T: at(300), Kind: KindStall,
+		{"late while it stood still", "", []Event{sent(0, 1, 0, 1), {T: at(300), Kind: KindInstanceStalled,
 			Wait: ms(300)},
 			note(620, KindAnswer, 1, 0, 0)}},
 		{"sent after its answer", RuleAnswers, []Event{sent(0, 1, 0, 1), note(100, KindAnswer, 1, 0, 0),
@@ -133,23 +133,26 @@
 		{"an unsafe one sent again", RuleEffects, []Event{sent(0, 1, 2, 1), arrive(10, 1, 2, 0, 0),
 			arrive(20, 1, 2, 0, 1), note(100, KindAnswer, 1, 0, 0)}},
 		{"an unsafe one sent again after it was turned away", "", []Event{sent(0, 1, 2, 1),
-			arrive(10, 1, 2, 0, 0), {T: at(11), Kind: KindFull, Token: 1, Code: 302}, arrive(20, 1, 2, 0, 1),
+			arrive(10, 1, 2, 0, 0), {T: at(11), Kind: KindOverloaded, Token: 1, Code: 302}, arrive(20, 1,
+				2, 0, 1),
 			note(100, KindAnswer, 1, 0, 0)}},
 		{"a keyed one took effect twice", RuleEffects, []Event{sent(0, 1, 1, 1), arrive(10, 1, 1, 0, 0),
 			note(20, KindEnd, 1, 0, 0), note(21, KindReplied, 1, 0, 0), arrive(30, 1, 1, 0, 1),
 			note(40, KindEnd, 1, 0, 1), note(41, KindReplied, 1, 0, 1), note(100, KindAnswer, 1, 0, 0)}},
 		{"refused while it may have run", RuleEffects, []Event{sent(0, 1, 1, 1), arrive(10, 1, 1, 0, 0),
 			note(12, KindReplied, 1, 0, 0), {T: at(100), Kind: KindAnswer, Token: 1, Code: 400}}},
-		{"drained, within the grace", "", []Event{{T: at(0), Kind: KindTold, Status: "draining"}, sent(0, 1,
-			0,
-			1),
+		{"drained, within the grace", "", []Event{{T: at(0), Kind: KindAcknowledged, Status: "draining"},
+			sent(0, 1,
+				0,
+				1),
 			arrive(200, 1, 0, 0, 0), note(300, KindAnswer, 1, 0, 0)}},
-		{"drained, after the grace", RuleDrains, []Event{{T: at(0), Kind: KindTold, Status: "draining"},
+		{"drained, after the grace", RuleDrains, []Event{{T: at(0), Kind: KindAcknowledged,
+			Status: "draining"},
 			sent(0, 1, 0, 1), arrive(450, 1, 0, 0, 0), note(460, KindAnswer, 1, 0, 0)}},
 		{"a late list after the node's own notice", RuleDrains, []Event{{T: at(0), Kind: KindNotice, Boot: 5},
-			{T: at(1), Kind: KindTold, Status: "ready", Boot: 5}, sent(0, 1, 0, 1),
+			{T: at(1), Kind: KindAcknowledged, Status: "ready", Boot: 5}, sent(0, 1, 0, 1),
 			{T: at(450), Kind: KindArrive, Token: 1, Boot: 5}, note(460, KindAnswer, 1, 0, 0)}},
-		{"fell over", RuleCold, []Event{{T: at(1), Kind: KindFell, Token: 1}}},
+		{"fell over", RuleCold, []Event{{T: at(1), Kind: KindCollapsed, Token: 1}}},
 		{"keys in order", "", []Event{sent(0, 1, 1, 1), sent(1, 2, 1, 2), arrive(10, 1, 1, 0, 0),
 			note(20, KindReplied, 1, 0, 0), arrive(30, 2, 1, 0, 0), note(40, KindReplied, 2, 0, 0),
 			note(50, KindAnswer, 1, 0, 0), note(50, KindAnswer, 2, 0, 0)}},
@@ -160,14 +163,14 @@
 			note(20, KindReplied, 2, 0, 0), arrive(60, 1, 1, 0, 0), note(70, KindReplied, 1, 0, 0),
 			note(80, KindAnswer, 1, 0, 0), note(80, KindAnswer, 2, 0, 0)}},
 		{"no rest after a time-out", RuleOrder, []Event{sent(0, 1, 1, 1), sent(1, 2, 1, 2),
-			arrive(10, 1, 1, 0, 0), note(50, KindCalled, 1, 0, 0), arrive(60, 2, 1, 0, 0),
+			arrive(10, 1, 1, 0, 0), note(50, KindCancelArrived, 1, 0, 0), arrive(60, 2, 1, 0, 0),
 			note(70, KindReplied, 2, 0, 0), note(80, KindAnswer, 1, 0, 0), note(80, KindAnswer, 2, 0, 0)}},
 		{"one further attempt", "", []Event{sent(0, 1, 0, 1), arrive(1, 1, 0, 0, 0), arrive(9, 1, 0, 0, 1),
 			note(80, KindAnswer, 1, 0, 0)}},
 		{"two further attempts", RuleBudget, []Event{sent(0, 1, 0, 1), arrive(1, 1, 0, 0, 0),
 			arrive(90, 1, 0, 0, 1), arrive(180, 1, 0, 0, 2), note(190, KindAnswer, 1, 0, 0)}},
 	} {
-		for _, v := range Audit(&d.Site, append(c.events, end)) {
+		for _, v := range CheckInvariants(&d.Site, append(c.events, end)) {
 			if v.Kept == (v.Rule == c.rule) {
 				t.Errorf("%s: %s kept is %v (%s)", c.name, v.Rule, v.Kept, v.First)
 			}
@@ -213,7 +216,7 @@
 		{"(traffic (class r) (plan p) (rate 1) (units 3 1))", "d:2:1: (units …) wants"},
 		{"(at 1s (surge (plan q) (times 2) (for 1s)))", "d:2:1: plan q"},
 	} {
-		_, err := ParseDay("d", []byte(base(c.more)))
+		_, err := ParseScenario("d", []byte(base(c.more)))
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.more, err, c.want)
 		}
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -9,11 +9,11 @@
 )
 
 // Habit is what clients do when a try was not served.
-type Habit struct {
-	Retries   int
-	Wait      time.Duration // before a retry
-	Heed      bool          // stay away as long as advised
-	Elsewhere bool          // go to another instance when this one cannot be reached
+type ClientBehavior struct {
+	Retries         int
+	RetryDelay      time.Duration // before a retry
+	HonorRetryAfter bool          // stay away as long as advised
+	FailOver        bool          // go to another instance when this one cannot be reached
 }
 
 // Client is a stand-in client: one connection to each instance that it uses, made when needed.
@@ -21,7 +21,7 @@
 	number int
 	log    *Log
 	addrs  []string // of instances
-	habit  Habit
+	habit  ClientBehavior
 
 	mu    sync.Mutex
 	conns map[int]*clientConn
@@ -46,7 +46,7 @@
 }
 
 // NewClient makes a client of the instances at those addresses.
-func NewClient(number int, log *Log, addrs []string, habit Habit) *Client {
+func NewClient(number int, log *Log, addrs []string, habit ClientBehavior) *Client {
 	return &Client{number: number, log: log, addrs: addrs, habit: habit, conns: map[int]*clientConn{}}
 }
 
@@ -189,11 +189,11 @@
 		if try >= c.habit.Retries || ctx.Err() != nil {
 			return Result{a.Code, time.Since(start), -1}
 		}
-		wait := c.habit.Wait
-		if c.habit.Heed {
+		wait := c.habit.RetryDelay
+		if c.habit.HonorRetryAfter {
 			wait = max(wait, a.RetryAfter)
 		}
-		if !reached && c.habit.Elsewhere {
+		if !reached && c.habit.FailOver {
 			at++
 		}
 		if time.Until(deadline) <= wait || !sleep(ctx, wait) {
@@ -252,14 +252,14 @@
 			e.Kind = KindBroken
 			cc.mu.Lock()
 			if cc.left {
-				e.Kind = KindLeft
+				e.Kind = KindClientLeft
 			}
 			cc.mu.Unlock()
 			c.log.Add(e)
 		}
 		return a, ok
 	case <-t.C:
-		e.Kind = KindWaited
+		e.Kind = KindTimedOut
 		c.log.Add(e)
 		return proto.Answer{}, true
 	case <-ctx.Done():
--- a/internal/testbed/day.go
+++ b/internal/testbed/day.go
@@ -36,10 +36,10 @@
 const mostOpen = 20_000
 
 // Played is what a day left behind.
-type Played struct {
-	Events   []Event
-	NotAsked int64
-	CPU      time.Duration // that this process took while traffic lasted
+type Recording struct {
+	Events     []Event
+	Suppressed int64
+	CPU        time.Duration // that this process took while traffic lasted
 }
 
 // cpuTime is what this process has used so far.
@@ -53,7 +53,7 @@
 
 // player runs one day.
 type player struct {
-	day   *Day
+	day   *Scenario
 	opt   Options
 	log   *Log
 	nodes []*Node
@@ -131,7 +131,7 @@
 }
 
 // Play runs a day on loopback sockets: instances, nodes, list service and clients in this process.
-func Play(ctx context.Context, day *Day, opt Options) (*Played, error) {
+func RunScenario(ctx context.Context, day *Scenario, opt Options) (*Recording, error) {
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
@@ -155,9 +155,9 @@
 	for i := range day.Traffic {
 		streams.Go(func() error { return p.stream(ctx, traffic, i) })
 	}
-	for i := range day.Troubles {
+	for i := range day.Faults {
 		g.Go(func() error {
-			t := &day.Troubles[i]
+			t := &day.Faults[i]
 			if sleep(traffic, time.Until(start.Add(t.At))) {
 				p.trouble(ctx, traffic, g, t)
 			}
@@ -165,7 +165,7 @@
 		})
 	}
 	_ = streams.Wait() // streams end with their traffic, not with errors
-	played := &Played{NotAsked: p.notAsked.Load(), CPU: cpuTime() - cpu}
+	played := &Recording{Suppressed: p.notAsked.Load(), CPU: cpuTime() - cpu}
 	for _, c := range p.cl {
 		c.Close()
 	}
@@ -214,7 +214,12 @@
 			return err
 		}
 	}
-	habit := Habit{d.Clients.Retries, d.Clients.Wait, d.Clients.Heed, d.Clients.Elsewhere}
+	habit := ClientBehavior{
+		d.Clients.Retries,
+		d.Clients.RetryDelay,
+		d.Clients.HonorRetryAfter,
+		d.Clients.FailOver,
+	}
 	for i := range d.Clients.Count {
 		p.cl = append(p.cl, NewClient(i, p.log, p.addrs, habit))
 	}
@@ -252,7 +257,7 @@
 	if !ok {
 		return
 	}
-	p.log.Add(Event{Kind: KindTold, Inst: int(inst), Node: node, Status: e.Status.String(),
+	p.log.Add(Event{Kind: KindAcknowledged, Inst: int(inst), Node: node, Status: e.Status.String(),
 		Boot: e.StartedAt})
 }
 
@@ -290,7 +295,7 @@
 	h.mu.Lock()
 	h.cancel = cancel
 	h.mu.Unlock()
-	p.log.Add(Event{Kind: KindUp, Inst: h.n})
+	p.log.Add(Event{Kind: KindInstanceStarted, Inst: h.n})
 	g.Go(func() error {
 		defer cancel()
 		if err := inst.Run(life); err != nil && life.Err() == nil {
@@ -305,7 +310,7 @@
 func (p *player) crash(ctx, traffic context.Context, g *errgroup.Group, n int, back time.Duration) {
 	h := p.insts[n]
 	h.mu.Lock()
-	p.log.Add(Event{Kind: KindKill, Inst: n})
+	p.log.Add(Event{Kind: KindInstanceKilled, Inst: n})
 	h.cancel()
 	h.mu.Unlock()
 	if back <= 0 || !sleep(traffic, back) {
@@ -325,7 +330,7 @@
 			return nil
 		}
 		if took := time.Since(before); took > over {
-			p.log.Add(Event{Kind: KindPulse, Wait: int64(took)})
+			p.log.Add(Event{Kind: KindProcessStalled, Wait: int64(took)})
 		}
 	}
 }
@@ -522,7 +527,7 @@
 // ---- Troubles ----
 
 // trouble plays one trouble to its end, or to the end of the traffic.
-func (p *player) trouble(ctx, traffic context.Context, g *errgroup.Group, t *Trouble) {
+func (p *player) trouble(ctx, traffic context.Context, g *errgroup.Group, t *Fault) {
 	each := func(nodes []int, d time.Duration, start, end func(*Node)) {
 		for _, n := range nodes {
 			start(p.nodes[n])
@@ -557,7 +562,7 @@
 		}
 	case t.Stall != nil:
 		for _, n := range t.Stall.Instances {
-			p.log.Add(Event{Kind: KindStall, Inst: n, Wait: int64(t.Stall.For)})
+			p.log.Add(Event{Kind: KindInstanceStalled, Inst: n, Wait: int64(t.Stall.For)})
 			p.insts[n].gate.close(t.Stall.For)
 		}
 	case t.Burst != nil:
@@ -617,7 +622,7 @@
 		each(t.Corrupt.Nodes, 0, func(n *Node) { n.Faults.Corrupt(1) }, none)
 	case t.Stuck != nil:
 		each(t.Stuck.Nodes, 0, func(n *Node) {
-			p.log.Add(Event{Kind: KindStuck, Node: n.cfg.Number, Wait: int64(t.Stuck.For)})
+			p.log.Add(Event{Kind: KindConnectionsStuck, Node: n.cfg.Number, Wait: int64(t.Stuck.For)})
 			n.Faults.Stick(t.Stuck.For)
 		}, none)
 	case t.Still != nil:
--- a/internal/testbed/dayfile.go
+++ b/internal/testbed/dayfile.go
@@ -11,7 +11,7 @@
 )
 
 // Day is a scripted day: a fleet, its traffic, and what goes wrong when.
-type Day struct {
+type Scenario struct {
 	Name      string        `s:"name"`
 	Length    time.Duration `s:"length,required" min:"100ms" max:"10m"`
 	Instances int           `s:"instances" min:"1" max:"512"`
@@ -20,7 +20,7 @@
 	Site      config.Site   `s:"site,required"`
 	Clients   ClientSet     `s:"clients"`
 	Traffic   []Traffic     `s:"traffic"`
-	Troubles  []Trouble     `s:"at"`
+	Faults    []Fault       `s:"at"`
 }
 
 // NodeSet is the nodes: all of one kind, dealt out over the zones in turn.
@@ -40,11 +40,11 @@
 
 // ClientSet is the clients and their habits.
 type ClientSet struct {
-	Count     int           `s:",arg"`
-	Retries   int           `s:"retries" min:"0" max:"10"`
-	Wait      time.Duration `s:"wait" min:"0s" max:"1m"`
-	Heed      bool          `s:"heed"`
-	Elsewhere bool          `s:"elsewhere"`
+	Count           int           `s:",arg"`
+	Retries         int           `s:"retries" min:"0" max:"10"`
+	RetryDelay      time.Duration `s:"wait" min:"0s" max:"1m"`
+	HonorRetryAfter bool          `s:"heed"`
+	FailOver        bool          `s:"elsewhere"`
 }
 
 // Traffic is one stream of requests: of one class, by the volumes of one plan.
@@ -96,7 +96,7 @@
 }
 
 // Trouble is one thing that goes wrong. Exactly one of its forms is given.
-type Trouble struct {
+type Fault struct {
 	At          time.Duration `s:",arg"`
 	Pos         sexpr.Pos     `s:",pos"`
 	Crash       *Crash        `s:"crash"`
@@ -216,7 +216,7 @@
 )
 
 // forms counts the forms given and lists the nodes and instances that they name.
-func (t *Trouble) forms() (count int, nodes, insts []int) {
+func (t *Fault) forms() (count int, nodes, insts []int) {
 	add := func(given bool, n, i []int) {
 		if given {
 			count++
@@ -257,7 +257,7 @@
 }
 
 // Check holds what binds fields to one another.
-func (d *Day) Check() error {
+func (d *Scenario) Check() error {
 	if d.Nodes.Count < 1 || d.Nodes.Count > 1024 || d.Clients.Count < 1 || d.Clients.Count > 4096 {
 		return fmt.Errorf("a day has 1 to 1024 nodes and 1 to 4096 clients")
 	}
@@ -269,8 +269,8 @@
 			return fmt.Errorf("traffic of fields: the site has no (extents …)")
 		}
 	}
-	for i := range d.Troubles {
-		t := &d.Troubles[i]
+	for i := range d.Faults {
+		t := &d.Faults[i]
 		count, nodes, insts := t.forms()
 		if count != 1 {
 			return sexpr.Errorf(t.Pos, "(at …) names %d troubles; want one", count)
@@ -298,23 +298,29 @@
 }
 
 // DefaultDay is a day before its file is read.
-func DefaultDay() Day {
-	return Day{Name: "day", Instances: 3, Nodes: NodeSet{Count: 4, Kind: config.DefaultNodeModel()},
+func DefaultScenario() Scenario {
+	return Scenario{Name: "day", Instances: 3, Nodes: NodeSet{Count: 4, Kind: config.DefaultNodeModel()},
 		List: ListSet{Delay: 200 * time.Millisecond, Workers: 2, CallTime: time.Millisecond,
 			MaxWait: 300 * time.Millisecond},
-		Clients: ClientSet{Count: 8, Retries: 1, Wait: 100 * time.Millisecond, Heed: true, Elsewhere: true},
-		Site:    config.DefaultSite()}
+		Clients: ClientSet{
+			Count:           8,
+			Retries:         1,
+			RetryDelay:      100 * time.Millisecond,
+			HonorRetryAfter: true,
+			FailOver:        true,
+		},
+		Site: config.DefaultSite()}
 }
 
 //go:embed bad-day.lisp
-var badDay []byte
+var faultScenario []byte
 
 // BadDay is the embedded day: every kind of trouble once.
-func BadDay() (Day, error) { return ParseDay("bad-day.lisp", badDay) }
+func FaultScenario() (Scenario, error) { return ParseScenario("bad-day.lisp", faultScenario) }
 
 // ParseDay reads a day.
-func ParseDay(name string, data []byte) (Day, error) {
-	d := DefaultDay()
+func ParseScenario(name string, data []byte) (Scenario, error) {
+	d := DefaultScenario()
 	nodes, err := sexpr.Parse(name, data)
 	if err != nil {
 		return d, err
@@ -324,8 +330,8 @@
 }
 
 // ReadDay reads a day's file.
-func ReadDay(path string) (Day, error) {
-	d := DefaultDay()
+func ReadScenario(path string) (Scenario, error) {
+	d := DefaultScenario()
 	err := config.Load(path, "day", &d)
 	return d, err
 }
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -8,7 +8,7 @@
 
 // Faults are what can be done to a stand-in node while it runs. The zero value is a healthy node. They
 // outlast the node's restarts: a slow machine stays slow.
-type Faults struct {
+type NodeFaults struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
 	slow      float64       // work takes so many times as long
@@ -22,37 +22,41 @@
 	stuckTill time.Time // connections neither read nor write
 }
 
-func (f *Faults) set(change func(*Faults)) {
+func (f *NodeFaults) set(change func(*NodeFaults)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
 // SetSlow makes work take so many times as long; 1 ends it.
-func (f *Faults) SetSlow(times float64) { f.set(func(f *Faults) { f.slow = times }) }
+func (f *NodeFaults) SetSlow(times float64) { f.set(func(f *NodeFaults) { f.slow = times }) }
 
 // SetNeighbour lets another program take a share of the machine, on and off; 0 ends it.
-func (f *Faults) SetNeighbour(share float64, on, off time.Duration) {
-	f.set(func(f *Faults) { f.share, f.on, f.off, f.since = share, on, off, time.Now() })
+func (f *NodeFaults) SetNeighbour(share float64, on, off time.Duration) {
+	f.set(func(f *NodeFaults) { f.share, f.on, f.off, f.since = share, on, off, time.Now() })
 }
 
 // SetLose loses a share of the answers; 0 ends it.
-func (f *Faults) SetLose(share float64) { f.set(func(f *Faults) { f.lose = share }) }
+func (f *NodeFaults) SetLose(share float64) { f.set(func(f *NodeFaults) { f.lose = share }) }
 
 // Corrupt damages the next answers on their way.
-func (f *Faults) Corrupt(n int) { f.set(func(f *Faults) { f.corrupt += n }) }
+func (f *NodeFaults) Corrupt(n int) { f.set(func(f *NodeFaults) { f.corrupt += n }) }
 
 // SetHang makes the node accept and never answer.
-func (f *Faults) SetHang(on bool) { f.set(func(f *Faults) { f.hang = on }) }
+func (f *NodeFaults) SetHang(on bool) { f.set(func(f *NodeFaults) { f.hang = on }) }
 
 // Still makes the node stand still for a while.
-func (f *Faults) Still(d time.Duration) { f.set(func(f *Faults) { f.stillTill = time.Now().Add(d) }) }
+func (f *NodeFaults) Still(d time.Duration) {
+	f.set(func(f *NodeFaults) { f.stillTill = time.Now().Add(d) })
+}
 
 // Stick stops all reading and writing on the node's connections for a while; they stay open.
-func (f *Faults) Stick(d time.Duration) { f.set(func(f *Faults) { f.stuckTill = time.Now().Add(d) }) }
+func (f *NodeFaults) Stick(d time.Duration) {
+	f.set(func(f *NodeFaults) { f.stuckTill = time.Now().Add(d) })
+}
 
 // gate holds connections up while they are stuck.
-func (f *Faults) gate() {
+func (f *NodeFaults) gate() {
 	f.mu.Lock()
 	d := time.Until(f.stuckTill)
 	f.mu.Unlock()
@@ -62,7 +66,7 @@
 }
 
 // factor is how many times as long work takes now.
-func (f *Faults) factor() float64 {
+func (f *NodeFaults) factor() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := max(f.slow, 0)
@@ -84,7 +88,7 @@
 )
 
 // answer draws what becomes of an answer.
-func (f *Faults) answer() fate {
+func (f *NodeFaults) answer() fate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -99,7 +103,7 @@
 	return fateSend
 }
 
-func (f *Faults) still() time.Duration {
+func (f *NodeFaults) still() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Until(f.stillTill)
--- a/internal/testbed/fields_test.go
+++ b/internal/testbed/fields_test.go
@@ -8,7 +8,7 @@
 )
 
 // fieldsDay reads and writes slices of fields over extents' edges, with what breaks operations.
-func fieldsDay(t *testing.T) *Day {
+func fieldsDay(t *testing.T) *Scenario {
 	site := "(extents (size 64KiB) (members 16) (cells 3))" + readClass + writeClass
 	d := smallDay(t, site, "(order-pause 50ms)",
 		`(traffic (class read) (plan free) (rate 1) (volumes 3) (units 1 2)
@@ -65,7 +65,7 @@
 				break
 			}
 		}
-		for _, v := range Audit(&d.Site, bent) {
+		for _, v := range CheckInvariants(&d.Site, bent) {
 			if v.Rule == RuleBytes && v.Kept {
 				t.Errorf("%s: not caught", name)
 			}
--- a/internal/testbed/forms_test.go
+++ b/internal/testbed/forms_test.go
@@ -55,19 +55,22 @@
 		},
 	)
 	line(Event{})
-	for _, kind := range []Kind{KindSent, KindAnswer, KindBroken, KindLeft, KindWaited, KindBoot, KindDown,
+	for _, kind := range []Kind{KindSent, KindAnswer, KindBroken, KindClientLeft, KindTimedOut,
+		KindNodeStarted, KindNodeStopped,
 		KindArrive,
-		KindFull, KindMoot, KindStart, KindEnd, KindRepeat, KindCancel, KindCalled, KindReplied, KindFell,
+		KindOverloaded, KindNotApplicable, KindStart, KindEnd, KindRepeat, KindCancel, KindCancelArrived,
+		KindReplied, KindCollapsed,
 		KindNotice,
-		KindTold, KindUp, KindKill, KindStall, KindStuck, KindPulse} {
+		KindAcknowledged, KindInstanceStarted, KindInstanceKilled, KindInstanceStalled,
+		KindConnectionsStuck, KindProcessStalled} {
 		line(kind)
 	}
 	line(Verdict{})
-	line(Worth{})
-	for _, v := range Audit(&config.Site{}, nil) {
+	line(Summary{})
+	for _, v := range CheckInvariants(&config.Site{}, nil) {
 		line(v.Rule)
 	}
-	day, err := BadDay()
+	day, err := FaultScenario()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -11,13 +11,13 @@
 )
 
 // play plays a day and checks that every rule is kept; it returns the events.
-func play(t *testing.T, d *Day) []Event {
+func play(t *testing.T, d *Scenario) []Event {
 	t.Helper()
-	p, err := Play(context.Background(), d, Options{Seed: 3, Dir: t.TempDir()})
+	p, err := RunScenario(context.Background(), d, Options{Seed: 3, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range Audit(&d.Site, p.Events) {
+	for _, v := range CheckInvariants(&d.Site, p.Events) {
 		if !v.Kept {
 			t.Errorf("%s: %s", v.Rule, v.First)
 		}
@@ -31,7 +31,7 @@
 	d := smallDay(t, readClass, "",
 		`(traffic (class read) (plan free) (rate 300) (volumes 4) (units 4 4) (writers 2))
 		(at 1s (crash (instances 0)))`)
-	d.Clients.Retries, d.Clients.Elsewhere, d.Clients.Wait = 2, true, 20*time.Millisecond
+	d.Clients.Retries, d.Clients.FailOver, d.Clients.RetryDelay = 2, true, 20*time.Millisecond
 	d.Nodes.Kind.PerUnit = 4 * time.Millisecond
 	lost, first, served := map[uint64]bool{}, map[uint64]int64{}, 0
 	for _, e := range play(t, d) {
@@ -68,7 +68,7 @@
 	var woke int64
 	after := 0
 	for _, e := range play(t, d) {
-		if e.Kind == KindStall {
+		if e.Kind == KindInstanceStalled {
 			woke = e.T + e.Wait
 		}
 		served := e.Kind == KindAnswer && e.Inst == 0 && e.Code == proto.OK
@@ -94,7 +94,7 @@
 	cold, warm := 0, 0
 	for _, e := range play(t, d) {
 		switch {
-		case e.Kind == KindBoot && e.Node == 1 && e.Boot != 0:
+		case e.Kind == KindNodeStarted && e.Node == 1 && e.Boot != 0:
 			back = e.T
 		case e.Kind == KindArrive && e.Node == 1 && back > 0 && e.T < back+int64(time.Second/2):
 			cold += e.Units
@@ -157,7 +157,7 @@
 	o := &op{conn: conn, stream: 1, members: []member{{}}, calledBy: func() {}}
 	l.answer(o, KindEnd, proto.OK)
 	events := node.cfg.Log.Events()
-	if last := events[len(events)-1]; last.Kind != KindCalled {
+	if last := events[len(events)-1]; last.Kind != KindCancelArrived {
 		t.Errorf("logged %+v", events)
 	}
 }
--- a/internal/testbed/log.go
+++ b/internal/testbed/log.go
@@ -22,30 +22,30 @@
 
 // The kinds. The first are the clients', then the nodes', the list service's and the day's.
 const (
-	KindSent    Kind = "sent"    // a client wrote a request to an instance
-	KindAnswer  Kind = "answer"  // and read a final answer
-	KindBroken  Kind = "broken"  // its connection ended before that
-	KindLeft    Kind = "left"    // the client ended its connection itself before that
-	KindWaited  Kind = "waited"  // its wait was over before that
-	KindBoot    Kind = "boot"    // a node started
-	KindDown    Kind = "down"    // a node's process ended
-	KindArrive  Kind = "arrive"  // a request reached a node
-	KindFull    Kind = "full"    // it turned it away
-	KindMoot    Kind = "moot"    // it does not hold the cell
-	KindStart   Kind = "start"   // work began
-	KindEnd     Kind = "end"     // work ended; a write has taken effect
-	KindRepeat  Kind = "repeat"  // dropped: the group remembers the operation
-	KindCancel  Kind = "cancel"  // called off; a write has not taken effect
-	KindCalled  Kind = "called"  // the call to cancel arrived, or the connection ended
-	KindReplied Kind = "replied" // an answer was written to the socket
-	KindFell    Kind = "fell"    // a cold node was pushed over
-	KindNotice  Kind = "notice"  // a node told an instance on its connection that it drains
-	KindTold    Kind = "told"    // an instance has acknowledged news of a node
-	KindUp      Kind = "up"      // an instance started
-	KindKill    Kind = "kill"    // an instance was killed
-	KindStall   Kind = "stall"   // an instance stood still, for Wait
-	KindStuck   Kind = "stuck"   // a node's connections were neither read nor written, for Wait
-	KindPulse   Kind = "pulse"   // the whole laboratory stood still, for Wait
+	KindSent             Kind = "sent"    // a client wrote a request to an instance
+	KindAnswer           Kind = "answer"  // and read a final answer
+	KindBroken           Kind = "broken"  // its connection ended before that
+	KindClientLeft       Kind = "left"    // the client ended its connection itself before that
+	KindTimedOut         Kind = "waited"  // its wait was over before that
+	KindNodeStarted      Kind = "boot"    // a node started
+	KindNodeStopped      Kind = "down"    // a node's process ended
+	KindArrive           Kind = "arrive"  // a request reached a node
+	KindOverloaded       Kind = "full"    // it turned it away
+	KindNotApplicable    Kind = "moot"    // it does not hold the cell
+	KindStart            Kind = "start"   // work began
+	KindEnd              Kind = "end"     // work ended; a write has taken effect
+	KindRepeat           Kind = "repeat"  // dropped: the group remembers the operation
+	KindCancel           Kind = "cancel"  // called off; a write has not taken effect
+	KindCancelArrived    Kind = "called"  // the call to cancel arrived, or the connection ended
+	KindReplied          Kind = "replied" // an answer was written to the socket
+	KindCollapsed        Kind = "fell"    // a cold node was pushed over
+	KindNotice           Kind = "notice"  // a node told an instance on its connection that it drains
+	KindAcknowledged     Kind = "told"    // an instance has acknowledged news of a node
+	KindInstanceStarted  Kind = "up"      // an instance started
+	KindInstanceKilled   Kind = "kill"    // an instance was killed
+	KindInstanceStalled  Kind = "stall"   // an instance stood still, for Wait
+	KindConnectionsStuck Kind = "stuck"   // a node's connections were neither read nor written, for Wait
+	KindProcessStalled   Kind = "pulse"   // the whole laboratory stood still, for Wait
 )
 
 // Event is one line of a log. T is in Unix nanoseconds of one clock for all that run in one process.
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -102,7 +102,7 @@
 // Node is a storage node's machine; a process of it runs while Run does. It may be run again after that.
 type Node struct {
 	cfg    NodeConfig
-	Faults Faults
+	Faults NodeFaults
 	ln     net.Listener
 	runs   int
 	disk   disk
@@ -212,8 +212,8 @@
 	n.mu.Lock()
 	n.life = l
 	n.mu.Unlock()
-	l.log(Event{Kind: KindBoot, Boot: l.told, Reason: n.cfg.Addr.String()})
-	defer l.log(Event{Kind: KindDown, Boot: l.told})
+	l.log(Event{Kind: KindNodeStarted, Boot: l.told, Reason: n.cfg.Addr.String()})
+	defer l.log(Event{Kind: KindNodeStopped, Boot: l.told})
 	g, ctx := errgroup.WithContext(ctx)
 	lim := proto.Limits{Header: 4 << 10, Payload: int(n.cfg.Site.Limits.MaxPayload),
 		Streams: n.cfg.Site.Limits.Streams, Backlog: 64 << 20}
@@ -420,7 +420,7 @@
 // group at once: a repeat that came before the core got to it would else be dropped, and nobody would have
 // done it.
 func (l *life) call(o *op) {
-	l.logOp(KindCalled, o, 0)
+	l.logOp(KindCancelArrived, o, 0)
 	k := l.n.cfg.Kind
 	l.mu.Lock()
 	if o.state == opWaits && k.Drops || o.state == opRuns && k.Stops {
@@ -444,7 +444,7 @@
 			continue
 		}
 		one := o.only(o.members[at])
-		l.logOp(KindCalled, one, 0)
+		l.logOp(KindCancelArrived, one, 0)
 		if o.state == opWaits && l.n.cfg.Kind.Drops && !o.members[at].repeat {
 			o.members[at].repeat = true // it takes no effect, and its end is noted now
 			l.logOp(KindCancel, one, proto.Cancelled)
@@ -501,12 +501,12 @@
 	keyed := class.Idempotency == config.Idempotency(scheduler.IdempotentByKey)
 	switch {
 	case fell:
-		l.log(Event{Kind: KindFell, Inst: o.inst, Token: o.req.Token, Boot: l.told})
+		l.log(Event{Kind: KindCollapsed, Inst: o.inst, Token: o.req.Token, Boot: l.told})
 		l.kill()
 	case o.req.Cell >= 0 && o.req.Cell != int32(l.n.cfg.Cell):
-		l.answer(o, KindMoot, proto.NotApplicable)
+		l.answer(o, KindNotApplicable, proto.NotApplicable)
 	case draining:
-		l.answer(o, KindFull, proto.Overloaded)
+		l.answer(o, KindOverloaded, proto.Overloaded)
 	case keyed && l.repeats(o):
 		l.answer(o, KindRepeat, proto.OK)
 	default:
@@ -514,7 +514,7 @@
 		case l.queue <- o:
 		default:
 			l.forget(o)
-			l.answer(o, KindFull, proto.Overloaded)
+			l.answer(o, KindOverloaded, proto.Overloaded)
 		}
 	}
 }
@@ -680,7 +680,11 @@
 	l.mu.Unlock()
 	o.conn.CloseStream(o.stream)
 	if o.conn.Send(proto.TypeAnswer, o.stream, a, payload) != nil {
-		l.logOp(KindCalled, o, code) // its connection ended just now: for the instance the attempt is over
+		l.logOp(
+			KindCancelArrived,
+			o,
+			code,
+		) // its connection ended just now: for the instance the attempt is over
 		return
 	}
 	l.logOp(KindReplied, o, code)
