--- a/cmd/adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts instances of the decision module and speaks the simulator's wire on standard input
+// Command simulator-adapter hosts instances of the decision module and speaks the simulator's wire on standard input
 // and output. Instances share nothing.
 package main
 
@@ -18,7 +18,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/landingpaddle/main.go
+++ b/cmd/storage-gateway/main.go
@@ -1,4 +1,4 @@
-// Command landingpaddle is the storage gateway: it runs instances of the scheduler, the stand-ins to run them
+// Command storage-gateway is the storage gateway: it runs instances of the scheduler, the stand-ins to run them
 // against, scripted days, and the audit of what passed on the sockets.
 package main
 
@@ -14,12 +14,15 @@
 	"github.com/alecthomas/kong"
 )
 
+// programName stands before each error and in the usage text.
+const programName = "storage-gateway"
+
 type cli struct {
 	Serve  serveCmd  `cmd:"" help:"Run one instance of the scheduler from a settings file (instance …)."`
 	Node   nodeCmd   `cmd:"" help:"Run a stand-in storage node from a settings file (node …)."`
 	List   listCmd   `cmd:"" help:"Run a stand-in list service from a settings file (list …)."`
 	Call   callCmd   `cmd:"" help:"Send requests to an instance as a stand-in client."`
-	Day    dayCmd    `cmd:"" help:"Play a whole day on loopback sockets in this process and judge the rules."`
+	Day    dayCmd    `cmd:"" aliases:"scenario" help:"Play a whole day on loopback sockets in this process and judge the rules."`
 	Sweep  sweepCmd  `cmd:"" help:"Play a day for several values of one bound on merging, and compare."`
 	Expect expectCmd `cmd:"" help:"Check what is expected of a fleet (fleet …), without traffic."`
 	Check  checkCmd  `cmd:"" help:"Check a settings file and print the settings in force."`
@@ -39,11 +42,11 @@
 func run(args []string, out, errs io.Writer) int {
 	var c cli
 	code := -1
-	parser, err := kong.New(&c, kong.Name("landingpaddle"), kong.UsageOnError(),
+	parser, err := kong.New(&c, kong.Name(programName), kong.UsageOnError(),
 		kong.Description("A storage gateway that schedules a host's reads and writes over storage nodes."),
 		kong.Writers(out, errs), kong.Exit(func(n int) { code = n }))
 	if err != nil {
-		fmt.Fprintln(errs, "landingpaddle:", err)
+		fmt.Fprintf(errs, "%s: %v\n", programName, err)
 		return 2
 	}
 	k, err := parser.Parse(args)
@@ -51,12 +54,12 @@
 		return code // help was asked for
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "landingpaddle:", err)
+		fmt.Fprintf(errs, "%s: %v\n", programName, err)
 		return 2
 	}
 	k.BindTo(out, (*io.Writer)(nil))
 	if err := k.Run(); err != nil {
-		fmt.Fprintln(errs, "landingpaddle:", err)
+		fmt.Fprintf(errs, "%s: %v\n", programName, err)
 		return 1
 	}
 	return 0
--- a/cmd/landingpaddle/main_test.go
+++ b/cmd/storage-gateway/main_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestMain(m *testing.M) {
-	testscript.Main(m, map[string]func(){"landingpaddle": main})
+	testscript.Main(m, map[string]func(){"storage-gateway": main})
 }
 
 // The scripts run the shipped examples as a user would, on ports that are free here.
--- a/examples/instance.lisp
+++ b/examples/instance.lisp
@@ -1,4 +1,4 @@
-; One instance of the scheduler: landingpaddle serve examples/instance.lisp
+; One instance of the scheduler: storage-gateway serve examples/instance.lisp
 (instance
   (number 0) (of 1) (zone hall-a) (listen 127.0.0.1:7120) (list 127.0.0.1:7100)
   (kept-list /tmp/landingpaddle-list-0) (learnt /tmp/landingpaddle-learnt-0) (stop-within 10s) (log-level info)
--- a/internal/config/programs.go
+++ b/internal/config/programs.go
@@ -35,7 +35,7 @@
 	Addr   Addr   `s:",arg"`
 }
 
-// Instance is the settings file of landingpaddle serve: (instance …).
+// Instance is the settings file of storage-gateway serve: (instance …).
 type Instance struct {
 	Number          int           `s:"number" min:"0" max:"65535"`
 	Instances       int           `s:"of" min:"1" max:"65535"`
@@ -95,7 +95,7 @@
 	return -1
 }
 
-// List is the settings file of landingpaddle list: (list …), a stand-in list service.
+// List is the settings file of storage-gateway list: (list …), a stand-in list service.
 type Registry struct {
 	Listen   Addr          `s:"listen,required"`
 	Delay    time.Duration `s:"delay" min:"0s" max:"10m"`
@@ -110,7 +110,7 @@
 		MaxWait: 500 * time.Millisecond}
 }
 
-// Node is the settings file of landingpaddle node: (node …), a stand-in node.
+// Node is the settings file of storage-gateway node: (node …), a stand-in node.
 type Node struct {
 	Number   int       `s:"number" min:"0" max:"65535"`
 	Listen   Addr      `s:"listen,required"`
--- a/internal/testbed/bad-day.lisp
+++ b/internal/testbed/bad-day.lisp
@@ -1,4 +1,4 @@
-; The bad day: a small fleet, every kind of trouble once, some at the same time. landingpaddle day plays it.
+; The bad day: a small fleet, every kind of trouble once, some at the same time. storage-gateway day plays it.
 (day
   (name "bad day")
   (length 24s)
