--- /dev/null
+++ b/scheduler/batching.go
@@ -0,0 +1,78 @@
+package scheduler
+
+// Batcher knows which queued requests could be sent to their node as one operation. It proposes; the
+// Scheduler decides on each member. Request IDs must not be 0 where a Batcher is used.
+type Batcher interface {
+	// Propose is told that a request is sent for the first time. It calls join for each other request that
+	// fits the operation, with the units that the whole operation counts including it; join reports whether
+	// the request becomes a member. Propose must not call the Scheduler.
+	Propose(id uint32, join func(id uint32, units float64) bool)
+}
+
+// SetBatcher lets queued requests be sent as one operation, as the batcher proposes. It must be called before
+// the first event.
+func (s *Scheduler) SetBatcher(b Batcher) { s.batcher = b }
+
+// operation is what an attempt that was just sent leads while others join it.
+type operation struct {
+	leader *request
+	node   *node
+	cost   float64 // slots
+}
+
+// mergeOperation lets queued requests join an attempt just sent. A member keeps its tag, plan, quota,
+// objective and its key's turn. The operation costs the slots of its size, even beyond the slot limit, which
+// then holds the next sends back.
+func (s *Scheduler) mergeOperation(leader *request, n *node) {
+	op := &operation{leader: leader, node: n, cost: leader.slotCost}
+	s.batcher.Propose(leader.ID, func(id uint32, units float64) bool {
+		r := s.requests[id]
+		if r == nil || !s.mayJoin(op, r, units) {
+			return false
+		}
+		s.join(op, r, units)
+		return true
+	})
+	leader.slotCost = op.cost
+}
+
+// mayJoin reports whether a queued request may become a member, the operation then counting so many units. It
+// joins in tag order, or ahead of it by no more than its volume's largest request, and the operation must not
+// end later for a member than alone, within the node's mean deviation.
+func (s *Scheduler) mayJoin(op *operation, r *request, units float64) bool {
+	leader, n, queue := op.leader, op.node, op.leader.shard
+	if !r.queued || r.attempts > 0 || r.shard != queue || r.class != leader.class {
+		return false
+	}
+	latency := s.recentLatency(n) + s.latency.sizeCorrection(leader.class, units)
+	aheadUnits := (r.startTag + r.tagAdvance - queue.virtualTime) * r.volume.plan.Weight
+	switch {
+	case r != queue.requests[0] && aheadUnits > s.settings.MaxUnits:
+		return false
+	case s.now+latency > min(r.objectiveAt, leader.objectiveAt):
+		return false
+	case !s.slowStartAllows(n, r.Units):
+		return false
+	case latency > min(s.expectedLatency(n, leader), s.expectedLatency(n, r))+n.deviation:
+		return false
+	}
+	return s.mayDispatch(r, n, leader)
+}
+
+// join sends a queued request as a member of an operation.
+func (s *Scheduler) join(op *operation, r *request, units float64) {
+	queue := op.leader.shard
+	if r == queue.requests[0] {
+		queue.virtualTime = max(queue.virtualTime, r.startTag)
+	}
+	cost := op.leader.class.slotCost(units)
+	op.node.slotsUsed += cost - op.cost
+	op.cost, op.leader.operationUnits = cost, units
+	s.backlog.dequeue(r)
+	s.sendAttempt(r, op.node, op.leader)
+}
+
+// isMemberOf reports whether a request is in flight as a member, or the leader, of an operation.
+func (r *request) isMemberOf(leader *request) bool {
+	return r.node != nil && (r == leader || r.leader == leader)
+}
--- a/scheduler/company_test.go
+++ b/scheduler/company_test.go
@@ -41,7 +41,7 @@
 	r := start(t, set, 1)
 	c := &crowd{most: 64}
 	r.h.SetBatcher(c)
-	n := r.h.nodes[server(0)]
+	n := r.h.endpoints.nodes[server(0)]
 	n.depth, n.deviation = 1, time.Second
 	return r, c, n
 }
@@ -72,7 +72,7 @@
 		t,
 		"slots, out, depth of the queue",
 		[]float64{n.slotsUsed, float64(len(n.inFlight)), float64(r.h.inFlight),
-			float64(len(r.h.shards[0].queue))},
+			float64(len(r.h.endpoints.shards[0].requests))},
 		4,
 		1,
 		4,
@@ -96,7 +96,7 @@
 	r.do(c.add(r.ask(nil)), c.add(r.ask(nil)), c.add(r.ask(nil)))
 	r.now += time.Second
 	for id := uint32(1); id <= 3; id++ {
-		r.h.reviewPending = false
+		r.h.review.pending = false
 		r.h.Handle(r.now, AttemptResult{ID: id, Server: server(0), Code: TimedOut, Latency: time.Second})
 	}
 	if want := 100*ms + time.Duration(lossGain*float64(time.Second)); n.latency != want {
@@ -138,9 +138,9 @@
 	r, c, n := crowded(t, settings())
 	n.latency, n.deviation = 100*ms, 10*time.Second
 	for range 20 {
-		r.h.allClasses.add(1, 0.1)
+		r.h.latency.allClasses.add(1, 0.1)
 	}
-	r.h.recentMean = 100 * ms
+	r.h.latency.recentMean = 100 * ms
 	r.do(c.add(r.ask(nil)), c.add(r.ask(func(q *Request) { q.ExpiresAt = r.now + 40*ms })))
 	if got := with(r.acts); len(got[1]) != 0 {
 		t.Errorf("a request of 40 ms patience joined one that takes 100 ms: %v", got)
@@ -164,10 +164,10 @@
 	r, c, n := crowded(t, settings())
 	for i := range 64 { // a unit takes 10 ms here
 		units := float64(1 + i%4)
-		r.h.allClasses.add(units, 0.01*units)
+		r.h.latency.allClasses.add(units, 0.01*units)
 		r.h.classes[0].latency.add(units, 0.01*units)
 	}
-	r.h.recentMean = seconds(r.h.allClasses.meanTime)
+	r.h.latency.recentMean = seconds(r.h.latency.allClasses.meanTime)
 	n.deviation = 15 * ms
 	var qs []Event
 	for range 6 {
@@ -192,7 +192,7 @@
 		h.Handle(now, EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{entry(0, Ready)}})
 		c := &crowd{most: rapid.IntRange(1, 12).Draw(t, "members"), units: map[uint32]float64{}}
 		h.SetBatcher(c)
-		n := h.nodes[server(0)]
+		n := h.endpoints.nodes[server(0)]
 		// One slot each: backfill, which lets a volume be ahead by some more, is not what this is about.
 		h.classes[0].count, h.classes[0].meanUnits = 1e9, set.MaxUnits
 		id, volume := uint32(0), map[uint32]int{}
@@ -244,7 +244,7 @@
 				}
 			}
 		}
-		if math.IsNaN(h.shards[0].virtualTime) {
+		if math.IsNaN(h.endpoints.shards[0].virtualTime) {
 			t.Fatal("virtual time is lost")
 		}
 	})
--- a/scheduler/control_test.go
+++ b/scheduler/control_test.go
@@ -69,7 +69,7 @@
 }
 
 func (r *rig) done(id uint32, attempt, node int, code ResultCode, took time.Duration) []Action {
-	r.h.reviewPending = false // the rig hands in no reviews that lead up to this moment
+	r.h.review.pending = false // the rig hands in no reviews that lead up to this moment
 	return r.do(AttemptResult{ID: id, Attempt: attempt, Server: server(node), Code: code, Latency: took,
 		RequestDone: code == OK})
 }
@@ -105,8 +105,8 @@
 
 // fix pins the depth of node 0, so that a test speaks of the queue alone.
 func (r *rig) fix(depth float64) *node {
-	n := r.h.nodes[server(0)]
-	n.depth, n.latency, n.deviation, n.depthAdaptedAt = depth, r.h.shortestObjective/2, time.Hour,
+	n := r.h.endpoints.nodes[server(0)]
+	n.depth, n.latency, n.deviation, n.depthAdaptedAt = depth, r.h.objectives.shortest/2, time.Hour,
 		math.MaxInt64
 	return n
 }
@@ -133,7 +133,7 @@
 		for id, q := range r.h.requests {
 			if q.node != nil {
 				count[q.Volume]++
-				r.done(id, 0, 0, OK, r.h.shortestObjective)
+				r.done(id, 0, 0, OK, r.h.objectives.shortest)
 				break
 			}
 		}
@@ -148,7 +148,7 @@
 	r.fix(1)
 	r.do(r.ask(func(q *Request) { q.Units = 4 }), r.ask(func(q *Request) { q.Units = 2 }),
 		r.ask(func(q *Request) { q.Volume = 2 }))
-	s := r.h.shards[0]
+	s := r.h.endpoints.shards[0]
 	var tags []float64
 	for id := uint32(1); id <= 3; id++ {
 		tags = append(tags, r.h.requests[id].startTag)
@@ -157,7 +157,7 @@
 	want(
 		t,
 		"finish tags",
-		[]float64{r.h.volumesByID[1].finishTags[s], r.h.volumesByID[2].finishTags[s]},
+		[]float64{r.h.volumes.byID[1].finishTags[s], r.h.volumes.byID[2].finishTags[s]},
 		6,
 		1,
 	)
@@ -168,10 +168,10 @@
 
 func TestIdleVolumeEarnsNoCredit(t *testing.T) {
 	r := start(t, settings(), 1)
-	s := r.h.shards[0]
+	s := r.h.endpoints.shards[0]
 	s.virtualTime = 50
 	r.do(r.ask(nil))
-	want(t, "start and finish", []float64{r.h.requests[1].startTag, r.h.volumesByID[1].finishTags[s]}, 50, 51)
+	want(t, "start and finish", []float64{r.h.requests[1].startTag, r.h.volumes.byID[1].finishTags[s]}, 50, 51)
 }
 
 func TestSlotCost(t *testing.T) {
@@ -194,17 +194,17 @@
 	add := func(vol uint64, units float64) Event {
 		return r.ask(func(q *Request) { q.Volume, q.Units, q.ExpiresAt = vol, units, r.now+200*time.Second })
 	}
-	r.h.shards[0].virtualTime = 1
+	r.h.endpoints.shards[0].virtualTime = 1
 	got := r.do(add(1, 3), add(2, 3), add(3, 1))
 	want(t, "3 slots of 4 leave room for 1: the small one passes the head", sends(got), 1, 3)
 	got = r.do(add(4, 1), add(5, 1))
 	want(t, "nothing more fits", sends(got))
 	want(t, "two more small ones pass, then the head's cost is reached", sends(r.done(3, 0, 0, OK,
-		r.h.shortestObjective/2)), 4)
-	want(t, "second", sends(r.done(4, 0, 0, OK, r.h.shortestObjective/2)), 5)
+		r.h.objectives.shortest/2)), 4)
+	want(t, "second", sends(r.done(4, 0, 0, OK, r.h.objectives.shortest/2)), 5)
 	r.do(add(6, 1))
-	want(t, "third is not promoted", sends(r.done(5, 0, 0, OK, r.h.shortestObjective/2)))
-	want(t, "head and the next leave when it fits", sends(r.done(1, 0, 0, OK, r.h.shortestObjective/2)), 2, 6)
+	want(t, "third is not promoted", sends(r.done(5, 0, 0, OK, r.h.objectives.shortest/2)))
+	want(t, "head and the next leave when it fits", sends(r.done(1, 0, 0, OK, r.h.objectives.shortest/2)), 2, 6)
 }
 
 func TestReserveDoesNotMoveTheTag(t *testing.T) {
@@ -214,7 +214,7 @@
 	r.do(r.ask(func(q *Request) { q.Units = 8 }), r.ask(func(q *Request) { q.Units = 3 }))
 	// The store holds a second of 2 units and one largest request of 8: 10 in all, so 1 of the 11 is beyond
 	// it.
-	want(t, "finish tag", []float64{r.h.volumesByID[1].finishTags[r.h.shards[0]]}, 1)
+	want(t, "finish tag", []float64{r.h.volumes.byID[1].finishTags[r.h.endpoints.shards[0]]}, 1)
 }
 
 func TestElsewhereMovesTheTag(t *testing.T) {
@@ -224,7 +224,7 @@
 	want(
 		t,
 		"finish tag counts service through other hosts",
-		[]float64{r.h.volumesByID[1].finishTags[r.h.shards[0]]},
+		[]float64{r.h.volumes.byID[1].finishTags[r.h.endpoints.shards[0]]},
 		6,
 	)
 }
@@ -244,7 +244,7 @@
 	set := settings()
 	set.Instances = 6
 	r := start(t, set, 1)
-	n := r.h.nodes[server(0)]
+	n := r.h.endpoints.nodes[server(0)]
 	for range 30 {
 		r.now += time.Second
 		r.do(r.ask(nil))
@@ -349,7 +349,7 @@
 		DedupZone, time.Minute
 	r := start(t, set, 2)
 	q := &request{class: r.h.classes[0], attempts: 1, mayHaveRunOn: &node{Endpoint: Endpoint{Zone: 1}}}
-	n := r.h.nodes[server(0)]
+	n := r.h.endpoints.nodes[server(0)]
 	r.h.now = r.now
 	q.mayHaveRunSince = r.now
 	if r.h.mayRetry(q, n) {
@@ -458,7 +458,7 @@
 	if got := len(sends(r.do(evs...))); got != 10 {
 		t.Errorf("%d units in the first window, want 20 for 2 hosts = 10", got)
 	}
-	n := r.h.nodes[server(0)]
+	n := r.h.endpoints.nodes[server(0)]
 	r.h.now += 6 * time.Second // the window then starts 5 s after the boot: a quarter and half of the rest
 	if !r.h.slowStartAllows(n, 25) || r.h.slowStartAllows(n, 26) {
 		t.Error("later it bears 10 x 0.625 / 0.25 = 25")
@@ -545,7 +545,7 @@
 	r.now += time.Second
 	r.do(r.ask(nil))
 	r.done(1, 0, 0, Error, ms)
-	if got := r.h.volumesByID[1].limit.level; got != 9 {
+	if got := r.h.volumes.byID[1].limit.level; got != 9 {
 		t.Errorf("the store holds %v after two attempts of one request, want 9", got)
 	}
 }
@@ -577,7 +577,7 @@
 		}
 		r.do(AttemptResult{ID: r.id, Server: server(0), Code: code, Latency: 10 * ms, RequestDone: true})
 	}
-	if got := len(r.h.keys); got > 12 {
+	if got := len(r.h.keys.byKey); got > 12 {
 		t.Errorf("%d keys are remembered, want those of the last 100 ms", got)
 	}
 }
@@ -590,7 +590,7 @@
 	r.do(r.ask(nil), r.ask(nil), r.ask(nil), r.ask(nil))
 	for id := uint32(1); id <= 4; id++ {
 		r.done(id, 0, 0, Error, ms)
-		r.h.nodes[server(0)].failures = 0
+		r.h.endpoints.nodes[server(0)].failures = 0
 		r.do()
 	}
 	if got := len(sends(r.acts)) - 4; got != 3 {
@@ -618,7 +618,7 @@
 	r.done(2, 0, 0, OK, 10*ms)
 	r.now += 4 * time.Second
 	r.done(1, 0, 0, TimedOut, 4*time.Second)
-	if n := r.h.nodes[server(0)]; n.failures != 0 || n.latency > time.Second {
+	if n := r.h.endpoints.nodes[server(0)]; n.failures != 0 || n.latency > time.Second {
 		t.Errorf("fails %d, latency %v", n.failures, n.latency)
 	}
 }
@@ -646,8 +646,8 @@
 
 func TestNewObjectGoesWhereTheLeastWorkIs(t *testing.T) {
 	r := start(t, settings(), 3)
-	r.h.nodes[server(0)].latency = 300 * ms
-	r.h.nodes[server(2)].failures = 1
+	r.h.endpoints.nodes[server(0)].latency = 300 * ms
+	r.h.endpoints.nodes[server(2)].failures = 1
 	acts := r.do(r.ask(func(q *Request) { q.Cell = NewObject }))
 	for _, a := range acts {
 		if s, ok := a.(Send); ok && s.Server != server(1) {
@@ -753,8 +753,8 @@
 func TestNewObjectAvoidsAStuckNode(t *testing.T) {
 	r := start(t, settings(), 2)
 	r.do(r.ask(nil)) // at the node of cell 0
-	r.h.nodes[server(0)].deviation = time.Second
-	r.h.nodes[server(1)].latency *= 3
+	r.h.endpoints.nodes[server(0)].deviation = time.Second
+	r.h.endpoints.nodes[server(1)].latency *= 3
 	r.now += 500 * ms
 	r.do(r.ask(func(q *Request) { q.Cell = NewObject }))
 	if got := r.h.requests[2].node.Cell; got != 1 {
@@ -782,7 +782,7 @@
 	set := settings()
 	set.Instances = 256
 	r := start(t, set, 1)
-	n, s := r.fix(8), r.h.shards[0]
+	n, s := r.fix(8), r.h.endpoints.shards[0]
 	s.virtualTime = 1
 	for _, c := range []struct {
 		latency time.Duration
@@ -805,7 +805,7 @@
 // Hosts that lose a node at once must not try it again in step, nor leave it alone for long.
 func TestTrialsOfAFailingNodeAreNotInStep(t *testing.T) {
 	r := start(t, settings(), 1)
-	n := r.h.nodes[server(0)]
+	n := r.h.endpoints.nodes[server(0)]
 	n.failures = 20
 	seen := map[time.Duration]bool{}
 	for range 20 {
@@ -829,7 +829,7 @@
 	want(t, "least depth is a quarter of a slot", []float64{n.depth}, 0.25)
 	set.Instances = 2
 	want(t, "and one slot where hosts are few", []float64{New(1, set).minDepth()}, 1)
-	r.h.shards[0].virtualTime = 1
+	r.h.endpoints.shards[0].virtualTime = 1
 	r.do(r.ask(nil), r.ask(nil))
 	r.now += 200 * ms
 	want(t, "the next of a volume ahead waits four latencies", sends(r.done(1, 0, 0, OK, 200*ms)))
@@ -843,12 +843,12 @@
 	set.Classes[0].LatencyObjective = 200 * ms
 	r := start(t, set, 2)
 	r.do(r.ask(nil)) // a first try shows the usual wait
-	n := r.h.nodes[server(1)]
+	n := r.h.endpoints.nodes[server(1)]
 	n.latency, n.depth = 10*ms, 8
 	for i := range 40 {
 		size := float64(1 + i%4)
 		r.h.classes[0].latency.add(size, 0.010*size)
-		r.h.allClasses.add(size, 0.010*size)
+		r.h.latency.allClasses.add(size, 0.010*size)
 	}
 	short := func(q *Request) { q.Cell, q.ExpiresAt = 1, r.now+50*ms }
 	a := r.ask(short)
@@ -868,11 +868,11 @@
 // With many hosts each hears of a node but now and then: what it knew of a jam must not hold for seconds.
 func TestOldLatencyFadesToTheUsual(t *testing.T) {
 	r := start(t, settings(), 1)
-	n := r.h.nodes[server(0)]
+	n := r.h.endpoints.nodes[server(0)]
 	for range 20 {
-		r.h.allClasses.add(1, 0.1)
+		r.h.latency.allClasses.add(1, 0.1)
 	}
-	n.latency, n.latencyUpdatedAt, r.h.recentMean = 900*ms, r.now, 100*ms
+	n.latency, n.latencyUpdatedAt, r.h.latency.recentMean = 900*ms, r.now, 100*ms
 	r.h.now = r.now + 3*latencyHalfLife
 	if got := r.h.recentLatency(n); got != 200*ms {
 		t.Errorf("got %v, want 200 ms", got)
@@ -901,7 +901,7 @@
 		boot := all[0].now
 		for now := boot; now < boot+set.SlowStartPeriod; now += 50 * ms {
 			for i, r := range all {
-				n := r.h.nodes[server(0)]
+				n := r.h.endpoints.nodes[server(0)]
 				r.h.now = now
 				for units := float64(1 + i%3); r.h.slowStartAllows(n, units); {
 					n.sends.push(sendRecord{now, units})
@@ -970,7 +970,7 @@
 func TestOwnStallSaysNothingOfTheNodes(t *testing.T) {
 	for _, code := range []ResultCode{OK, TimedOut} {
 		r := start(t, settings(), 1)
-		n := r.h.nodes[server(0)]
+		n := r.h.endpoints.nodes[server(0)]
 		before := n.latency
 		r.do(r.ask(nil))
 		r.now += 900 * ms
@@ -981,7 +981,7 @@
 		}
 		r.now += 10 * ms
 		r.do(TimerFired{Token: tokenReview})
-		if r.h.stalled {
+		if r.h.review.stalled {
 			t.Error("still held to have stalled")
 		}
 	}
@@ -1071,7 +1071,7 @@
 			var sent []sendRecord
 			for now := boot; now < boot+set.SlowStartPeriod; now += 20 * ms {
 				for i, r := range all {
-					n, units := r.h.nodes[server(0)], float64(1+rng.IntN(3))
+					n, units := r.h.endpoints.nodes[server(0)], float64(1+rng.IntN(3))
 					r.h.now = now
 					if rng.Float64() > busy[i] || !r.h.slowStartAllows(n, units) {
 						continue
--- /dev/null
+++ b/scheduler/endpoint.go
@@ -0,0 +1,54 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Server identifies the process of a storage node by its IPv4 address and port. Nothing else is derived from
+// it.
+type Server struct {
+	Addr [4]byte `cbor:"Addr"`
+	Port uint16  `cbor:"Port"`
+}
+
+// Compare orders servers by address, then port.
+func (s Server) Compare(o Server) int {
+	return cmp.Or(slices.Compare(s.Addr[:], o.Addr[:]), cmp.Compare(s.Port, o.Port))
+}
+
+// Status is a node's state as listed.
+type Status uint8
+
+// The states of a node.
+const (
+	Gone Status = iota
+	Ready
+	Draining
+)
+
+// String returns the word for a status that logs use.
+func (s Status) String() string { return [...]string{"gone", "ready", "draining"}[s] }
+
+// Endpoint is one node in the endpoint list.
+type Endpoint struct {
+	Server          Server
+	Status          Status
+	Cell            uint16 // the shard of data that the node holds
+	Zone            uint8
+	MachineType     uint8
+	StartedAt       time.Duration // clock value of its last start; 0: long ago
+	NominalCapacity float64
+}
+
+// UpdateKind says how an EndpointUpdate is to be read.
+type UpdateKind uint8
+
+// The kinds of updates.
+const (
+	UpdateDelta  UpdateKind = iota // only the endpoints that changed
+	UpdateCached                   // the full list as this instance last had it, possibly out of date
+	UpdateFull                     // the full list
+	UpdateFailed                   // a watch broke or a fetch failed; no endpoints
+)
--- /dev/null
+++ b/scheduler/endpoint_view.go
@@ -0,0 +1,154 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// removedNodeRetention is how long a node that was removed from the list is remembered.
+const removedNodeRetention = 10 * time.Minute
+
+// node is the process of a storage node as this instance sees it.
+type node struct {
+	Endpoint
+	inFlight          []*request    // oldest first; members of operations are not in it
+	slotsUsed         float64       // by the attempts in flight
+	depth             float64       // slots that may be used, learned
+	depthReached      bool          // the depth held a request back since it was last adapted
+	latency           time.Duration // running mean of the usual request
+	deviation         time.Duration // running mean deviation from it
+	lastAnswerAt      time.Duration
+	latencyUpdatedAt  time.Duration
+	depthAdaptedAt    time.Duration
+	failures          int     // in a row
+	consecutiveResets int     // of connections
+	errorRate         float64 // running part of the answers that were errors
+	retryAt           time.Duration
+	sends             slidingWindow[sendRecord] // within the last overload window
+	unitsSent         float64                   // sum over sends, but for rounding
+	lastSentAt        time.Duration
+	hasSent           bool
+	removedAt         time.Duration // 0: it is listed
+}
+
+// restart forgets what was learned of a node, as its process is a new one.
+func (n *node) restart(depth float64, target time.Duration) {
+	n.depth, n.latency, n.deviation = depth, target/2, target/4
+	n.failures, n.consecutiveResets, n.errorRate, n.retryAt = 0, 0, 0, 0
+}
+
+// removal records when a node was first seen gone.
+type removal struct {
+	node *node
+	at   time.Duration
+}
+
+// endpointView holds the nodes of the endpoint list and the shards that they serve.
+type endpointView struct {
+	nodes    map[Server]*node
+	shards   []*shardQueue // by cell
+	removals []removal     // oldest first
+}
+
+func compareCells(a, b *shardQueue) int { return cmp.Compare(a.cell, b.cell) }
+
+// shardFor returns the queue for a cell, which is made when it is first asked for.
+func (v *endpointView) shardFor(cell int) *shardQueue {
+	i, ok := slices.BinarySearchFunc(v.shards, &shardQueue{cell: cell}, compareCells)
+	if !ok {
+		v.shards = slices.Insert(v.shards, i, &shardQueue{cell: cell})
+	}
+	return v.shards[i]
+}
+
+// removeUnlisted marks all nodes as gone that a full list does not contain.
+func (v *endpointView) removeUnlisted(listed []Endpoint, now time.Duration) {
+	known := map[Server]bool{}
+	for _, e := range listed {
+		known[e.Server] = true
+	}
+	for server, n := range v.nodes {
+		if !known[server] {
+			n.Status = Gone
+			v.markRemoved(n, now)
+		}
+	}
+}
+
+func (v *endpointView) markRemoved(n *node, now time.Duration) {
+	if n.removedAt == 0 {
+		n.removedAt = now
+		v.removals = append(v.removals, removal{n, now})
+	}
+}
+
+// forgetRemoved drops nodes that have been gone for very long, so that they do not accumulate over months. A
+// node that is listed again sooner is remembered as it was.
+func (v *endpointView) forgetRemoved(now time.Duration) {
+	for len(v.removals) > 0 && now-v.removals[0].at >= removedNodeRetention {
+		oldest := v.removals[0]
+		if oldest.node.removedAt == oldest.at {
+			if len(oldest.node.inFlight) > 0 {
+				return
+			}
+			delete(v.nodes, oldest.node.Server)
+		}
+		v.removals = v.removals[1:]
+	}
+}
+
+// assignNodes points each shard at the ready node that holds it; of two, at the one that started last.
+func (v *endpointView) assignNodes() {
+	ready := make([]*node, 0, len(v.nodes))
+	for _, n := range v.nodes {
+		if n.Status == Ready {
+			ready = append(ready, n)
+		}
+	}
+	slices.SortFunc(ready, func(a, b *node) int {
+		return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), a.Server.Compare(b.Server))
+	})
+	for _, queue := range v.shards {
+		queue.node = nil
+	}
+	for _, n := range ready {
+		v.shardFor(int(n.Cell)).node = n
+	}
+}
+
+// applyEndpointUpdate takes over a change of the endpoint list.
+func (s *Scheduler) applyEndpointUpdate(update EndpointUpdate) {
+	if update.Kind == UpdateFailed {
+		s.watchFailed()
+		return
+	}
+	s.watch.heard = s.watch.heard || update.Kind != UpdateCached
+	if update.Kind != UpdateDelta {
+		s.endpoints.removeUnlisted(update.Endpoints, s.now)
+	}
+	for _, e := range update.Endpoints {
+		s.applyEndpoint(e)
+	}
+	s.endpoints.assignNodes()
+	s.endpoints.forgetRemoved(s.now)
+}
+
+// applyEndpoint takes over one entry of the list. A newer start means that the process restarted.
+func (s *Scheduler) applyEndpoint(e Endpoint) {
+	n := s.endpoints.nodes[e.Server]
+	if n == nil {
+		n = &node{}
+		s.endpoints.nodes[e.Server] = n
+	}
+	if n.depth == 0 || e.StartedAt > n.StartedAt {
+		n.restart(s.startingDepth(), s.targetLatency())
+	}
+	n.Endpoint = e
+	if e.Status == Gone {
+		s.endpoints.markRemoved(n, s.now)
+	} else {
+		n.removedAt = 0
+	}
+	s.endpoints.shardFor(int(e.Cell))
+}
--- /dev/null
+++ b/scheduler/events.go
@@ -0,0 +1,102 @@
+package scheduler
+
+import "time"
+
+// Event is an input of the scheduler: one of the types below.
+type Event interface{ isEvent() }
+
+// EndpointUpdate is a change of the endpoint list, or the failure to get one.
+type EndpointUpdate struct {
+	Version   uint64
+	Kind      UpdateKind
+	Endpoints []Endpoint
+}
+
+// NewObject is the Cell of a request whose data may be placed on any node.
+const NewObject = -1
+
+// Request is a client's request. The scheduler gives it one final answer before ExpiresAt.
+type Request struct {
+	ID              uint32
+	Class           int
+	Cell            int  // the shard that holds the data, or NewObject
+	Retry           bool // the client marked it as a retry
+	Write           bool
+	VolumeInstances int // instances through which the volume's requests come
+	Plan            int
+	Key             uint64 // orders requests of classes that are ordered by key; 0: none
+	ExpiresAt       time.Duration
+	Volume          uint64
+	Units           float64
+	Continuation    bool // a further part of a request: the budget counts the first
+}
+
+// ResultCode tells how an attempt ended.
+type ResultCode uint16
+
+// The result codes. Their numbers are those of the wire protocols.
+const (
+	OK            ResultCode = 100
+	Error         ResultCode = 301 // the node failed; the request may have run
+	Overloaded    ResultCode = 302 // the node turned the request away; it has not run
+	TimedOut      ResultCode = 303
+	ConnectFailed ResultCode = 304 // nothing was sent
+	Reset         ResultCode = 305 // the connection broke; the request may have run
+	Cancelled     ResultCode = 306
+	NotApplicable ResultCode = 307 // nothing was sent, or the node does not hold the cell
+)
+
+// MayHaveRun reports whether an attempt that ended this way may have taken effect.
+func (c ResultCode) MayHaveRun() bool {
+	return c != Overloaded && c != ConnectFailed && c != NotApplicable
+}
+
+// AttemptResult is the end of one attempt. Each Send has exactly one.
+type AttemptResult struct {
+	ID             uint32
+	Attempt        int
+	Server         Server
+	Code           ResultCode
+	Latency        time.Duration
+	RequestDone    bool      // the request has its final answer
+	MeteredRate    int       // 1 + percent of the plan's rate that the volume was served; 0: unknown
+	ElsewhereUnits float64   // units served for the volume through other instances since its last answer here
+	Load           []float64 // load report, by Settings.LoadFields
+}
+
+// ResponseStarted says that a streamed answer has begun.
+type ResponseStarted struct {
+	ID      uint32
+	Attempt int
+	Server  Server
+	Latency time.Duration
+}
+
+// ClientGone says that a request is over and is owed no answer any more.
+type ClientGone struct{ ID uint32 }
+
+// TimerFired says that a timer set by SetTimer is due.
+type TimerFired struct{ Token uint32 }
+
+// HealthCheckResult is the result of one CheckHealth.
+type HealthCheckResult struct {
+	Server  Server
+	Code    ResultCode
+	Latency time.Duration
+	Load    []float64
+}
+
+// PeerMessage is a message from another instance.
+type PeerMessage struct {
+	From uint32
+	Body []byte
+}
+
+func (EndpointUpdate) isEvent()    {}
+func (Request) isEvent()           {}
+func (AttemptResult) isEvent()     {}
+func (ResponseStarted) isEvent()   {}
+func (ClientGone) isEvent()        {}
+func (TimerFired) isEvent()        {}
+func (HealthCheckResult) isEvent() {}
+func (PeerMessage) isEvent()       {}
--- a/scheduler/fuzz_test.go
+++ b/scheduler/fuzz_test.go
@@ -160,12 +160,12 @@
 			c.t.Fatalf("request %d never got an answer", id)
 		}
 	}
-	if len(c.h.requests) != 0 || c.h.inFlight != 0 || len(c.h.backlogged) != 0 {
+	if len(c.h.requests) != 0 || c.h.inFlight != 0 || len(c.h.backlog.shards) != 0 {
 		c.t.Fatalf(
 			"%d requests, %d attempts, %d queues left behind",
 			len(c.h.requests),
 			c.h.inFlight,
-			len(c.h.backlogged),
+			len(c.h.backlog.shards),
 		)
 	}
 }
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -10,7 +10,7 @@
 // node to one request at a time. Two in a row are a node that fails.
 func TestOneBrokenAnswerIsNoSickNode(t *testing.T) {
 	r := start(t, settings(), 1)
-	n := r.h.nodes[server(0)]
+	n := r.h.endpoints.nodes[server(0)]
 	r.do(r.ask(nil), r.ask(nil), r.ask(nil))
 	r.done(1, 0, 0, Reset, 10*ms)
 	if n.failures != 0 || !r.h.isUsable(n) {
@@ -32,11 +32,11 @@
 // of a hall that is cut off nor those that lose a part of their answers may choke the rest.
 func TestLostAttemptsSayLittleOfTheFleet(t *testing.T) {
 	r := start(t, settings(), 1)
-	n := r.h.nodes[server(0)]
+	n := r.h.endpoints.nodes[server(0)]
 	for range int(2 * regressionMinCount) {
-		r.h.allClasses.add(1, 0.1)
+		r.h.latency.allClasses.add(1, 0.1)
 	}
-	n.latency, n.deviation, r.h.recentMean, r.h.runningMedian = 100*ms, 10*ms, 100*ms, 100*ms
+	n.latency, n.deviation, r.h.latency.recentMean, r.h.latency.runningMedian = 100*ms, 10*ms, 100*ms, 100*ms
 	r.do(r.ask(nil))
 	r.now += time.Second
 	r.done(1, 0, 0, TimedOut, time.Second)
@@ -44,10 +44,10 @@
 		t.Errorf("after a lost attempt: mean %v, deviation %v", n.latency, n.deviation)
 	}
 	most := 100*ms + 100*ms/recentMeanWindow
-	if r.h.recentMean <= 100*ms || r.h.recentMean > most {
-		t.Errorf("the fleet's mean is %v, want over 100 ms and at most %v", r.h.recentMean, most)
+	if r.h.latency.recentMean <= 100*ms || r.h.latency.recentMean > most {
+		t.Errorf("the fleet's mean is %v, want over 100 ms and at most %v", r.h.latency.recentMean, most)
 	}
-	tide := r.h.recentMean
+	tide := r.h.latency.recentMean
 	for range 20 { // the node goes on failing
 		n.retryAt = 0
 		q := r.ask(nil)
@@ -55,11 +55,11 @@
 		r.now += time.Second
 		r.done(q.ID, 0, 0, TimedOut, time.Second)
 	}
-	if n.failures < 10 || r.h.recentMean != tide {
+	if n.failures < 10 || r.h.latency.recentMean != tide {
 		t.Errorf(
 			"after %d failures of one node the fleet's mean is %v, was %v",
 			n.failures,
-			r.h.recentMean,
+			r.h.latency.recentMean,
 			tide,
 		)
 	}
@@ -81,8 +81,8 @@
 	)
 	set.Plans[0].PriorityWeight = 1.5
 	r := start(t, set, 1)
-	n, s := r.fix(8), r.h.shards[0]
-	r.h.runningMedian, s.virtualTime = 200*ms, 1
+	n, s := r.fix(8), r.h.endpoints.shards[0]
+	r.h.latency.runningMedian, s.virtualTime = 200*ms, 1
 	dear := func() *request {
 		return &request{Request: Request{Units: 2}, class: r.h.classes[0], reservedUnits: 2, startTag: 2,
 			volume: &volume{plan: Plan{PriorityWeight: 1.5}}}
@@ -123,9 +123,9 @@
 	set := settings()
 	set.Instances = 256
 	r := start(t, set, 1)
-	n, s := r.fix(8), r.h.shards[0]
+	n, s := r.fix(8), r.h.endpoints.shards[0]
 	for range int(2 * regressionMinCount) {
-		r.h.allClasses.add(1, 0.05)
+		r.h.latency.allClasses.add(1, 0.05)
 	}
 	s.virtualTime, n.latency, n.latencyUpdatedAt = 1, 600*ms, r.now
 	q := &request{
@@ -145,7 +145,7 @@
 // A node that fails most of its requests fast looks quick and idle; new objects must not gather there.
 func TestNewObjectsKeepAwayFromErrors(t *testing.T) {
 	r := start(t, settings(), 2)
-	bad := r.h.shards[0].node
+	bad := r.h.endpoints.shards[0].node
 	for range 6 {
 		q := r.ask(nil)
 		r.do(q)
@@ -155,7 +155,7 @@
 			r.done(q.ID, 1, 0, Error, ms)
 		}
 	}
-	other := r.h.shards[1].node
+	other := r.h.endpoints.shards[1].node
 	bad.inFlight, bad.slotsUsed, other.lastAnswerAt, bad.latency = nil, 0, r.now, other.latency*3/4
 	q := &request{Request: Request{Units: 1}, class: r.h.classes[0]}
 	if s := r.h.placeNewObject(q); s.node == bad {
@@ -185,7 +185,7 @@
 	for _, code := range []ResultCode{Overloaded, ConnectFailed} {
 		r := start(t, set, 1)
 		r.do(r.ask(nil))
-		r.h.nodes[server(0)].latency = 3 * time.Second // so long a wait would be the advice
+		r.h.endpoints.nodes[server(0)].latency = 3 * time.Second // so long a wait would be the advice
 		r.done(1, 0, 0, code, ms)
 		r.pass(time.Second)
 		if len(ends(r.acts)) != 1 {
@@ -232,7 +232,7 @@
 							t.Fatalf("%d further attempts in 5 s, at most %v", got, most)
 						}
 					}
-					r.h.nodes[server(0)].failures = 0
+					r.h.endpoints.nodes[server(0)].failures = 0
 					next = append(next, r.done(id, q.attempts-1, 0, Error, ms)...)
 				}
 				acts = next
@@ -272,7 +272,7 @@
 	set := settings()
 	set.Instances = 256
 	r := start(t, set, 1)
-	n := r.h.nodes[server(0)]
+	n := r.h.endpoints.nodes[server(0)]
 	n.latency, n.latencyUpdatedAt, n.lastAnswerAt = 700*ms, r.now, r.now
 	n.lastSentAt, n.hasSent = r.now, true
 	r.now += 10 * ms
@@ -288,8 +288,8 @@
 	r := start(t, set, 1)
 	n := r.fix(1)
 	r.do(r.ask(nil), r.ask(nil), r.ask(func(q *Request) { q.Cell = NewObject }))
-	if len(n.inFlight) == 0 || len(r.h.shards[0].queue) == 0 {
-		t.Fatalf("%d out, %d held: the test needs both", len(n.inFlight), len(r.h.shards[0].queue))
+	if len(n.inFlight) == 0 || len(r.h.endpoints.shards[0].requests) == 0 {
+		t.Fatalf("%d out, %d held: the test needs both", len(n.inFlight), len(r.h.endpoints.shards[0].requests))
 	}
 	before := len(r.acts)
 	r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry(0, Draining)}})
--- /dev/null
+++ b/scheduler/ordering.go
@@ -0,0 +1,82 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+)
+
+// keyQueue holds the requests of one ordering key, oldest first.
+type keyQueue struct {
+	requests     []*request
+	blockedUntil time.Duration // no first attempt before this, as an earlier request may still be running
+}
+
+// keyTable keeps requests with the same key in arrival order.
+type keyTable struct {
+	byKey   map[uint64]*keyQueue
+	emptied []uint64 // keys whose queue became empty, oldest first
+}
+
+func (r *request) isOrdered() bool { return r.class.OrderedByKey && r.Key != 0 }
+
+// add puts a request at the end of its key's queue.
+func (t *keyTable) add(r *request) {
+	if !r.isOrdered() {
+		return
+	}
+	queue := t.byKey[r.Key]
+	if queue == nil {
+		queue = &keyQueue{}
+		t.byKey[r.Key] = queue
+	}
+	queue.requests = append(queue.requests, r)
+}
+
+// isTurn reports whether a request's key lets it be sent. A member of an operation may follow those of its
+// key that are members too, unless each could run again later.
+func (t *keyTable) isTurn(r, leader *request, now time.Duration) bool {
+	if !r.isOrdered() {
+		return true
+	}
+	queue, place := t.byKey[r.Key], 0
+	if leader != nil && r.class.Idempotency != Idempotent {
+		for place < len(queue.requests) && queue.requests[place].isMemberOf(leader) {
+			place++
+		}
+	}
+	if place == len(queue.requests) || queue.requests[place] != r {
+		return false
+	}
+	return r.attempts > 0 || now >= queue.blockedUntil
+}
+
+// remove takes a finished request out of its key's queue. Where its work may still be going on, the next
+// request waits for the pause.
+func (t *keyTable) remove(r *request, pause, now time.Duration) {
+	queue := t.byKey[r.Key]
+	if !r.isOrdered() || queue == nil {
+		return
+	}
+	queue.requests = slices.DeleteFunc(queue.requests, func(other *request) bool { return other == r })
+	if r.uncertainAt > 0 {
+		queue.blockedUntil = max(queue.blockedUntil, r.uncertainAt+pause)
+	}
+	if len(queue.requests) == 0 {
+		t.emptied = append(t.emptied, r.Key)
+	}
+	t.forgetIdle(now)
+}
+
+// forgetIdle drops queues that are empty and not blocked, so that keys seen once do not accumulate.
+func (t *keyTable) forgetIdle(now time.Duration) {
+	for len(t.emptied) > 0 {
+		key := t.emptied[0]
+		if queue := t.byKey[key]; queue != nil && len(queue.requests) == 0 {
+			if queue.blockedUntil > now {
+				return
+			}
+			delete(t.byKey, key)
+		}
+		t.emptied = t.emptied[1:]
+	}
+}
--- /dev/null
+++ b/scheduler/retry.go
@@ -0,0 +1,95 @@
+package scheduler
+
+import "time"
+
+// retryBudget limits attempts beyond each request's first to floor + ratio * requests admitted within a
+// window.
+type retryBudget struct {
+	enabled    bool
+	floor      float64
+	ratio      float64
+	window     time.Duration
+	admissions slidingWindow[time.Duration]
+	retries    slidingWindow[time.Duration]
+}
+
+func newRetryBudget(settings Settings) retryBudget {
+	return retryBudget{enabled: settings.RetryBudget, floor: settings.RetryBudgetFloor,
+		ratio: settings.RetryBudgetRatio, window: settings.RetryBudgetWindow}
+}
+
+func (b *retryBudget) recordAdmission(now time.Duration) {
+	if !b.enabled {
+		return
+	}
+	b.admissions.push(now)
+	b.dropOldAdmissions(now)
+}
+
+func (b *retryBudget) recordRetry(now time.Duration) {
+	if b.enabled {
+		b.retries.push(now)
+	}
+}
+
+// allowsRetry reports whether one more retry stays within the budget. At the window's edge a retry still
+// counts and an admission does not, so that the budget holds whichever way the edge is counted.
+func (b *retryBudget) allowsRetry(now time.Duration) bool {
+	if !b.enabled {
+		return true
+	}
+	b.retries.dropWhile(func(at time.Duration) bool { return at < now-b.window })
+	b.dropOldAdmissions(now)
+	allowed := b.floor + b.ratio*float64(len(b.admissions.values()))
+	return float64(len(b.retries.values())+1) <= allowed
+}
+
+func (b *retryBudget) dropOldAdmissions(now time.Duration) {
+	b.admissions.dropWhile(func(at time.Duration) bool { return at <= now-b.window })
+}
+
+// mayRetry guards against a second effect of a request, and keeps the retry budget.
+func (s *Scheduler) mayRetry(r *request, n *node) bool {
+	if r.attempts >= s.settings.MaxAttempts || !s.retries.allowsRetry(s.now) {
+		return false
+	}
+	if r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent {
+		return true
+	}
+	if r.class.Idempotency == NotIdempotent || s.now+timingMargin >= r.mayHaveRunSince+r.class.DedupWindow {
+		return false
+	}
+	return r.class.deduplicates(r.mayHaveRunOn, n)
+}
+
+// deduplicates reports whether one node drops a repeat of what has run on another.
+func (c *class) deduplicates(first, second *node) bool {
+	switch c.DedupScope {
+	case DedupAll:
+		return true
+	case DedupZone:
+		return second.Zone == first.Zone
+	case DedupCell:
+		return second.Cell == first.Cell
+	}
+	return false
+}
+
+// retryDeadline is when the window ends in which nodes drop a repeat of a request that may have run, however
+// late the connection for its next attempt comes up; 0: there is no such window.
+func (r *request) retryDeadline() time.Duration {
+	if r.mayHaveRunOn == nil || r.class.Idempotency != IdempotentByKey {
+		return 0
+	}
+	return r.mayHaveRunSince + r.class.DedupWindow - timingMargin
+}
+
+// isRetryable reports whether a request whose attempt ended this way is worth another attempt.
+func (s *Scheduler) isRetryable(r *request, code ResultCode) bool {
+	switch code {
+	case OK, NotApplicable, Cancelled:
+		return false
+	}
+	harmless := r.mayHaveRunOn == nil || r.class.Idempotency != NotIdempotent
+	return harmless && s.now < r.objectiveAt && r.attempts < s.settings.MaxAttempts
+}
--- a/scheduler/scale_test.go
+++ b/scheduler/scale_test.go
@@ -98,7 +98,7 @@
 	for range b.N {
 		s.step(uint64(s.next))
 	}
-	b.ReportMetric(float64(len(s.h.volumesByID)), "volumes-kept")
+	b.ReportMetric(float64(len(s.h.volumes.byID)), "volumes-kept")
 }
 
 // Volumes that were seen once are forgotten, so that a million of them take no more memory than those that
@@ -109,20 +109,20 @@
 	for range 200_000 {
 		s.step(uint64(s.next))
 	}
-	kept, heap := len(s.h.volumesByID), heapInUse()
+	kept, heap := len(s.h.volumes.byID), heapInUse()
 	for range 800_000 {
 		s.step(uint64(s.next))
 	}
-	if got := len(s.h.volumesByID); got > 2*kept+1000 || got > 500_000 {
+	if got := len(s.h.volumes.byID); got > 2*kept+1000 || got > 500_000 {
 		t.Errorf("%d volumes kept after 1,000,000, %d after 200,000", got, kept)
 	}
-	if len(s.h.volumesByID) != len(s.h.volumes) {
-		t.Errorf("%d volumes known, %d looked through", len(s.h.volumesByID), len(s.h.volumes))
+	if len(s.h.volumes.byID) != len(s.h.volumes.order) {
+		t.Errorf("%d volumes known, %d looked through", len(s.h.volumes.byID), len(s.h.volumes.order))
 	}
 	if got := heapInUse(); got > 2*heap+(64<<20) {
 		t.Errorf("heap %d MiB after 1,000,000, %d MiB after 200,000", got>>20, heap>>20)
 	}
-	for _, n := range s.h.nodes {
+	for _, n := range s.h.endpoints.nodes {
 		if got, most := len(n.sends.items), 2*100_000*3/10+1000; got > 2*most {
 			t.Errorf("%d sends remembered, %d in the window", got, most)
 		}
@@ -145,20 +145,20 @@
 	for range 10_000 {
 		s.step(7)
 	}
-	spent := s.h.volumesByID[7].limit.level
+	spent := s.h.volumes.byID[7].limit.level
 	if spent > 1 {
 		t.Fatalf("the limit of a volume asked for 1000 a second still holds %v", spent)
 	}
 	for range 500 { // others come: not enough time for the limit to fill
 		s.step(8)
 	}
-	if s.h.volumesByID[7] == nil {
+	if s.h.volumes.byID[7] == nil {
 		t.Fatal("forgotten while its limit's store is not full")
 	}
 	for i := range 20_000 {
 		s.step(uint64(9 + i%3))
 	}
-	if s.h.volumesByID[7] != nil {
+	if s.h.volumes.byID[7] != nil {
 		t.Fatal("still known long after its stores filled")
 	}
 	if v := s.h.volumeFor(Request{Volume: 7, VolumeInstances: 1}); s.h.quotaRemaining(v) > 20 {
@@ -171,7 +171,7 @@
 func TestGoneNodesAreForgotten(t *testing.T) {
 	s := newSteady(scaleSettings(), 1000, 3, 0)
 	all := []Endpoint{}
-	for _, n := range s.h.nodes {
+	for _, n := range s.h.endpoints.nodes {
 		all = append(all, n.Endpoint)
 	}
 	one := all[:1]
@@ -180,13 +180,13 @@
 	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: all[:2]})
 	s.now += removedNodeRetention/2 + time.Second
 	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
-	if len(s.h.nodes) != 2 {
-		t.Fatalf("%d nodes known, want the listed one and the one that went just now", len(s.h.nodes))
+	if len(s.h.endpoints.nodes) != 2 {
+		t.Fatalf("%d nodes known, want the listed one and the one that went just now", len(s.h.endpoints.nodes))
 	}
 	s.now += removedNodeRetention + time.Second
 	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
-	if len(s.h.nodes) != 1 || len(s.h.removals) != 0 {
-		t.Fatalf("%d nodes known and %d departures, want 1 and 0", len(s.h.nodes), len(s.h.removals))
+	if len(s.h.endpoints.nodes) != 1 || len(s.h.endpoints.removals) != 0 {
+		t.Fatalf("%d nodes known and %d departures, want 1 and 0", len(s.h.endpoints.nodes), len(s.h.endpoints.removals))
 	}
 }
 
--- /dev/null
+++ b/scheduler/statistics.go
@@ -0,0 +1,83 @@
+package scheduler
+
+import "time"
+
+// Statistics are what a scheduler has learned and may pass on to its next incarnation: latencies and sizes,
+// nothing that a guarantee rests on. Which of them are still valid there is not decided here (package
+// checkpoint).
+type Statistics struct {
+	Nodes         map[Server]NodeStatistics
+	Classes       []ClassStatistics // by number of the class
+	AllClasses    Regression
+	MedianLatency time.Duration // of the usual request
+	RecentLatency time.Duration // its mean over the last attempts
+}
+
+// NodeStatistics are the mean latency of the usual request at a node and its mean deviation.
+type NodeStatistics struct {
+	Latency   time.Duration `cbor:"Latency"`
+	Deviation time.Duration `cbor:"Deviation"`
+}
+
+// ClassStatistics are a class's mean size in units over a count of requests, and its latencies against sizes.
+type ClassStatistics struct {
+	MeanUnits float64    `cbor:"Mean"`
+	Count     float64    `cbor:"Seen"`
+	Latency   Regression `cbor:"Fit"`
+}
+
+// Regression is the state of a running linear regression of latencies, in seconds, against sizes, in units.
+type Regression struct {
+	Count       float64 `cbor:"N"`
+	MeanSize    float64 `cbor:"Size"`
+	MeanTime    float64 `cbor:"Took"`
+	MeanSquare  float64 `cbor:"Square"`
+	MeanProduct float64 `cbor:"Cross"`
+}
+
+// Statistics returns what the scheduler has learned. Nodes of which nothing was heard are left out.
+func (s *Scheduler) Statistics() Statistics {
+	statistics := Statistics{Nodes: map[Server]NodeStatistics{}, AllClasses: s.latency.allClasses.export(),
+		MedianLatency: s.latency.runningMedian, RecentLatency: s.latency.recentMean}
+	for server, n := range s.endpoints.nodes {
+		if n.latencyUpdatedAt > 0 && n.Status == Ready {
+			statistics.Nodes[server] = NodeStatistics{n.latency, n.deviation}
+		}
+	}
+	for _, c := range s.classes {
+		learned := ClassStatistics{MeanUnits: c.meanUnits, Count: c.count, Latency: c.latency.export()}
+		statistics.Classes = append(statistics.Classes, learned)
+	}
+	return statistics
+}
+
+// RestoreStatistics takes over statistics of an earlier incarnation, each only where nothing was learned here
+// yet, so that it may be called again as nodes become known. It returns the number of nodes whose statistics
+// it took over.
+func (s *Scheduler) RestoreStatistics(saved Statistics) (nodes int) {
+	for server, was := range saved.Nodes {
+		n := s.endpoints.nodes[server]
+		if n != nil && n.latencyUpdatedAt == 0 && n.Status == Ready {
+			n.latency, n.deviation = was.Latency, was.Deviation
+			nodes++
+		}
+	}
+	for i, was := range saved.Classes {
+		if c := s.classes[i]; c.count == 0 && was.Count > 0 {
+			c.meanUnits, c.count, c.latency = was.MeanUnits, was.Count, was.Latency.restore()
+		}
+	}
+	if s.latency.allClasses.count == 0 && saved.AllClasses.Count > 0 {
+		s.latency = latencyModel{allClasses: saved.AllClasses.restore(), recentMean: saved.RecentLatency,
+			runningMedian: saved.MedianLatency}
+	}
+	return nodes
+}
+
+func (g regression) export() Regression {
+	return Regression{g.count, g.meanSize, g.meanTime, g.meanSquare, g.meanProduct}
+}
+
+func (g Regression) restore() regression {
+	return regression{g.Count, g.MeanSize, g.MeanTime, g.MeanSquare, g.MeanProduct}
+}
--- /dev/null
+++ b/scheduler/volume.go
@@ -0,0 +1,98 @@
+package scheduler
+
+const (
+	maxVolumes      = 1 << 16 // over so many, idle ones keep no finish tags
+	volumesPerSweep = 2       // looked at for each request admitted
+)
+
+// volume is a flow in the sense of SFQ: its requests share tags, reserve and quota.
+type volume struct {
+	id           uint64
+	plan         Plan
+	instances    float64 // through which its requests come
+	reserve      tokenBucket
+	limit        tokenBucket
+	finishTags   map[*shardQueue]float64 // of its last request
+	openRequests int
+}
+
+// volumeTable holds the volumes that have open requests or of which more is known than of a new one.
+type volumeTable struct {
+	byID       map[uint64]*volume
+	order      []*volume // the same, in the order in which sweeps look at them
+	sweepIndex int
+}
+
+func (t *volumeTable) add(v *volume) {
+	t.byID[v.id] = v
+	t.order = append(t.order, v)
+}
+
+// sweep looks at a few volumes in turn and forgets those that are forgettable.
+func (t *volumeTable) sweep(isForgettable func(*volume) bool) {
+	for range min(volumesPerSweep, len(t.order)) {
+		if t.sweepIndex >= len(t.order) {
+			t.sweepIndex = 0
+		}
+		v := t.order[t.sweepIndex]
+		if !isForgettable(v) {
+			t.sweepIndex++
+			continue
+		}
+		last := len(t.order) - 1
+		t.order[t.sweepIndex], t.order[last] = t.order[last], nil
+		t.order = t.order[:last]
+		delete(t.byID, v.id)
+	}
+}
+
+// volumeFor returns a request's volume, which is made when it is first seen. The bucket of its quota starts
+// empty: an instance that was killed may have spent it before, and units that other instances count on must
+// not come twice.
+func (s *Scheduler) volumeFor(r Request) *volume {
+	v := s.volumes.byID[r.Volume]
+	if v == nil {
+		v = &volume{id: r.Volume, finishTags: map[*shardQueue]float64{},
+			limit: tokenBucket{filledAt: s.startedAt}, reserve: tokenBucket{filledAt: s.now}}
+		if r.Plan < len(s.settings.Plans) {
+			v.plan = s.settings.Plans[r.Plan]
+		}
+		if v.plan.Weight <= 0 {
+			v.plan.Weight = 1
+		}
+		v.reserve.level = v.reserveCapacity(s.settings.MaxUnits)
+		s.volumes.add(v)
+	}
+	v.instances = max(1, float64(r.VolumeInstances), v.instances)
+	return v
+}
+
+// forgetIdleVolumes forgets volumes of which no more is known than of a new one, so that volumes seen once do
+// not accumulate. Where each comes once, no virtual time ever passes their tags: over maxVolumes idle ones
+// are forgotten all the same, and one that comes again soon may lead by what it had.
+func (s *Scheduler) forgetIdleVolumes() { s.volumes.sweep(s.isForgettable) }
+
+func (s *Scheduler) isForgettable(v *volume) bool {
+	if v.openRequests > 0 {
+		return false
+	}
+	rate, burst := v.quota()
+	fresh := tokenBucket{filledAt: s.startedAt}
+	if v.plan.Limit > 0 && !(v.limit.isFullAt(s.now, rate, burst) && fresh.isFullAt(s.now, rate, burst)) {
+		return false
+	}
+	if !v.reserve.isFullAt(s.now, v.plan.Reserve, v.reserveCapacity(s.settings.MaxUnits)) {
+		return false
+	}
+	return len(s.volumes.order) > maxVolumes || !v.isAhead()
+}
+
+// isAhead reports whether a finish tag of the volume lies beyond its shard's virtual time.
+func (v *volume) isAhead() bool {
+	for queue, tag := range v.finishTags {
+		if tag > queue.virtualTime {
+			return true
+		}
+	}
+	return false
+}
