--- a/scheduler/control_test.go
+++ b/scheduler/control_test.go
@@ -171,7 +171,8 @@
 	s := r.h.endpoints.shards[0]
 	s.virtualTime = 50
 	r.do(r.ask(nil))
-	want(t, "start and finish", []float64{r.h.requests[1].startTag, r.h.volumes.byID[1].finishTags[s]}, 50, 51)
+	want(t, "start and finish", []float64{r.h.requests[1].startTag, r.h.volumes.byID[1].finishTags[s]}, 50,
+		51)
 }
 
 func TestSlotCost(t *testing.T) {
@@ -204,7 +205,8 @@
 	want(t, "second", sends(r.done(4, 0, 0, OK, r.h.objectives.shortest/2)), 5)
 	r.do(add(6, 1))
 	want(t, "third is not promoted", sends(r.done(5, 0, 0, OK, r.h.objectives.shortest/2)))
-	want(t, "head and the next leave when it fits", sends(r.done(1, 0, 0, OK, r.h.objectives.shortest/2)), 2, 6)
+	want(t, "head and the next leave when it fits", sends(r.done(1, 0, 0, OK, r.h.objectives.shortest/2)),
+		2, 6)
 }
 
 func TestReserveDoesNotMoveTheTag(t *testing.T) {
--- a/scheduler/move_test.go
+++ b/scheduler/move_test.go
@@ -289,7 +289,8 @@
 	n := r.fix(1)
 	r.do(r.ask(nil), r.ask(nil), r.ask(func(q *Request) { q.Cell = NewObject }))
 	if len(n.inFlight) == 0 || len(r.h.endpoints.shards[0].requests) == 0 {
-		t.Fatalf("%d out, %d held: the test needs both", len(n.inFlight), len(r.h.endpoints.shards[0].requests))
+		t.Fatalf("%d out, %d held: the test needs both", len(n.inFlight),
+			len(r.h.endpoints.shards[0].requests))
 	}
 	before := len(r.acts)
 	r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry(0, Draining)}})
--- a/scheduler/scale_test.go
+++ b/scheduler/scale_test.go
@@ -181,12 +181,14 @@
 	s.now += removedNodeRetention/2 + time.Second
 	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
 	if len(s.h.endpoints.nodes) != 2 {
-		t.Fatalf("%d nodes known, want the listed one and the one that went just now", len(s.h.endpoints.nodes))
+		t.Fatalf("%d nodes known, want the listed one and the one that went just now",
+			len(s.h.endpoints.nodes))
 	}
 	s.now += removedNodeRetention + time.Second
 	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
 	if len(s.h.endpoints.nodes) != 1 || len(s.h.endpoints.removals) != 0 {
-		t.Fatalf("%d nodes known and %d departures, want 1 and 0", len(s.h.endpoints.nodes), len(s.h.endpoints.removals))
+		t.Fatalf("%d nodes known and %d departures, want 1 and 0", len(s.h.endpoints.nodes),
+			len(s.h.endpoints.removals))
 	}
 }
 
