--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter hosts instances of the decision module and speaks the simulator's wire on standard input
-// and output. Instances share nothing.
+// Command simulator-adapter hosts instances of the decision module and speaks the simulator's wire on
+// standard input and output. Instances share nothing.
 package main
 
 import (
@@ -56,8 +56,8 @@
 		switch {
 		case rec.Stop:
 			delete(hosts, id)
-		case rec.Begin != nil:
-			hosts[id] = scheduler.New(rec.Begin.Seed, rec.Begin.Settings)
+		case rec.Start != nil:
+			hosts[id] = scheduler.New(rec.Start.Seed, rec.Start.Settings)
 		case hosts[id] != nil:
 			hosts[id].Handle(batch.Now, rec.Event)
 		}
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -33,12 +33,14 @@
 	}
 }
 
-func ask() *wire.Begin { return &wire.Begin{Settings: scheduler.Settings{PollEndpoints: true}} }
+func ask() *wire.InstanceStart {
+	return &wire.InstanceStart{Settings: scheduler.Settings{PollEndpoints: true}}
+}
 
 func TestKillAndFreshStartInOneBatch(t *testing.T) {
 	hosts := map[uint16]*scheduler.Scheduler{}
 	list := scheduler.EndpointUpdate{Kind: scheduler.UpdateCached}
-	start := []wire.Record{{Instance: 1, Begin: ask()}, {Instance: 1, Event: list}}
+	start := []wire.Record{{Instance: 1, Start: ask()}, {Instance: 1, Event: list}}
 	if _, err := answer(hosts, wire.Batch{Records: start}); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/storage-gateway/day.go
+++ b/cmd/storage-gateway/day.go
@@ -217,7 +217,7 @@
 	if into == nil {
 		return sexpr.Errorf(nodes[0].Pos, "found %q; want instance, node, list, day or site", head)
 	}
-	if err := sexpr.One(nodes, c.File, head, into); err != nil {
+	if err := sexpr.DecodeOne(nodes, c.File, head, into); err != nil {
 		return err
 	}
 	_, err = io.WriteString(out, sexpr.Print(head, into))
--- a/cmd/storage-gateway/expect.go
+++ b/cmd/storage-gateway/expect.go
@@ -92,7 +92,7 @@
 func printFinding(out io.Writer, f expect.Finding) {
 	e := f.Expectation
 	if f.Verdict == expect.Undecided {
-		fmt.Fprintf(out, "  %-9s  %s: %s  %s\n", f.Verdict, e.Name, f.Why, e.Place)
+		fmt.Fprintf(out, "  %-9s  %s: %s  %s\n", f.Verdict, e.Name, f.Reason, e.Place)
 		return
 	}
 	word := "at least"
@@ -100,9 +100,9 @@
 		word = "at most"
 	}
 	gone := ""
-	if f.Case != "" {
-		gone = " with " + f.Case + " gone"
+	if f.MissingNodes != "" {
+		gone = " with " + f.MissingNodes + " gone"
 	}
 	fmt.Fprintf(out, "  %-9s  %s: %s of %s is %.3g%s, %s %.3g is expected; %d cases  %s\n", f.Verdict, e.Name,
-		e.Measure, f.Thing, f.Value, gone, word, e.Bound, f.Cases, e.Place)
+		e.Measure, f.Subject, f.Value, gone, word, e.Bound, f.CasesChecked, e.Place)
 }
--- a/cmd/storage-gateway/platform.go
+++ b/cmd/storage-gateway/platform.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	platform.FitRuntime(cfg)
+	platform.ApplyRuntimeLimits(cfg)
 	s, err := platform.New(cfg, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", os.Getenv("BALANCER_CONFIG"), err)
@@ -38,7 +38,7 @@
 	go func() {
 		for sig := range got {
 			if sig != syscall.SIGHUP {
-				s.Term()
+				s.Shutdown()
 				continue
 			}
 			again, err := platform.Load(os.Getenv)
--- a/expect/expect.go
+++ b/expect/expect.go
@@ -83,7 +83,7 @@
 	Limit: {Volumes, Plans}, Cold: {Nodes}, Send: {Volumes, Plans}}
 
 // Gone is a failure that the claim must outlast: any so many of what the selector picks, at once.
-type Gone struct {
+type Missing struct {
 	Count int      `json:"Count"`
 	Of    Selector `json:"Of"`
 }
@@ -96,7 +96,7 @@
 	Of      Selector `json:"Of"`
 	AtMost  bool     `json:"AtMost"` // else at least
 	Bound   float64  `json:"Bound"`
-	Gone    *Gone    `json:"Gone"` // nil: with everything up
+	Missing *Missing `json:"Gone"` // nil: with everything up
 }
 
 // Verdict is what a check says.
@@ -111,13 +111,13 @@
 
 // Finding is what came of one expectation.
 type Finding struct {
-	Expectation Expectation `json:"Expectation"`
-	Verdict     Verdict     `json:"Verdict"`
-	Case        string      `json:"Case"`  // what is gone; "" for nothing
-	Thing       string      `json:"Thing"` // whose measure it is
-	Value       float64     `json:"Value"` // the worst found
-	Cases       int         `json:"Cases"` // that were looked at
-	Why         string      `json:"Why"`   // undecided: why
+	Expectation  Expectation `json:"Expectation"`
+	Verdict      Verdict     `json:"Verdict"`
+	MissingNodes string      `json:"Case"`  // what is gone; "" for nothing
+	Subject      string      `json:"Thing"` // whose measure it is
+	Value        float64     `json:"Value"` // the worst found
+	CasesChecked int         `json:"Cases"` // that were looked at
+	Reason       string      `json:"Why"`   // undecided: why
 }
 
 // mostCases bounds how many combinations of what may be gone at once are looked at.
@@ -245,17 +245,17 @@
 	}
 	if e.Measure == Send {
 		out.Verdict, out.Value = Undecided, 0
-		out.Why = "what is sent when is the module's to tell: not explored yet"
+		out.Reason = "what is sent when is the module's to tell: not explored yet"
 		return out
 	}
-	groups, names := m.groups(e.Gone)
+	groups, names := m.groups(e.Missing)
 	count := 0
-	if e.Gone != nil {
-		count = min(e.Gone.Count, len(groups))
+	if e.Missing != nil {
+		count = min(e.Missing.Count, len(groups))
 	}
 	if n := choose(len(groups), count); n > mostCases {
 		out.Verdict, out.Value = Undecided, 0
-		out.Why = fmt.Sprintf("%d of %d gone at once are %.3g cases, over %d", count, len(groups), n,
+		out.Reason = fmt.Sprintf("%d of %d gone at once are %.3g cases, over %d", count, len(groups), n,
 			mostCases)
 		return out
 	}
@@ -267,24 +267,24 @@
 				down[n] = true
 			}
 		}
-		out.Cases++
+		out.CasesChecked++
 		m.measure(e, down, func(kind Kind, name string, value float64) {
 			worse := value < out.Value
 			if e.AtMost {
 				worse = value > out.Value
 			}
 			if worse {
-				out.Value, out.Thing = value, string(kind)+" "+name
+				out.Value, out.Subject = value, string(kind)+" "+name
 				var gone []string
 				for _, g := range chosen {
 					gone = append(gone, names[g])
 				}
-				out.Case = strings.Join(gone, " and ")
+				out.MissingNodes = strings.Join(gone, " and ")
 			}
 		})
 	})
 	if math.IsInf(out.Value, 0) {
-		out.Verdict, out.Value, out.Why = Undecided, 0, "nothing is left to measure in any case"
+		out.Verdict, out.Value, out.Reason = Undecided, 0, "nothing is left to measure in any case"
 		return out
 	}
 	const rounding = 1e-9
@@ -295,7 +295,7 @@
 }
 
 // groups are what may be gone: nodes one by one, or the nodes of a zone together.
-func (m *Model) groups(g *Gone) (groups [][]int, names []string) {
+func (m *Model) groups(g *Missing) (groups [][]int, names []string) {
 	if g == nil {
 		return nil, nil
 	}
@@ -445,7 +445,8 @@
 // Contradictions are pairs of expectations of one measure, selector and failure that cannot both hold.
 func Contradictions(all []Expectation) (out [][2]Expectation) {
 	same := func(a, b Expectation) bool {
-		gone := a.Gone == nil && b.Gone == nil || a.Gone != nil && b.Gone != nil && *a.Gone == *b.Gone
+		gone := a.Missing == nil && b.Missing == nil ||
+			a.Missing != nil && b.Missing != nil && *a.Missing == *b.Missing
 		return a.Measure == b.Measure && a.Of == b.Of && gone
 	}
 	for i, a := range all {
--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -23,29 +23,29 @@
 
 // Each claim is judged by its worst case, which is named.
 func TestStaticChecks(t *testing.T) {
-	gone := func(n int, k Kind, name string) *Gone { return &Gone{n, Selector{k, name}} }
+	gone := func(n int, k Kind, name string) *Missing { return &Missing{n, Selector{k, name}} }
 	for _, c := range []struct {
 		e    Expectation
 		want string
 	}{
 		{Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Bound: 1}, "holds 1.00  of 1"},
-		{Expectation{Measure: Reach, Of: Selector{Volumes, "charts"}, Bound: 1, Gone: gone(1, Nodes, "*")},
+		{Expectation{Measure: Reach, Of: Selector{Volumes, "charts"}, Bound: 1, Missing: gone(1, Nodes, "*")},
 			"holds 1.00 node a-1 of 5"},
-		{Expectation{Measure: Reach, Of: Selector{Volumes, "charts"}, Bound: 1, Gone: gone(2, Nodes, "*")},
+		{Expectation{Measure: Reach, Of: Selector{Volumes, "charts"}, Bound: 1, Missing: gone(2, Nodes, "*")},
 			"broken 0.00 node a-1 and node b-spare of 10"},
-		{Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Bound: 1, Gone: gone(1, Nodes, "*")},
+		{Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Bound: 1, Missing: gone(1, Nodes, "*")},
 			"broken 0.50 node a-2 of 5"},
 		{Expectation{Measure: Reach, Of: Selector{Plans, "operational"}, Bound: 0.5,
-			Gone: gone(1, Zones, "*")}, "holds 0.50 zone b of 2"},
+			Missing: gone(1, Zones, "*")}, "holds 0.50 zone b of 2"},
 		// cell 0: charts 10, model 15; cells 1 and 3: 5 and 15; cell 2: 15
 		{Expectation{Measure: Reserve, Of: Selector{Nodes, "*"}, AtMost: true, Bound: 0.25},
 			"holds 0.25  of 1"},
 		{Expectation{Measure: Reserve, Of: Selector{Nodes, "*"}, AtMost: true, Bound: 0.24},
 			"broken 0.25  of 1"},
 		{Expectation{Measure: Reserve, Of: Selector{Zones, "b"}, AtMost: true, Bound: 0.2,
-			Gone: gone(1, Nodes, "a-*")}, "holds 0.20 node a-1 of 2"},
+			Missing: gone(1, Nodes, "a-*")}, "holds 0.20 node a-1 of 2"},
 		{Expectation{Measure: Reserve, Of: Selector{Zones, "b"}, AtMost: true, Bound: 0.19,
-			Gone: gone(1, Zones, "a")}, "broken 0.20 zone a of 1"},
+			Missing: gone(1, Zones, "a")}, "broken 0.20 zone a of 1"},
 		{Expectation{Measure: Share, Of: Selector{Volumes, "charts"}, Bound: 0.25}, "holds 0.25  of 1"},
 		{Expectation{Measure: Share, Of: Selector{Volumes, "model"}, AtMost: true, Bound: 0.75},
 			"broken 1.00  of 1"},
@@ -59,10 +59,11 @@
 			"undecided 0.00  of 1"},
 	} {
 		f := New(hall()).Check([]Expectation{c.e})[0]
-		if got := fmt.Sprintf("%s %.2f %s of %d", f.Verdict, f.Value, f.Case, f.Cases); got != c.want {
+		if got := fmt.Sprintf("%s %.2f %s of %d", f.Verdict, f.Value, f.MissingNodes,
+			f.CasesChecked); got != c.want {
 			t.Errorf("%s %v: %s; want %s", c.e.Measure, c.e.Of, got, c.want)
 		}
-		if (f.Verdict == Undecided) != (f.Why != "") {
+		if (f.Verdict == Undecided) != (f.Reason != "") {
 			t.Errorf("%s: undecided without a reason, or the other way: %+v", c.e.Measure, f)
 		}
 	}
@@ -72,11 +73,11 @@
 func TestAReserveThatBreaksWithANodeGone(t *testing.T) {
 	f := hall()
 	e := Expectation{Measure: Reserve, Of: Selector{Nodes, "b-spare"}, AtMost: true, Bound: 0.2,
-		Gone: &Gone{1, Selector{Nodes, "*"}}}
-	if got := New(f).Check([]Expectation{e})[0]; got.Verdict != Broken || got.Case != "node a-1" {
+		Missing: &Missing{1, Selector{Nodes, "*"}}}
+	if got := New(f).Check([]Expectation{e})[0]; got.Verdict != Broken || got.MissingNodes != "node a-1" {
 		t.Errorf("got %+v", got)
 	}
-	e.Gone = nil
+	e.Missing = nil
 	if got := New(f).Check([]Expectation{e})[0]; got.Verdict != Holds {
 		t.Errorf("with all up: %+v", got)
 	}
@@ -88,9 +89,9 @@
 	for i := range 200 {
 		f.Nodes = append(f.Nodes, Node{Name: fmt.Sprintf("n-%d", i), Cell: i, Capacity: 1})
 	}
-	e := Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Gone: &Gone{4, Selector{Nodes, "*"}}}
+	e := Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Missing: &Missing{4, Selector{Nodes, "*"}}}
 	got := New(f).Check([]Expectation{e})[0]
-	if got.Verdict != Undecided || got.Cases != 0 || !strings.Contains(got.Why, "6.47e+07 cases") {
+	if got.Verdict != Undecided || got.CasesChecked != 0 || !strings.Contains(got.Reason, "6.47e+07 cases") {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -99,7 +100,7 @@
 	a := Expectation{Name: "a", Measure: Share, Of: Selector{Volumes, "x"}, Bound: 0.5}
 	b := Expectation{Name: "b", Measure: Share, Of: Selector{Volumes, "x"}, AtMost: true, Bound: 0.4}
 	c := b
-	c.Gone = &Gone{1, Selector{Nodes, "*"}}
+	c.Missing = &Missing{1, Selector{Nodes, "*"}}
 	if got := Contradictions([]Expectation{a, b, c}); len(got) != 1 || got[0][0].Name != "a" ||
 		got[0][1].Name != "b" {
 		t.Errorf("got %+v", got)
@@ -129,10 +130,14 @@
 		}
 		last := math.Inf(1)
 		for n := range len(f.Nodes) + 1 {
-			e := Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Gone: &Gone{n, Selector{Nodes, "*"}}}
+			e := Expectation{
+				Measure: Reach,
+				Of:      Selector{Volumes, "*"},
+				Missing: &Missing{n, Selector{Nodes, "*"}},
+			}
 			got := New(f).Check([]Expectation{e})[0]
-			if got.Value > last || float64(got.Cases) != choose(len(f.Nodes), n) {
-				t.Fatalf("%d gone: %v after %v, %d cases", n, got.Value, last, got.Cases)
+			if got.Value > last || float64(got.CasesChecked) != choose(len(f.Nodes), n) {
+				t.Fatalf("%d gone: %v after %v, %d cases", n, got.Value, last, got.CasesChecked)
 			}
 			last = got.Value
 		}
@@ -171,14 +176,14 @@
 			Paths: 1 + i%3, Cells: []int{i % 200, (i * 7) % 200, (i * 13) % 200}})
 	}
 	var all []Expectation
-	one := &Gone{1, Selector{Nodes, "*"}}
+	one := &Missing{1, Selector{Nodes, "*"}}
 	for range 10 {
-		all = append(all, Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Gone: one},
-			Expectation{Measure: Reserve, Of: Selector{Nodes, "*"}, AtMost: true, Bound: 1, Gone: one},
-			Expectation{Measure: Share, Of: Selector{Volumes, "*"}, Gone: one},
+		all = append(all, Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Missing: one},
+			Expectation{Measure: Reserve, Of: Selector{Nodes, "*"}, AtMost: true, Bound: 1, Missing: one},
+			Expectation{Measure: Share, Of: Selector{Volumes, "*"}, Missing: one},
 			Expectation{Measure: Limit, Of: Selector{Volumes, "*"}, AtMost: true, Bound: 1},
 			Expectation{Measure: Reserve, Of: Selector{Zones, "*"}, AtMost: true, Bound: 1,
-				Gone: &Gone{2, Selector{Zones, "*"}}})
+				Missing: &Missing{2, Selector{Zones, "*"}}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/extent/extent.go
+++ b/extent/extent.go
@@ -18,23 +18,27 @@
 
 // Settings bound what the planner does.
 type Settings struct {
-	Extent  uint64        // bytes of one extent
-	Largest uint64        // bytes of one operation at most; at most Extent
-	Members int           // pieces of one operation at most; 1: nothing is merged
-	Window  time.Duration // members of one operation were taken at most so far apart; 0: any
-	Pieces  int           // of one request at most; a request of more is refused
-	Cells   int           // that a volume's extents are dealt out over
+	ExtentSize   uint64        // bytes of one extent
+	MaxOperation uint64        // bytes of one operation at most; at most Extent
+	MaxMembers   int           // pieces of one operation at most; 1: nothing is merged
+	Window       time.Duration // members of one operation were taken at most so far apart; 0: any
+	MaxPieces    int           // of one request at most; a request of more is refused
+	Cells        int           // that a volume's extents are dealt out over
 }
 
 // Check tells what is wrong with settings.
 func (s Settings) Check() error {
 	switch {
-	case s.Extent == 0 || s.Largest == 0 || s.Largest > s.Extent:
-		return fmt.Errorf("an operation's %d bytes must be 1 to the extent's %d", s.Largest, s.Extent)
-	case s.Members < 1 || s.Members > MaxMembers:
-		return fmt.Errorf("an operation has 1 to %d members, not %d", MaxMembers, s.Members)
-	case s.Pieces < 1 || s.Cells < 1:
-		return fmt.Errorf("%d pieces of a request, %d cells; want 1 or more", s.Pieces, s.Cells)
+	case s.ExtentSize == 0 || s.MaxOperation == 0 || s.MaxOperation > s.ExtentSize:
+		return fmt.Errorf(
+			"an operation's %d bytes must be 1 to the extent's %d",
+			s.MaxOperation,
+			s.ExtentSize,
+		)
+	case s.MaxMembers < 1 || s.MaxMembers > MaxMembers:
+		return fmt.Errorf("an operation has 1 to %d members, not %d", MaxMembers, s.MaxMembers)
+	case s.MaxPieces < 1 || s.Cells < 1:
+		return fmt.Errorf("%d pieces of a request, %d cells; want 1 or more", s.MaxPieces, s.Cells)
 	}
 	return nil
 }
@@ -105,11 +109,11 @@
 	}
 	var out []Piece
 	for at := q.Range.Offset; at < q.Range.End(); {
-		if len(out) == s.Pieces {
-			return nil, fmt.Errorf("%w: over %d", ErrPieces, s.Pieces)
+		if len(out) == s.MaxPieces {
+			return nil, fmt.Errorf("%w: over %d", ErrPieces, s.MaxPieces)
 		}
-		extent := at / s.Extent
-		length := min(q.Range.End()-at, s.Largest, s.Extent-at%s.Extent)
+		extent := at / s.ExtentSize
+		length := min(q.Range.End()-at, s.MaxOperation, s.ExtentSize-at%s.ExtentSize)
 		out = append(out, Piece{Nth: len(out), Extent: extent, Cell: s.Cell(q.DataVolume, extent),
 			Range: Range{at, length}})
 		at += length
--- a/extent/extent_test.go
+++ b/extent/extent_test.go
@@ -10,8 +10,8 @@
 
 func drawSettings(t *rapid.T) Settings {
 	extent := rapid.Uint64Range(1, 64).Draw(t, "extent")
-	return Settings{Extent: extent, Largest: rapid.Uint64Range(1, extent).Draw(t, "largest"),
-		Members: rapid.IntRange(1, 5).Draw(t, "members"), Pieces: 1 << 16, Cells: 3}
+	return Settings{ExtentSize: extent, MaxOperation: rapid.Uint64Range(1, extent).Draw(t, "largest"),
+		MaxMembers: rapid.IntRange(1, 5).Draw(t, "members"), MaxPieces: 1 << 16, Cells: 3}
 }
 
 // The pieces of any request cover its range once, each within one extent and one operation, and their units
@@ -27,8 +27,8 @@
 		}
 		at, units := q.Range.Offset, 0
 		for i, p := range pieces {
-			if p.Range.Offset != at || p.Range.Length == 0 || p.Range.Length > s.Largest || p.Nth != i ||
-				p.Extent != at/s.Extent || (p.Range.End()-1)/s.Extent != p.Extent || p.Units < 0 {
+			if p.Range.Offset != at || p.Range.Length == 0 || p.Range.Length > s.MaxOperation || p.Nth != i ||
+				p.Extent != at/s.ExtentSize || (p.Range.End()-1)/s.ExtentSize != p.Extent || p.Units < 0 {
 				t.Fatalf("piece %d is %+v", i, p)
 			}
 			at, units = p.Range.End(), units+p.Units
@@ -40,7 +40,7 @@
 }
 
 func TestSplitRefusesWhatItCannotCut(t *testing.T) {
-	s := Settings{Extent: 10, Largest: 10, Members: 1, Pieces: 3, Cells: 1}
+	s := Settings{ExtentSize: 10, MaxOperation: 10, MaxMembers: 1, MaxPieces: 3, Cells: 1}
 	for _, c := range []struct {
 		r     Range
 		units int
@@ -54,8 +54,9 @@
 			t.Errorf("%+v: %v, want %v", c.r, err, c.want)
 		}
 	}
-	for _, bad := range []Settings{{}, {Extent: 1, Largest: 2, Members: 1, Pieces: 1, Cells: 1}, {Extent: 1,
-		Largest: 1}} {
+	for _, bad := range []Settings{{}, {ExtentSize: 1, MaxOperation: 2, MaxMembers: 1, MaxPieces: 1,
+		Cells: 1}, {ExtentSize: 1,
+		MaxOperation: 1}} {
 		if bad.Check() == nil {
 			t.Errorf("%+v passes", bad)
 		}
--- a/extent/joint_test.go
+++ b/extent/joint_test.go
@@ -239,8 +239,8 @@
 	merged := 0
 	rapid.Check(t, func(t *rapid.T) {
 		j := &joint{t: t, now: time.Hour, asks: map[uint64]*ask{}, pieces: map[uint32]*part{},
-			set: extent.Settings{Extent: 32, Largest: 32, Pieces: 16, Cells: 2,
-				Members: rapid.SampledFrom([]int{8, 1}).Draw(t, "members")}}
+			set: extent.Settings{ExtentSize: 32, MaxOperation: 32, MaxPieces: 16, Cells: 2,
+				MaxMembers: rapid.SampledFrom([]int{8, 1}).Draw(t, "members")}}
 		j.plan = extent.New(j.set)
 		j.host = scheduler.New(
 			1,
--- a/extent/planner.go
+++ b/extent/planner.go
@@ -61,7 +61,7 @@
 }
 
 // Open is how many requests and pieces are known.
-func (p *Planner) Open() (requests, pieces int) { return len(p.wholes), len(p.pieces) }
+func (p *Planner) Counts() (requests, pieces int) { return len(p.wholes), len(p.pieces) }
 
 // compareKind is 0 for pieces that may share an operation: of one extent, direction and class, and writes
 // of one plan. Reads for several volumes may share one: each is charged to its own.
@@ -107,7 +107,7 @@
 		x := &piece{Piece: cut[i], whole: w, held: true}
 		w.pieces = append(w.pieces, x)
 		p.pieces[x.ID] = x
-		if p.set.Members > 1 {
+		if p.set.MaxMembers > 1 {
 			p.held.ReplaceOrInsert(x)
 		}
 	}
@@ -122,24 +122,24 @@
 // writes to the same bytes the later must win. What joins is held no more.
 func (p *Planner) Propose(id uint32, join func(id uint32, units float64) bool) {
 	lead := p.pieces[id]
-	if lead == nil || !lead.held || p.set.Members < 2 {
+	if lead == nil || !lead.held || p.set.MaxMembers < 2 {
 		return
 	}
 	p.unhold(lead)
 	op := Operation{Range: lead.Range, Members: []Piece{lead.Piece}}
 	size := size{}.with(lead.Piece, lead.Range)
 	var joined []*piece
-	looks := scanFactor * p.set.Members
+	looks := scanFactor * p.set.MaxMembers
 	offer := func(x *piece) bool {
 		looks--
-		if looks < 0 || x.compareKind(lead) != 0 || len(op.Members) >= p.set.Members {
+		if looks < 0 || x.compareKind(lead) != 0 || len(op.Members) >= p.set.MaxMembers {
 			return false
 		}
 		if p.apart(x, lead) || !op.touches(x.Range, x.whole.Write) {
 			return true
 		}
 		all := op.Range.with(x.Range)
-		if all.Length > p.set.Largest {
+		if all.Length > p.set.MaxOperation {
 			return true
 		}
 		larger := size.with(x.Piece, all)
@@ -154,9 +154,9 @@
 	p.held.AscendGreaterOrEqual(lead, func(x *piece) bool {
 		return x.Range.Offset <= op.Range.End() && offer(x)
 	})
-	looks = scanFactor * p.set.Members
+	looks = scanFactor * p.set.MaxMembers
 	p.held.DescendLessOrEqual(lead, func(x *piece) bool {
-		return op.Range.Offset-x.Range.Offset <= p.set.Largest && offer(x)
+		return op.Range.Offset-x.Range.Offset <= p.set.MaxOperation && offer(x)
 	})
 	for _, x := range joined {
 		p.unhold(x)
--- a/extent/planner_test.go
+++ b/extent/planner_test.go
@@ -109,8 +109,8 @@
 // leave checks an operation as it leaves and lets the disk carry it out.
 func (m *machine) leave(ids []uint32) Operation {
 	op := m.p.SealOperation(ids)
-	if op.Range.Length > m.set.Largest || len(ids) > m.set.Members || len(op.Members) != len(ids) ||
-		op.Range.Offset/m.set.Extent != op.Extent || (op.Range.End()-1)/m.set.Extent != op.Extent {
+	if op.Range.Length > m.set.MaxOperation || len(ids) > m.set.MaxMembers || len(op.Members) != len(ids) ||
+		op.Range.Offset/m.set.ExtentSize != op.Extent || (op.Range.End()-1)/m.set.ExtentSize != op.Extent {
 		m.t.Fatalf("operation out of bounds: %+v", op)
 	}
 	covered := make([]int, op.Range.Length)
@@ -324,10 +324,11 @@
 func playMachine(merged *int) func(*rapid.T) {
 	return func(t *rapid.T) {
 		set := drawSettings(t)
-		set.Extent = rapid.SampledFrom([]uint64{64, 32, 16}).Draw(t, "extents")
-		set.Largest = rapid.SampledFrom([]uint64{set.Extent, set.Extent / 2, 8}).Draw(t, "operation")
+		set.ExtentSize = rapid.SampledFrom([]uint64{64, 32, 16}).Draw(t, "extents")
+		set.MaxOperation = rapid.SampledFrom([]uint64{set.ExtentSize, set.ExtentSize / 2, 8}).
+			Draw(t, "operation")
 		set.Window = rapid.SampledFrom([]time.Duration{0, 20, 5}).Draw(t, "window")
-		set.Members = rapid.SampledFrom([]int{4, 8, 2, 1}).Draw(t, "most members")
+		set.MaxMembers = rapid.SampledFrom([]int{4, 8, 2, 1}).Draw(t, "most members")
 		m := &machine{t: t, p: New(set), set: set, asked: map[uint64]*plain{}, of: map[uint32]*plain{},
 			disk: map[uint64][]byte{}, ops: map[uint32]Operation{}}
 		for range rapid.SampledFrom([]int{20, 60, 150}).Draw(t, "steps") {
@@ -351,7 +352,7 @@
 		}
 		m.out = nil
 		m.forget()
-		if requests, pieces := m.p.Open(); requests != 0 || pieces != 0 || m.p.held.Len() != 0 {
+		if requests, pieces := m.p.Counts(); requests != 0 || pieces != 0 || m.p.held.Len() != 0 {
 			t.Fatalf("left behind: %d requests, %d pieces, %d held", requests, pieces, m.p.held.Len())
 		}
 		*merged += m.merged
@@ -381,7 +382,7 @@
 	return ids, units
 }
 
-var wide = Settings{Extent: 1000, Largest: 1000, Members: MaxMembers, Pieces: 8, Cells: 2}
+var wide = Settings{ExtentSize: 1000, MaxOperation: 1000, MaxMembers: MaxMembers, MaxPieces: 8, Cells: 2}
 
 func TestWhatLeavesTogether(t *testing.T) {
 	for _, c := range []struct {
@@ -425,7 +426,7 @@
 // A thousand members that want the same 4 KiB become as few operations as the bound on members allows, each
 // of the work of one.
 func TestAThousandOfTheSame(t *testing.T) {
-	s := Settings{Extent: 4096, Largest: 4096, Members: MaxMembers, Pieces: 1, Cells: 1}
+	s := Settings{ExtentSize: 4096, MaxOperation: 4096, MaxMembers: MaxMembers, MaxPieces: 1, Cells: 1}
 	p := fresh(t, s, false, slices.Repeat([]Range{{0, 4096}}, 1000)...)
 	ops := 0
 	for id := uint32(1); id <= 1000; id++ {
@@ -514,7 +515,15 @@
 	for _, held := range []int{10, 100, 1000, 10_000, 100_000} {
 		for _, adjacent := range []bool{true, false} {
 			b.Run(fmt.Sprintf("held=%d/adjacent=%v", held, adjacent), func(b *testing.B) {
-				p := New(Settings{Extent: 1 << 20, Largest: 1 << 20, Members: 16, Pieces: 8, Cells: 8})
+				p := New(
+					Settings{
+						ExtentSize:   1 << 20,
+						MaxOperation: 1 << 20,
+						MaxMembers:   16,
+						MaxPieces:    8,
+						Cells:        8,
+					},
+				)
 				id, seq := uint32(0), uint64(0)
 				next := func() uint32 { id++; return id }
 				stride := uint64(4096)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -152,7 +152,7 @@
 			return
 		}
 		i := DefaultInstance()
-		if err := sexpr.One(nodes, "f", "instance", &i); err != nil {
+		if err := sexpr.DecodeOne(nodes, "f", "instance", &i); err != nil {
 			if !strings.HasPrefix(err.Error(), "f:") {
 				t.Fatalf("no place in %v", err)
 			}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -56,7 +56,7 @@
 			return false
 		})
 	}
-	if err := sexpr.One(nodes, file, "fleet", &f); err != nil {
+	if err := sexpr.DecodeOne(nodes, file, "fleet", &f); err != nil {
 		return f, nil, nil, err
 	}
 	plan, err := f.plan()
@@ -177,7 +177,7 @@
 		return e, sexpr.Errorf(with.List[1].Pos, "found %v; want how many are gone at once", with.List[1])
 	}
 	of, err := selector(f, with.List[2], []expect.Kind{expect.Nodes, expect.Zones})
-	e.Gone = &expect.Gone{Count: count, Of: of}
+	e.Missing = &expect.Missing{Count: count, Of: of}
 	return e, err
 }
 
--- a/internal/config/programs.go
+++ b/internal/config/programs.go
@@ -178,5 +178,5 @@
 	if err != nil {
 		return err
 	}
-	return sexpr.One(nodes, path, head, out)
+	return sexpr.DecodeOne(nodes, path, head, out)
 }
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -177,10 +177,16 @@
 
 // Planner turns them into the planner's settings.
 func (e *Extents) Planner() extent.Settings {
-	s := extent.Settings{Extent: uint64(e.Size), Largest: uint64(e.MaxOperation), Members: e.MaxMembers,
-		Window: e.Window, Pieces: e.MaxPieces, Cells: e.Cells}
+	s := extent.Settings{
+		ExtentSize:   uint64(e.Size),
+		MaxOperation: uint64(e.MaxOperation),
+		MaxMembers:   e.MaxMembers,
+		Window:       e.Window,
+		MaxPieces:    e.MaxPieces,
+		Cells:        e.Cells,
+	}
 	if e.MergingDisabled {
-		s.Members = 1
+		s.MaxMembers = 1
 	}
 	return s
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -15,8 +15,8 @@
 
 // Limits bound what is read, in bytes.
 type Limits struct {
-	Head int // of a head, its last empty line included
-	Body int // of a body
+	MaxHead int // of a head, its last empty line included
+	MaxBody int // of a body
 }
 
 // mostFields bounds the header fields of a head.
@@ -28,10 +28,10 @@
 // Error is a message that cannot be taken: what is wrong with it and the status that says so to a client.
 type Error struct {
 	Status int
-	What   string
+	Reason string
 }
 
-func (e *Error) Error() string { return e.What }
+func (e *Error) Error() string { return e.Reason }
 
 func bad(what string) error { return &Error{400, what} }
 
@@ -103,17 +103,17 @@
 func (r *Reader) Buffered() int { return r.end - r.at }
 
 // Size is how many bytes the buffer takes.
-func (r *Reader) Size() int { return len(r.buf) }
+func (r *Reader) BufferSize() int { return len(r.buf) }
 
 // Reads is how often the source was read: a message that was taken without a read had come whole before.
-func (r *Reader) Reads() int { return r.reads }
+func (r *Reader) ReadCount() int { return r.reads }
 
 // ErrFull is Ahead's error where as many bytes are buffered as may be.
-var ErrFull = errors.New("as many bytes are buffered as may be")
+var ErrBufferFull = errors.New("as many bytes are buffered as may be")
 
 // Ahead blocks until more has come than what is buffered, which may be up to most bytes. An error of the
 // source tells of its end while messages that came before it are still in the buffer.
-func (r *Reader) Ahead(most int) error { return r.more(max(most, r.lim.Head), ErrFull) }
+func (r *Reader) ReadAhead(most int) error { return r.more(max(most, r.lim.MaxHead), ErrBufferFull) }
 
 // Shrink gives the buffer back while nothing is in it, as a connection that idles needs none.
 func (r *Reader) Shrink() {
@@ -123,7 +123,7 @@
 }
 
 // Await blocks until at least one byte is there.
-func (r *Reader) Await() error {
+func (r *Reader) WaitReadable() error {
 	if r.Buffered() > 0 {
 		return nil
 	}
@@ -131,7 +131,7 @@
 }
 
 // fill reads more, growing the buffer up to the bound of a head.
-func (r *Reader) fill() error { return r.more(r.lim.Head, &Error{431, "the head is too long"}) }
+func (r *Reader) fill() error { return r.more(r.lim.MaxHead, &Error{431, "the head is too long"}) }
 
 // more reads more, growing the buffer up to most bytes; full is the error where it holds them.
 func (r *Reader) more(most int, full error) error {
@@ -275,13 +275,13 @@
 // Request reads a request's head. Its body, of Length bytes, is then read by Body. io.EOF means that the
 // connection ended before a request began.
 func (r *Reader) Request() (*Request, error) {
-	if err := r.Await(); err != nil {
+	if err := r.WaitReadable(); err != nil {
 		return nil, err
 	}
 	if !tokenChar(r.buf[r.at]) {
 		return nil, bad("no request begins so")
 	}
-	left := r.lim.Head
+	left := r.lim.MaxHead
 	line, err := r.line(&left)
 	if err != nil {
 		return nil, err
@@ -312,8 +312,8 @@
 		return nil, err
 	case chunked:
 		return nil, &Error{411, "a request states its length"}
-	case n > int64(r.lim.Body):
-		return nil, &Error{413, fmt.Sprintf("the body is over %d bytes", r.lim.Body)}
+	case n > int64(r.lim.MaxBody):
+		return nil, &Error{413, fmt.Sprintf("the body is over %d bytes", r.lim.MaxBody)}
 	case n > 0 && (method == "GET" || method == "HEAD"):
 		return nil, bad("a " + method + " has a body")
 	}
@@ -327,7 +327,7 @@
 
 // Body reads n bytes that a head stated.
 func (r *Reader) Body(n int64) ([]byte, error) {
-	if n > int64(r.lim.Body) {
+	if n > int64(r.lim.MaxBody) {
 		return nil, &Error{413, "the body is too long"}
 	}
 	body := make([]byte, n)
@@ -392,7 +392,7 @@
 	if err := r.mustBegin("HTTP/1."); err != nil {
 		return nil, err
 	}
-	left := r.lim.Head
+	left := r.lim.MaxHead
 	line, err := r.line(&left)
 	if err != nil {
 		return nil, err
@@ -449,11 +449,11 @@
 			return nil, bad("a chunk's size is no number")
 		}
 		if n == 0 {
-			left = r.lim.Head
+			left = r.lim.MaxHead
 			_, err = r.fields(&left) // trailers
 			return body, err
 		}
-		if int64(n)+int64(len(body)) > int64(r.lim.Body) {
+		if int64(n)+int64(len(body)) > int64(r.lim.MaxBody) {
 			return nil, &Error{413, "the body is too long"}
 		}
 		chunk, err := r.Body(int64(n))
@@ -476,7 +476,7 @@
 	for {
 		body = append(body, r.buf[r.at:r.end]...)
 		r.at = r.end
-		if len(body) > r.lim.Body {
+		if len(body) > r.lim.MaxBody {
 			return nil, &Error{413, "the body is too long"}
 		}
 		if err := r.fill(); errors.Is(err, io.EOF) {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -8,7 +8,7 @@
 	"testing/iotest"
 )
 
-var lim = Limits{Head: 2048, Body: 4096}
+var lim = Limits{MaxHead: 2048, MaxBody: 4096}
 
 const head = "Host: a\r\nX-Call-Id: 1\r\n"
 
@@ -152,7 +152,7 @@
 		if !errors.As(err, &e) {
 			t.Errorf("%s: %+v, %v", name, p, err)
 		}
-		if tail.n > 4*(lim.Head+lim.Body) {
+		if tail.n > 4*(lim.MaxHead+lim.MaxBody) {
 			t.Errorf("%s: %d bytes read", name, tail.n)
 		}
 	}
@@ -207,7 +207,7 @@
 		if err != nil {
 			return
 		}
-		if len(p.Body) > lim.Body || p.Status < 200 {
+		if len(p.Body) > lim.MaxBody || p.Status < 200 {
 			t.Fatalf("status %d with %d bytes", p.Status, len(p.Body))
 		}
 		again, err := NewReader(strings.NewReader(string(AppendResponse(nil, 200, "OK", nil, p.Body))),
@@ -224,35 +224,35 @@
 	one := "GET /a HTTP/1.1\r\nHost: a\r\n\r\n"
 	many := strings.Repeat(one, 300) // 8,100 bytes, over the bound of a head
 	r := NewReader(strings.NewReader(many), lim)
-	if err := r.Ahead(100); err != nil || r.Buffered() == 0 {
+	if err := r.ReadAhead(100); err != nil || r.Buffered() == 0 {
 		t.Fatalf("%d bytes, %v", r.Buffered(), err)
 	}
 	for r.Buffered() < len(many) {
-		if err := r.Ahead(len(many)); err != nil {
+		if err := r.ReadAhead(len(many)); err != nil {
 			t.Fatalf("after %d bytes: %v", r.Buffered(), err)
 		}
 	}
-	if err := r.Ahead(len(many)); !errors.Is(err, ErrFull) {
+	if err := r.ReadAhead(len(many)); !errors.Is(err, ErrBufferFull) {
 		t.Fatalf("beyond the bound: %v", err)
 	}
-	if err := r.Ahead(2 * len(many)); !errors.Is(err, io.EOF) || r.Buffered() != len(many) {
+	if err := r.ReadAhead(2 * len(many)); !errors.Is(err, io.EOF) || r.Buffered() != len(many) {
 		t.Fatalf("at the end: %v with %d bytes", err, r.Buffered())
 	}
-	reads := r.Reads()
+	reads := r.ReadCount()
 	for n := range 300 {
 		if q, err := r.Request(); err != nil || q.Target != "/a" {
 			t.Fatalf("request %d: %+v, %v", n, q, err)
 		}
 	}
-	if r.Reads() != reads {
-		t.Errorf("%d reads for requests that had come whole", r.Reads()-reads)
+	if r.ReadCount() != reads {
+		t.Errorf("%d reads for requests that had come whole", r.ReadCount()-reads)
 	}
 	r.Shrink()
-	if r.Size() != 0 {
-		t.Errorf("the buffer keeps %d bytes", r.Size())
+	if r.BufferSize() != 0 {
+		t.Errorf("the buffer keeps %d bytes", r.BufferSize())
 	}
-	r = NewReader(strings.NewReader(strings.Repeat("a", 2*lim.Head)), lim)
-	for r.Ahead(2*lim.Head) == nil {
+	r = NewReader(strings.NewReader(strings.Repeat("a", 2*lim.MaxHead)), lim)
+	for r.ReadAhead(2*lim.MaxHead) == nil {
 	}
 	var e *Error
 	if _, err := r.Request(); !errors.As(err, &e) || e.Status != 431 {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -62,7 +62,7 @@
 	gate  func()
 
 	// Bad counts datagrams that were not understood or came from nobody known.
-	Bad atomic.Uint64
+	Rejected atomic.Uint64
 }
 
 // Listen opens the end. gate, where set, is passed before each message is handed on.
@@ -102,7 +102,7 @@
 		}
 		from, body, err := Decode(buf[:n])
 		if _, known := l.peers[from]; err != nil || !known || from == l.me {
-			l.Bad.Add(1)
+			l.Rejected.Add(1)
 			continue
 		}
 		hear(scheduler.PeerMessage{From: from, Body: append([]byte(nil), body...)})
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -60,7 +60,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("nothing came")
 	}
-	if n := b.Bad.Load(); n < 4 || len(got) > 0 {
+	if n := b.Rejected.Load(); n < 4 || len(got) > 0 {
 		t.Errorf("%d bad ones counted, %d let through", n, len(got))
 	}
 	if err := a.Send(1, make([]byte, MaxBody+1)); err == nil {
--- a/internal/platform/book.go
+++ b/internal/platform/book.go
@@ -14,21 +14,21 @@
 
 // List is a list of disk servers in discovery's form: the whole of it, or what changed.
 type List struct {
-	Generation uint64   `json:"generation"`
-	Reset      bool     `json:"reset"`
-	Instances  []Listed `json:"instances"`
+	Generation uint64         `json:"generation"`
+	Reset      bool           `json:"reset"`
+	Instances  []ListedServer `json:"instances"`
 }
 
 // Listed is one disk server.
-type Listed struct {
-	ID        string  `json:"instanceId"`
-	HostPort  string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	Started   float64 `json:"startedAtMs"`
+type ListedServer struct {
+	ID          string  `json:"instanceId"`
+	HostPort    string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMS float64 `json:"startedAtMs"`
 }
 
 // bookKeep is how long a disk server that is gone can still be dialled: attempts decided on before the news
@@ -118,9 +118,9 @@
 	return n, nil
 }
 
-func entry(l *Listed, site *wire.Site) (endpoints.Endpoint, error) {
+func entry(l *ListedServer, site *wire.Site) (endpoints.Endpoint, error) {
 	e := endpoints.Endpoint{Server: serverOf(l.ID), Cell: uint16(l.Cell), Zone: site.Zone(l.Zone),
-		MachineType: site.MachineType(l.Kind), NominalCapacity: l.Weight}
+		MachineType: site.MachineType(l.MachineType), NominalCapacity: l.Weight}
 	switch l.Lifecycle {
 	case "ready":
 		e.Status = scheduler.Ready
@@ -138,9 +138,9 @@
 		return e, fmt.Errorf("%s: hostPort is missing", l.ID)
 	case l.Cell < 0 || l.Cell > math.MaxUint16:
 		return e, fmt.Errorf("%s: cell %d is out of range", l.ID, l.Cell)
-	case !(l.Started >= 0 && l.Started < 1<<53):
-		return e, fmt.Errorf("%s: startedAtMs %v is out of range", l.ID, l.Started)
+	case !(l.StartedAtMS >= 0 && l.StartedAtMS < 1<<53):
+		return e, fmt.Errorf("%s: startedAtMs %v is out of range", l.ID, l.StartedAtMS)
 	}
-	e.StartedAt = int64(l.Started) * int64(time.Millisecond)
+	e.StartedAt = int64(l.StartedAtMS) * int64(time.Millisecond)
 	return e, nil
 }
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -87,7 +87,7 @@
 		}
 		f.counts.accepted.Add(1)
 		c := &clientConn{conn: conn, since: time.Now()}
-		c.rd = http1.NewReader(conn, http1.Limits{Head: clientHead, Body: maxBody})
+		c.rd = http1.NewReader(conn, http1.Limits{MaxHead: clientHead, MaxBody: maxBody})
 		if !f.enter(c) {
 			f.counts.turned.Add(1)
 			conn.Close()
@@ -306,7 +306,7 @@
 			f.linger(c)
 			return false
 		}
-		switch err := c.rd.Await(); {
+		switch err := c.rd.WaitReadable(); {
 		case err == nil:
 			c.at = f.core.Now()
 		case timedOut(err):
@@ -326,7 +326,7 @@
 	if c.asked == 0 {
 		from = c.since // of the connection: what is owed is owed so long after that
 	}
-	c.state, c.since, c.ahead, c.reads = reading, time.Now(), false, c.rd.Reads()
+	c.state, c.since, c.ahead, c.reads = reading, time.Now(), false, c.rd.ReadCount()
 	c.conn.SetReadDeadline(from.Add(sayWithin))
 	return true
 }
@@ -349,7 +349,7 @@
 
 // came is when the request just read had come: a request behind others on its connection came with them.
 func (f *front) came(c *clientConn) time.Duration {
-	if c.rd.Reads() > c.reads {
+	if c.rd.ReadCount() > c.reads {
 		c.at = f.core.Now()
 	}
 	return c.at
@@ -380,14 +380,14 @@
 			return true // no room to look beyond what is there
 		}
 		was := c.rd.Buffered()
-		err := c.rd.Ahead(aheadMost)
+		err := c.rd.ReadAhead(aheadMost)
 		switch {
 		case err == nil:
 			if was == 0 {
 				c.at = f.core.Now()
 			}
 			f.account(c)
-		case errors.Is(err, http1.ErrFull), timedOut(err):
+		case errors.Is(err, http1.ErrBufferFull), timedOut(err):
 			return true
 		default:
 			return false
@@ -397,7 +397,7 @@
 
 // account counts a buffer that is larger than a head among the bodies.
 func (f *front) account(c *clientConn) {
-	held := max(0, int64(c.rd.Size())-clientHead)
+	held := max(0, int64(c.rd.BufferSize())-clientHead)
 	f.bodies.Add(held - c.held)
 	c.held = held
 }
@@ -433,13 +433,13 @@
 	switch {
 	case errors.As(cause, &e):
 	case timedOut(cause):
-		e = &http1.Error{Status: 408, What: "the request did not come in time"}
+		e = &http1.Error{Status: 408, Reason: "the request did not come in time"}
 	default:
 		return // the client is gone
 	}
 	f.counts.malformed.Add(1)
-	f.log.Debug("request turned away", "status", e.Status, "cause", e.What)
-	if c.answer(e.Status, closeHeader(nil, true), []byte(e.What+"\n")) == nil {
+	f.log.Debug("request turned away", "status", e.Status, "cause", e.Reason)
+	if c.answer(e.Status, closeHeader(nil, true), []byte(e.Reason+"\n")) == nil {
 		f.linger(c)
 	}
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -25,17 +25,18 @@
 
 // Config is one scheduler's configuration, read and checked.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort
-	Discovery string // host:port
-	Seed      uint64
-	Limits    Limits
-	PeerAt    netip.AddrPort   // where datagrams come to; the zero value: none do
-	Peers     []netip.AddrPort // by number
-	PeersAll  netip.AddrPort
-	Known     *List // nil: none was told
-	Pushed    bool  // what the machine's agent has of the list counts as told from a process's first moment
-	Site      wire.Site
+	Name          string
+	Listen        netip.AddrPort
+	Discovery     string // host:port
+	Seed          uint64
+	Limits        Limits
+	PeerListen    netip.AddrPort   // where datagrams come to; the zero value: none do
+	Peers         []netip.AddrPort // by number
+	BroadcastAddr netip.AddrPort
+	InitialList   *List // nil: none was told
+	// what the machine's agent has of the list counts as told from a process's first moment
+	PushedList bool
+	Site       wire.Site
 }
 
 // What is assumed where the configuration does not tell.
@@ -60,11 +61,11 @@
 }
 
 // Environment gives the variables that the platform sets.
-type Environment func(name string) string
+type LookupEnv func(name string) string
 
 // Load reads the configuration that BALANCER_CONFIG names. BALANCER_NAME, BALANCER_LISTEN and
 // BALANCER_DISCOVERY stand in for what the file leaves out and may not contradict it.
-func Load(env Environment) (*Config, error) {
+func Load(env LookupEnv) (*Config, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
 		return nil, errors.New("BALANCER_CONFIG is not set")
@@ -80,7 +81,7 @@
 	return c, nil
 }
 
-func parse(doc []byte, env Environment) (*Config, error) {
+func parse(doc []byte, env LookupEnv) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(doc, &f); err != nil {
 		return nil, err
@@ -122,10 +123,10 @@
 	if c.Site, err = wire.ParseNested(f.Settings); err != nil {
 		return nil, err
 	}
-	c.Known = f.Known
+	c.InitialList = f.Known
 	// A pushed list comes from the machine's agent on a watch that has to be kept open like any other: the
 	// module is to ask for it.
-	if c.Pushed = !c.Site.Settings.PollEndpoints; c.Pushed {
+	if c.PushedList = !c.Site.Settings.PollEndpoints; c.PushedList {
 		set := &c.Site.Settings
 		set.PollEndpoints, set.PollTimeout, set.PushGrace = true, 0, set.DrainGrace
 	}
@@ -157,7 +158,7 @@
 		return nil
 	}
 	var err error
-	if c.PeerAt, err = netip.ParseAddrPort(f.PeerListen); err != nil {
+	if c.PeerListen, err = netip.ParseAddrPort(f.PeerListen); err != nil {
 		return fmt.Errorf("key %q is %q: %w", "peer_listen", f.PeerListen, err)
 	}
 	for i, text := range f.Peers {
@@ -168,7 +169,7 @@
 		c.Peers = append(c.Peers, at)
 	}
 	if f.PeersAll != "" {
-		if c.PeersAll, err = netip.ParseAddrPort(f.PeersAll); err != nil {
+		if c.BroadcastAddr, err = netip.ParseAddrPort(f.PeersAll); err != nil {
 			return fmt.Errorf("key %q is %q: %w", "peers_all", f.PeersAll, err)
 		}
 	}
--- a/internal/platform/crossings_lists_test.go
+++ b/internal/platform/crossings_lists_test.go
@@ -70,7 +70,7 @@
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 // doc is a list in discovery's form.
-func doc(generation uint64, whole bool, entries ...Listed) string {
+func doc(generation uint64, whole bool, entries ...ListedServer) string {
 	b, err := json.Marshal(List{Generation: generation, Reset: whole, Instances: entries})
 	if err != nil {
 		panic(err)
@@ -80,7 +80,7 @@
 
 // startAt starts a scheduler whose discovery is at an address; its list of the start names one disk server.
 func startAt(t *testing.T, discovery string, d *disk, change func(string) string) *rig {
-	l := List{Generation: 7, Reset: true, Instances: []Listed{listed("s-0", d, 0)}}
+	l := List{Generation: 7, Reset: true, Instances: []ListedServer{listed("s-0", d, 0)}}
 	text := string(configDoc(discovery, &l, 256))
 	if change != nil {
 		text = change(text)
--- a/internal/platform/crossings_nodes_test.go
+++ b/internal/platform/crossings_nodes_test.go
@@ -93,14 +93,17 @@
 // A disk server that begins to drain, is gone, or was started anew while a connection to it comes up is not
 // sent what was decided before: the drain's grace may be over, and a new process is cold.
 func TestNodeChangesWhileConnecting(t *testing.T) {
-	for name, change := range map[string]func(*Listed){
-		"drains":      func(l *Listed) { l.Lifecycle = "draining" },
-		"gone":        func(l *Listed) { l.Lifecycle = "gone" },
-		"started now": func(l *Listed) { l.Started = float64(time.Now().UnixMilli()) },
+	for name, change := range map[string]func(*ListedServer){
+		"drains":      func(l *ListedServer) { l.Lifecycle = "draining" },
+		"gone":        func(l *ListedServer) { l.Lifecycle = "gone" },
+		"started now": func(l *ListedServer) { l.StartedAtMS = float64(time.Now().UnixMilli()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDisk(t, func(int, *got) []byte { return ok("ok") })
-			list := newLists(t, List{Generation: 7, Reset: true, Instances: []Listed{listed("s-0", d, 0)}})
+			list := newLists(
+				t,
+				List{Generation: 7, Reset: true, Instances: []ListedServer{listed("s-0", d, 0)}},
+			)
 			r := startAt(t, list.addr(), d, func(s string) string { // a slow machine has its time, too
 				s = replaceOnce(t, s, `"dial_timeout_ns":250000000`, `"dial_timeout_ns":9000000000`)
 				if name != "started now" { // given up on before it may be decided anew
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -35,7 +35,10 @@
 			b, _ := io.ReadAll(there)
 			read <- b
 		}()
-		c := &clientConn{conn: here, rd: http1.NewReader(here, http1.Limits{Head: clientHead, Body: maxBody})}
+		c := &clientConn{
+			conn: here,
+			rd:   http1.NewReader(here, http1.Limits{MaxHead: clientHead, MaxBody: maxBody}),
+		}
 		do(c)
 		here.Close()
 		fmt.Fprintf(&out, "%s: %q\n", what, <-read)
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -95,12 +95,12 @@
 	return h
 }
 
-func bad(what string) error { return &http1.Error{Status: 400, What: what} }
+func bad(what string) error { return &http1.Error{Status: 400, Reason: what} }
 
 // read takes a request in: its terms are checked before its body is read.
 func (f *front) read(c *clientConn, q *http1.Request) (*exchange, error) {
 	if q.Method != "GET" && q.Method != "PUT" {
-		return nil, &http1.Error{Status: 405, What: "reads are GET, writes are PUT"}
+		return nil, &http1.Error{Status: 405, Reason: "reads are GET, writes are PUT"}
 	}
 	e := &exchange{front: f, c: c, method: q.Method, target: q.Target, close: q.Close,
 		done: make(chan struct{}), call: &daemon.Call{}}
@@ -111,7 +111,7 @@
 		if f.bodies.Add(q.Length) > f.lim.bodies {
 			f.bodies.Add(-q.Length)
 			f.counts.crowded.Add(1)
-			return nil, &http1.Error{Status: 503, What: daemon.ReasonOverload}
+			return nil, &http1.Error{Status: 503, Reason: daemon.ReasonOverload}
 		}
 		if awaited, _ := q.Header.Get("Expect"); strings.EqualFold(awaited, "100-continue") {
 			_, _ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // the read tells if it broke
@@ -283,7 +283,7 @@
 	f.mu.Unlock()
 	if twice {
 		f.counts.doubled.Add(1)
-		f.turnAway(c, &http1.Error{Status: 409, What: "a request of this id is open"})
+		f.turnAway(c, &http1.Error{Status: 409, Reason: "a request of this id is open"})
 		return false
 	}
 	f.working(c)
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -164,7 +164,7 @@
 		var spoilt *http1.Error
 		if errors.As(err, &spoilt) {
 			n.counts.spoilt.Add(1)
-			n.log.Debug("spoilt answer", "node", at.id, "cause", spoilt.What)
+			n.log.Debug("spoilt answer", "node", at.id, "cause", spoilt.Reason)
 		}
 		return scheduler.Reset, none, nil
 	}
@@ -327,7 +327,7 @@
 		return nil, err
 	}
 	return &nodeConn{conn: conn, since: time.Now(), fresh: true,
-		rd: http1.NewReader(conn, http1.Limits{Head: nodeHead, Body: maxBody})}, nil
+		rd: http1.NewReader(conn, http1.Limits{MaxHead: nodeHead, MaxBody: maxBody})}, nil
 }
 
 func (n *nodes) connectTimeout() time.Duration {
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -23,7 +23,7 @@
 }
 
 func newPeers(cfg *Config) (*peers, error) {
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(cfg.PeerAt))
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(cfg.PeerListen))
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
@@ -54,7 +54,7 @@
 
 // Send sends to one scheduler or to all; what cannot be sent is lost, as any datagram may be.
 func (p *peers) Send(to uint32, body []byte) error {
-	at := p.cfg.PeersAll
+	at := p.cfg.BroadcastAddr
 	switch {
 	case len(body) > maxDatagram:
 		return fmt.Errorf("a message holds %d bytes at most", maxDatagram)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -87,7 +87,7 @@
 }
 
 // Scheduler is one scheduler on the platform.
-type Scheduler struct {
+type Gateway struct {
 	cfg   *Config
 	log   *slog.Logger
 	core  *daemon.EventLoop
@@ -108,13 +108,13 @@
 }
 
 // New prepares a scheduler.
-func New(cfg *Config, log *slog.Logger) (*Scheduler, error) {
-	s := &Scheduler{cfg: cfg, discoveryAt: cfg.Discovery, log: log.With("name", cfg.Name), book: newBook(),
+func New(cfg *Config, log *slog.Logger) (*Gateway, error) {
+	s := &Gateway{cfg: cfg, discoveryAt: cfg.Discovery, log: log.With("name", cfg.Name), book: newBook(),
 		lim:  boundsOf(cfg),
 		term: make(chan struct{}), started: make(chan net.Addr, 1)}
 	var known List
-	if cfg.Known != nil {
-		known = *cfg.Known
+	if cfg.InitialList != nil {
+		known = *cfg.InitialList
 	}
 	known.Reset = true
 	news, err := s.book.news(known, 0, &cfg.Site)
@@ -126,13 +126,14 @@
 		BatchInterval: cfg.Site.Settings.BatchInterval, ResponseMargin: transit,
 		AnswerSlack:      cfg.Site.AnswerSlack + lateSlack,
 		InitialList:      endpoints.Snapshot{Version: news.Version, Endpoints: news.Endpoints},
-		TrustInitialList: cfg.Known != nil, NodeName: s.book.name, ShutdownTimeout: end - last, Log: s.log})
+		TrustInitialList: cfg.InitialList != nil, NodeName: s.book.name, ShutdownTimeout: end - last,
+		Log: s.log})
 	s.front = newFront(s.core, &s.cfg.Site, s.log, s.lim)
 	return s, nil
 }
 
 // FitRuntime tells the Go runtime what the machine has.
-func FitRuntime(cfg *Config) {
+func ApplyRuntimeLimits(cfg *Config) {
 	if cores := cfg.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(cores))))
 	}
@@ -140,7 +141,7 @@
 }
 
 // Term ends the scheduler in order.
-func (s *Scheduler) Term() {
+func (s *Gateway) Shutdown() {
 	s.termed.Do(func() {
 		s.termAt = time.Now()
 		close(s.term)
@@ -148,13 +149,13 @@
 }
 
 // stopBy is when a scheduler that was asked to end has to have ended, its connections lingering included.
-func (s *Scheduler) stopBy() time.Time {
+func (s *Gateway) stopBy() time.Time {
 	_, end := stopTimes(&s.cfg.Site.Settings)
 	return s.termAt.Add(end + killMargin/2)
 }
 
 // Reload takes over from a new configuration what may change while it runs: where discovery is.
-func (s *Scheduler) Reload(cfg *Config) {
+func (s *Gateway) Reload(cfg *Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.discoveryAt = cfg.Discovery
@@ -165,7 +166,7 @@
 }
 
 // Run serves until Term has been carried out (nil) or ctx ends.
-func (s *Scheduler) Run(ctx context.Context) error {
+func (s *Gateway) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ln, err := net.Listen("tcp4", s.cfg.Listen.String())
@@ -181,7 +182,7 @@
 	s.nodes = newNodes(ctx, s.core, s.cfg, s.book, s.log, s.lim.nodes)
 	edges := daemon.Drivers{Upstream: s.nodes, Endpoints: disc}
 	var wg sync.WaitGroup
-	if s.cfg.PeerAt.IsValid() {
+	if s.cfg.PeerListen.IsValid() {
 		p, err := newPeers(s.cfg)
 		if err != nil {
 			return err
@@ -194,7 +195,7 @@
 	wg.Go(func() { s.tell(ctx) })
 	wg.Go(func() { s.stop(ctx, ln) })
 	wg.Go(func() {
-		if s.cfg.Pushed { // nothing is taken before the first list is there, or cannot be had now
+		if s.cfg.PushedList { // nothing is taken before the first list is there, or cannot be had now
 			select {
 			case <-ctx.Done():
 			case <-disc.first:
@@ -227,7 +228,7 @@
 
 // stop carries Term out: clients are served for as long as there is time, then idle connections close, and
 // the loop ends once all that came has its answer.
-func (s *Scheduler) stop(ctx context.Context, ln net.Listener) {
+func (s *Gateway) stop(ctx context.Context, ln net.Listener) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-ctx.Done():
@@ -253,7 +254,7 @@
 }
 
 // tell logs what happened at an interval.
-func (s *Scheduler) tell(ctx context.Context) {
+func (s *Gateway) tell(ctx context.Context) {
 	every(ctx, tellEvery, func() {
 		s.log.Info("state", "all", s.state())
 		s.core.InspectNodes(s.compare)
@@ -275,7 +276,7 @@
 }
 
 // compare logs what the module believes of each disk server beside what is on its way there.
-func (s *Scheduler) compare(beliefs []scheduler.NodeState) {
+func (s *Gateway) compare(beliefs []scheduler.NodeState) {
 	s.nodes.mu.Lock()
 	work := maps.Clone(s.nodes.work)
 	s.nodes.mu.Unlock()
@@ -296,7 +297,7 @@
 }
 
 // state is what passes at the sockets, for the log.
-func (s *Scheduler) state() slog.Value {
+func (s *Gateway) state() slog.Value {
 	f, n := s.front, s.nodes
 	silent, saying, idling, work := f.crowd()
 	n.mu.Lock()
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -156,7 +156,7 @@
 		n := r.s.nodes
 		n.mu.Lock()
 		n.idle[serverOf("s-0")] = []*nodeConn{{conn: ours, since: time.Now().Add(-time.Second),
-			rd: http1.NewReader(ours, http1.Limits{Head: nodeHead, Body: maxBody})}}
+			rd: http1.NewReader(ours, http1.Limits{MaxHead: nodeHead, MaxBody: maxBody})}}
 		n.held++
 		n.mu.Unlock()
 		var wg sync.WaitGroup
@@ -232,7 +232,7 @@
 	last, end := stopTimes(&r.s.cfg.Site.Settings)
 	c := r.dial()
 	began := time.Now()
-	r.s.Term()
+	r.s.Shutdown()
 	served := 0
 	for i := 0; ; i++ {
 		if _, err := c.conn.Write([]byte(ask("GET", "read", fmt.Sprintf("a%d", i), 0, ""))); err != nil {
@@ -472,8 +472,8 @@
 
 func TestBookForgets(t *testing.T) {
 	b, site := newBook(), start(t, 256, newDisk(t, func(int, *got) []byte { return nil })).s.cfg.Site
-	e := Listed{ID: "s-1", HostPort: "127.0.0.1:1", Zone: "a", Kind: "m", Lifecycle: "ready"}
-	if _, err := b.news(List{Reset: true, Instances: []Listed{e}}, 0, &site); err != nil {
+	e := ListedServer{ID: "s-1", HostPort: "127.0.0.1:1", Zone: "a", MachineType: "m", Lifecycle: "ready"}
+	if _, err := b.news(List{Reset: true, Instances: []ListedServer{e}}, 0, &site); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := b.news(List{Reset: true}, 0, &site); err != nil {
@@ -488,10 +488,10 @@
 	if _, err := b.news(List{Reset: true}, 0, &site); err != nil || len(b.pages) != 0 {
 		t.Errorf("%d pages, %v", len(b.pages), err)
 	}
-	for _, bad := range []Listed{{}, {ID: "a", Lifecycle: "odd"}, {ID: "a", Lifecycle: "ready"},
+	for _, bad := range []ListedServer{{}, {ID: "a", Lifecycle: "odd"}, {ID: "a", Lifecycle: "ready"},
 		{ID: "a", HostPort: "b", Lifecycle: "ready", Cell: 1 << 16}, {ID: "a", HostPort: "b",
-			Lifecycle: "ready", Started: -1}} {
-		if _, err := b.news(List{Instances: []Listed{bad}}, 0, &site); err == nil {
+			Lifecycle: "ready", StartedAtMS: -1}} {
+		if _, err := b.news(List{Instances: []ListedServer{bad}}, 0, &site); err == nil {
 			t.Errorf("%+v was taken", bad)
 		}
 	}
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -85,7 +85,7 @@
 
 func (d *disk) serve(conn net.Conn, n int) {
 	defer conn.Close()
-	r := http1.NewReader(conn, http1.Limits{Head: 8192, Body: maxBody})
+	r := http1.NewReader(conn, http1.Limits{MaxHead: 8192, MaxBody: maxBody})
 	for {
 		q, err := r.Request()
 		if err != nil {
@@ -170,7 +170,7 @@
 	})
 }
 
-func (s *lists) change(e ...Listed) {
+func (s *lists) change(e ...ListedServer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cur.Generation++
@@ -185,7 +185,7 @@
 // rig is a scheduler with one disk server a shard.
 type rig struct {
 	t    *testing.T
-	s    *Scheduler
+	s    *Gateway
 	addr string
 	list *lists
 	done chan error
@@ -209,8 +209,8 @@
 	return b.b.String()
 }
 
-func listed(id string, d *disk, cell int) Listed {
-	return Listed{ID: id, HostPort: d.ln.Addr().String(), Zone: "a", Kind: "m", Cell: cell,
+func listed(id string, d *disk, cell int) ListedServer {
+	return ListedServer{ID: id, HostPort: d.ln.Addr().String(), Zone: "a", MachineType: "m", Cell: cell,
 		Lifecycle: "ready", Weight: 1}
 }
 
--- a/internal/sexpr/decode.go
+++ b/internal/sexpr/decode.go
@@ -65,7 +65,7 @@
 }
 
 // One decodes a file that must hold just one form with that head.
-func One(nodes []*Node, name, head string, out any) error {
+func DecodeOne(nodes []*Node, name, head string, out any) error {
 	if len(nodes) == 0 {
 		return Errorf(Pos{name, 1, 1}, "nothing here; want one (%s …)", head)
 	}
@@ -150,7 +150,7 @@
 		}
 	}
 	if c, ok := v.Addr().Interface().(Checker); ok {
-		return At(form.Pos, c.Check())
+		return WrapError(form.Pos, c.Check())
 	}
 	return nil
 }
--- a/internal/sexpr/sexpr.go
+++ b/internal/sexpr/sexpr.go
@@ -61,7 +61,7 @@
 }
 
 // At puts a place to an error that has none.
-func At(pos Pos, err error) error {
+func WrapError(pos Pos, err error) error {
 	var placed *Error
 	if err == nil || errors.As(err, &placed) {
 		return err
@@ -136,7 +136,7 @@
 func checkDepth(name string, data []byte) error {
 	lex, err := symbols.LexString(name, string(data))
 	if err != nil {
-		return At(Pos{name, 1, 1}, err)
+		return WrapError(Pos{name, 1, 1}, err)
 	}
 	names := symbols.Symbols()
 	var open []lexer.Position
@@ -147,7 +147,7 @@
 			if errors.As(err, &placed) {
 				return Errorf(place(name, placed.Position()), "%s", placed.Message())
 			}
-			return At(Pos{name, 1, 1}, err)
+			return WrapError(Pos{name, 1, 1}, err)
 		}
 		switch tok.Type {
 		case lexer.EOF:
--- a/internal/sexpr/sexpr_test.go
+++ b/internal/sexpr/sexpr_test.go
@@ -27,7 +27,7 @@
 	var o outer
 	nodes, err := Parse("x.lisp", []byte(text))
 	if err == nil {
-		err = One(nodes, "x.lisp", "outer", &o)
+		err = DecodeOne(nodes, "x.lisp", "outer", &o)
 	}
 	return o, err
 }
@@ -118,7 +118,7 @@
 			return
 		}
 		var o outer
-		_ = One(nodes, "f", "outer", &o) // must not panic
+		_ = DecodeOne(nodes, "f", "outer", &o) // must not panic
 		for _, n := range nodes {
 			if _, err := Parse("f", []byte(n.String())); err != nil {
 				t.Fatalf("%q does not read back: %v", n.String(), err)
--- a/internal/testbed/dayfile.go
+++ b/internal/testbed/dayfile.go
@@ -325,7 +325,7 @@
 	if err != nil {
 		return d, err
 	}
-	err = sexpr.One(nodes, name, "day", &d)
+	err = sexpr.DecodeOne(nodes, name, "day", &d)
 	return d, err
 }
 
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -52,7 +52,7 @@
 )
 
 // Begin starts an instance anew.
-type Begin struct {
+type InstanceStart struct {
 	Seed     uint64
 	Settings scheduler.Settings
 }
@@ -60,7 +60,7 @@
 // Record is one event for one instance: a start, a stop, or an event for the decision module.
 type Record struct {
 	Instance uint16
-	Begin    *Begin
+	Start    *InstanceStart
 	Stop     bool
 	Event    scheduler.Event
 }
@@ -126,12 +126,12 @@
 	rec := Record{Instance: d.u16()}
 	switch code {
 	case codeBegin:
-		begin := &Begin{Seed: d.u64()}
+		begin := &InstanceStart{Seed: d.u64()}
 		info := string(d.take(int64(d.u32())))
 		if d.err == nil {
 			begin.Settings, d.err = ParseSettings(info)
 		}
-		rec.Begin = begin
+		rec.Start = begin
 	case codeMembers:
 		rec.Event = d.members()
 	case codeRequest:
