--- a/cmd/storage-gateway/main.go
+++ b/cmd/storage-gateway/main.go
@@ -1,5 +1,5 @@
-// Command storage-gateway runs instances of the scheduler, the stand-ins to run them against, scripted scenarios,
-// and the check of the invariants on what passed on the sockets.
+// Command storage-gateway runs instances of the scheduler, the stand-ins to run them against, scripted
+// scenarios, and the check of the invariants on what passed on the sockets.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	Node   nodeCmd   `cmd:"" help:"Run a stand-in storage node from a settings file (node …)."`
 	List   listCmd   `cmd:"" help:"Run a stand-in list service from a settings file (list …)."`
 	Call   callCmd   `cmd:"" help:"Send requests to an instance as a stand-in client."`
-	Day    dayCmd    `cmd:"" aliases:"scenario" help:"Play a day of faults on loopback sockets and judge the rules."`
+	Day    dayCmd    `cmd:"" aliases:"scenario" help:"Play a day of faults on loopback and judge the rules."`
 	Sweep  sweepCmd  `cmd:"" help:"Play a day for several values of one bound on merging, and compare."`
 	Expect expectCmd `cmd:"" help:"Check what is expected of a fleet (fleet …), without traffic."`
 	Check  checkCmd  `cmd:"" help:"Check a settings file and print the settings in force."`
--- a/internal/platform/crossings_lists_test.go
+++ b/internal/platform/crossings_lists_test.go
@@ -148,11 +148,13 @@
 					}
 				})
 				r := startAt(t, l.ln.Addr().String(), d, nil)
-				eventually(t, "the first call", func() bool { return l.calls() > 0 })
-				time.Sleep(10 * time.Millisecond)
-				mu.Lock()
-				by := silent.Add(toldWithin)
-				mu.Unlock()
+				var by time.Time
+				eventually(t, "the first call", func() bool {
+					mu.Lock()
+					defer mu.Unlock()
+					by = silent.Add(toldWithin)
+					return !silent.IsZero()
+				})
 				r.holds(9, by)
 			})
 		}
