--- a/cmd/storage-gateway/main_test.go
+++ b/cmd/storage-gateway/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"net"
 	"os"
 	"path/filepath"
@@ -33,7 +34,7 @@
 				}
 				for _, old := range addr.FindAllString(string(data), -1) {
 					if ports[old] == "" {
-						ln, err := net.Listen("tcp4", "127.0.0.1:0")
+						ln, err := listenBelowEphemeralPorts()
 						if err != nil {
 							return err
 						}
@@ -57,6 +58,19 @@
 		}, Cmds: map[string]func(*testscript.TestScript, bool, []string){"reach": reach}})
 }
 
+// listenBelowEphemeralPorts listens on a free port that the system gives to no outgoing connection: one that
+// it gives away may be taken by a test that runs beside this before the script's own process listens on it.
+func listenBelowEphemeralPorts() (ln net.Listener, err error) {
+	const first, last, tries = 10_000, 30_000, 100
+	for range tries {
+		port := first + rand.IntN(last-first)
+		if ln, err = net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", port)); err == nil {
+			return ln, nil
+		}
+	}
+	return nil, err
+}
+
 // reach waits until something listens at an address.
 func reach(ts *testscript.TestScript, _ bool, args []string) {
 	for range 200 {
