--- /dev/null
+++ b/endpoints/view_test.go
@@ -0,0 +1,236 @@
+package endpoints
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"landingpaddle/scheduler"
+)
+
+const (
+	wall = int64(1_800_000_000_000_000_000)
+	skew = 100 * time.Millisecond
+)
+
+func server(i int) scheduler.Server {
+	return scheduler.Server{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 1}
+}
+
+func clock(at time.Duration) Clock { return Clock{time.Hour + at, wall + int64(at)} }
+
+func ready(i int, startedAt int64) Endpoint {
+	return Endpoint{Server: server(i), Status: scheduler.Ready, Cell: uint16(i), StartedAt: startedAt}
+}
+
+func fullList(version uint64, endpoints ...Endpoint) Update {
+	return Update{Epoch: 1, Version: version, Full: true, Endpoints: endpoints}
+}
+
+func change(base, version uint64, endpoints ...Endpoint) Update {
+	return Update{Epoch: 1, Version: version, BaseVersion: base, Endpoints: endpoints}
+}
+
+// apply applies an update and checks its result.
+func apply(t *testing.T, view *View, at time.Duration, update Update,
+	want ApplyResult) scheduler.EndpointUpdate {
+	t.Helper()
+	told, result := view.Apply(clock(at), update)
+	if result != want {
+		t.Fatalf("update %+v: result %d, want %d", update, result, want)
+	}
+	return told
+}
+
+func status(m scheduler.EndpointUpdate, i int) scheduler.Status {
+	for _, e := range m.Endpoints {
+		if e.Server == server(i) {
+			return e.Status
+		}
+	}
+	return scheduler.Gone
+}
+
+// After a gap, before any list and from a registry with another epoch only a full list is applied.
+func TestView_AppliesChangesOnlyToTheListHeld(t *testing.T) {
+	view := New(skew)
+	view.Restore(clock(0), Snapshot{Epoch: 1, Version: 5, Endpoints: []Endpoint{ready(1, 0)}})
+	apply(t, view, 0, change(5, 6, ready(2, 0)), Gap) // the snapshot may be old: nothing builds on it
+	apply(t, view, 0, fullList(6, ready(1, 0), ready(2, 0)), Applied)
+	apply(t, view, 0, change(6, 7, Endpoint{Server: server(1), Status: scheduler.Gone}), Applied)
+	apply(t, view, 0, change(8, 9, ready(1, 0)), Gap)
+	apply(t, view, 0, fullList(3), Stale)
+	other := change(7, 8, ready(3, 0))
+	other.Epoch = 2
+	apply(t, view, 0, other, Gap)
+	if snapshot := view.Snapshot(); len(snapshot.Endpoints) != 1 ||
+		snapshot.Endpoints[0].Server != server(2) || snapshot.Version != 7 {
+		t.Errorf("snapshot %+v", snapshot)
+	}
+}
+
+// The list is late: a node's own drain notice outranks it for that incarnation of the node.
+func TestView_DrainNoticeOutranksTheListForThatIncarnation(t *testing.T) {
+	view := New(skew)
+	startedAt := wall - int64(time.Minute)
+	apply(t, view, 0, fullList(1, ready(1, startedAt)), Applied)
+	m, ok := view.ApplyDrainNotice(clock(0), server(1), startedAt)
+	if !ok || status(m, 1) != scheduler.Draining {
+		t.Fatalf("the notice changes nothing: %+v", m)
+	}
+	if _, ok := view.ApplyDrainNotice(clock(0), server(1), startedAt); ok {
+		t.Error("the same notice changes something twice")
+	}
+	if m := apply(t, view, 0, fullList(2, ready(1, startedAt)), Applied); status(m, 1) != scheduler.Draining {
+		t.Error("a late list undid the drain")
+	}
+	if m := apply(t, view, 0, change(2, 3, ready(1, wall)), Applied); status(m, 1) != scheduler.Ready {
+		t.Error("the drain outlived the process")
+	}
+	if _, ok := view.ApplyDrainNotice(clock(0), server(1), startedAt); ok {
+		t.Error("a notice of an earlier incarnation counts")
+	}
+	if _, ok := view.ApplyDrainNotice(clock(0), server(9), startedAt); ok {
+		t.Error("a notice of a node that is not listed counts")
+	}
+}
+
+// A greeting tells of a restart before the list does; a late list does not make the node warm again.
+func TestView_GreetingTellsOfARestart(t *testing.T) {
+	view := New(skew)
+	old := wall - int64(time.Minute)
+	apply(t, view, 0, fullList(1, ready(1, old)), Applied)
+	m, ok := view.ApplyGreeting(clock(time.Second), server(1), wall+int64(900*time.Millisecond))
+	if !ok || m.Endpoints[0].StartedAt < time.Hour {
+		t.Fatalf("greeting: %+v, %v", m, ok)
+	}
+	fresh := m.Endpoints[0].StartedAt
+	if m := apply(t, view, time.Second, fullList(2, ready(1, old)),
+		Applied); m.Endpoints[0].StartedAt != fresh {
+		t.Errorf("a late list moved the start from %v to %v", fresh, m.Endpoints[0].StartedAt)
+	}
+	if _, ok := view.ApplyGreeting(clock(time.Second), server(1), old); ok {
+		t.Error("an older start changes something")
+	}
+}
+
+// A node listed as draining that restarts is not ready by its greeting alone.
+func TestView_GreetingDoesNotEndADrain(t *testing.T) {
+	view := New(skew)
+	draining := ready(1, wall-int64(time.Minute))
+	draining.Status = scheduler.Draining
+	apply(t, view, 0, fullList(1, draining), Applied)
+	if m, _ := view.ApplyGreeting(clock(0), server(1), wall); status(m, 1) != scheduler.Draining {
+		t.Errorf("told %+v", m)
+	}
+}
+
+// A clock that is ahead does not put a start into the future, one that is behind does not make a cold node
+// warm, and the same start told again converts to the same time, however the clocks drift.
+func TestView_ConvertsStartsOfOtherClocks(t *testing.T) {
+	view := New(skew)
+	ahead := wall + int64(time.Hour)
+	m := apply(t, view, 0, fullList(1, ready(1, ahead)), Applied)
+	first := m.Endpoints[0].StartedAt
+	if first > time.Hour {
+		t.Errorf("a start in the future: %v", first)
+	}
+	drifted := Clock{time.Hour + time.Minute, wall + int64(time.Minute) + int64(50*time.Millisecond)}
+	m, _ = view.Apply(drifted, fullList(2, ready(1, ahead)))
+	if m.Endpoints[0].StartedAt != first {
+		t.Errorf("the same start moved from %v to %v", first, m.Endpoints[0].StartedAt)
+	}
+	m, _ = view.Apply(drifted, fullList(3, ready(1, ahead+1)))
+	if m.Endpoints[0].StartedAt <= first {
+		t.Error("a restart with a clock ahead is not seen as one")
+	}
+	behind := wall - int64(skew) // a node whose clock is behind by the skew, started just now
+	m = apply(t, New(skew), 0, fullList(1, ready(2, behind)), Applied)
+	if m.Endpoints[0].StartedAt < time.Hour {
+		t.Errorf("a node that started now counts as started %v ago", time.Hour-m.Endpoints[0].StartedAt)
+	}
+	if m = apply(t, New(skew), 0, fullList(1, ready(2, wall-int64(2*maxStartAge))),
+		Applied); m.Endpoints[0].StartedAt != 0 {
+		t.Error("a start long ago is told as a time")
+	}
+}
+
+// In any order of inputs: the scheduler is never told of a start in the future; the same start always has the
+// same time, and a later start of a node a later one; a node that gave a drain notice is not ready again in
+// that incarnation.
+func TestView_Properties(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		view := New(skew)
+		now, version := time.Duration(0), uint64(0)
+		told := map[scheduler.Server]map[int64]time.Duration{}
+		noticed := map[scheduler.Server]int64{}
+		listed := map[scheduler.Server]Endpoint{}
+		starts := map[scheduler.Server]int64{}
+		check := func(m scheduler.EndpointUpdate) {
+			for _, e := range m.Endpoints {
+				// Starts of one moment are told apart by nanoseconds.
+				if e.StartedAt > time.Hour+now+time.Microsecond {
+					t.Fatalf("start in the future: %v at %v", e.StartedAt, time.Hour+now)
+				}
+				b := starts[e.Server]
+				if told[e.Server] == nil {
+					told[e.Server] = map[int64]time.Duration{}
+				}
+				for other, at := range told[e.Server] {
+					if b == other && at != e.StartedAt || b > other && at >= e.StartedAt && at != 0 {
+						t.Fatalf("start %d told as %v, start %d as %v", other, at, b, e.StartedAt)
+					}
+				}
+				told[e.Server][b] = e.StartedAt
+				if n, ok := noticed[e.Server]; ok && b <= n && e.Status == scheduler.Ready {
+					t.Fatalf("ready after its drain notice")
+				}
+			}
+		}
+		for range rapid.IntRange(1, 40).Draw(t, "steps") {
+			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "elapsed"))
+			i := rapid.IntRange(1, 3).Draw(t, "node")
+			s := server(i)
+			c := clock(now)
+			c.Wall += rapid.Int64Range(-int64(skew), int64(skew)).Draw(t, "drift")
+			switch rapid.IntRange(0, 3).Draw(t, "event") {
+			case 0: // it starts, and is listed
+				starts[s] = max(starts[s]+1, c.Wall+rapid.Int64Range(-int64(skew), int64(skew)).Draw(t,
+					"skew"))
+				version++
+				listed[s] = ready(i, starts[s])
+				m, v := view.Apply(c, change(version-1, version, listed[s]))
+				if v == Gap {
+					var all []Endpoint
+					for _, e := range listed {
+						all = append(all, e)
+					}
+					m, _ = view.Apply(c, fullList(version, all...))
+				}
+				check(m)
+			case 1:
+				if b, ok := starts[s]; ok {
+					if m, ok := view.ApplyDrainNotice(c, s, b); ok {
+						noticed[s] = b
+						check(m)
+					}
+				}
+			case 2: // the full list again
+				var all []Endpoint
+				for _, e := range listed {
+					all = append(all, e)
+				}
+				if m, v := view.Apply(c, fullList(version, all...)); v == Applied {
+					check(m)
+				}
+			case 3:
+				if b, ok := starts[s]; ok {
+					if m, ok := view.ApplyGreeting(c, s, b); ok {
+						check(m)
+					}
+				}
+			}
+		}
+	})
+}
