--- /dev/null
+++ b/checkpoint/record_test.go
@@ -0,0 +1,114 @@
+package checkpoint
+
+import (
+	"errors"
+	"math"
+	"strings"
+	"testing"
+	"time"
+
+	"landingpaddle/endpoints"
+	"landingpaddle/scheduler"
+)
+
+func server(i byte) scheduler.Server { return scheduler.Server{Addr: [4]byte{127, 0, 0, i}, Port: 1} }
+
+func fingerprint() Fingerprint {
+	return Fingerprint{MeanUnits: 2, MaxUnits: 8, Classes: []Class{{"read", false}, {"write", true}}}
+}
+
+func listed() []endpoints.Endpoint {
+	return []endpoints.Endpoint{{Server: server(1), Status: scheduler.Ready, StartedAt: 10},
+		{Server: server(2), Status: scheduler.Ready, StartedAt: 20},
+		{Server: server(3), Status: scheduler.Ready, StartedAt: 30}}
+}
+
+const wall = int64(time.Hour) * 1000
+
+func record() Record {
+	regression := scheduler.Regression{Count: 20, MeanSize: 2, MeanTime: 0.01, MeanSquare: 5,
+		MeanProduct: 0.03}
+	statistics := scheduler.Statistics{Nodes: map[scheduler.Server]scheduler.NodeStatistics{},
+		AllClasses:    regression,
+		MedianLatency: 9 * time.Millisecond, RecentLatency: 12 * time.Millisecond,
+		Classes: []scheduler.ClassStatistics{{MeanUnits: 2, Count: 30, Latency: regression},
+			{MeanUnits: 3, Count: 40, Latency: regression}}}
+	for i := byte(1); i <= 3; i++ {
+		statistics.Nodes[server(i)] = scheduler.NodeStatistics{Latency: time.Duration(i) * time.Millisecond}
+	}
+	return Capture(wall, fingerprint(), statistics, listed())
+}
+
+func TestRestore_ReturnsEverythingWhereNothingChanged(t *testing.T) {
+	r := record()
+	if err := r.Validate(wall+1, fingerprint()); err != nil {
+		t.Fatal(err)
+	}
+	restored := r.Restore(fingerprint(), listed())
+	if len(restored.Nodes) != 3 || restored.AllClasses.Count != 20 || restored.MedianLatency == 0 ||
+		restored.RecentLatency == 0 ||
+		restored.Classes[1].MeanUnits != 3 {
+		t.Errorf("got %+v", restored)
+	}
+}
+
+// A node that restarted, drains or is another one is learned afresh.
+func TestRestore_KeepsOnlyTheSameIncarnationOfANode(t *testing.T) {
+	list := listed()
+	list[0].StartedAt++
+	list[1].Status = scheduler.Draining
+	restored := record().Restore(fingerprint(), list)
+	if _, same := restored.Nodes[server(3)]; len(restored.Nodes) != 1 || !same {
+		t.Errorf("got %v, want node 3 alone", restored.Nodes)
+	}
+}
+
+// Statistics of classes follow their names; a class that is new, or writes now, starts afresh, and so does
+// what is learned over all classes.
+func TestRestore_MatchesClassesByName(t *testing.T) {
+	now := fingerprint()
+	now.Classes = []Class{{"write", true}, {"read", true}, {"scan", false}}
+	restored := record().Restore(now, listed())
+	if restored.Classes[0].MeanUnits != 3 || restored.Classes[1].Count != 0 ||
+		restored.Classes[2].Count != 0 {
+		t.Errorf("classes %+v", restored.Classes)
+	}
+	if restored.AllClasses.Count != 0 || restored.MedianLatency != 0 || restored.RecentLatency != 0 ||
+		len(restored.Nodes) != 3 {
+		t.Errorf("got %+v", restored)
+	}
+}
+
+// Where a unit means something else, no size and no latency means the same.
+func TestRestore_ReturnsNothingForOtherUnits(t *testing.T) {
+	now := fingerprint()
+	now.MeanUnits = 3
+	if restored := record().Restore(now, listed()); len(restored.Nodes) != 0 || len(restored.Classes) != 0 ||
+		restored.AllClasses.Count != 0 {
+		t.Errorf("got %+v", restored)
+	}
+}
+
+func TestValidate_RejectsUnusableRecords(t *testing.T) {
+	for want, spoil := range map[string]func(r *Record){
+		"no time":             func(r *Record) { r.WrittenAt = 0 },
+		"of instance 3":       func(r *Record) { r.Fingerprint.Instance = 3 },
+		"from now":            func(r *Record) { r.WrittenAt = wall + int64(2*time.Minute) },
+		"old, over 1h":        func(r *Record) { r.WrittenAt = wall - int64(2*time.Hour) },
+		"of 1 classes":        func(r *Record) { r.Classes = r.Classes[:1] },
+		"class write are out": func(r *Record) { r.Classes[1].MeanUnits = 1e9 },
+		"class read are out":  func(r *Record) { r.Classes[0].Latency.MeanProduct = math.NaN() },
+		"usual request are":   func(r *Record) { r.AllClasses.MeanTime = -1 },
+		"of a node are out":   func(r *Record) { r.Nodes[0].Statistics.Latency = -1 },
+	} {
+		t.Run(want, func(t *testing.T) {
+			r := record()
+			spoil(&r)
+			err := r.Validate(wall, fingerprint())
+			var invalid *InvalidRecordError
+			if !errors.As(err, &invalid) || !strings.Contains(err.Error(), want) {
+				t.Errorf("got %v, want %q", err, want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/checkpoint/validate.go
@@ -0,0 +1,95 @@
+package checkpoint
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"landingpaddle/scheduler"
+)
+
+const (
+	// MaxAge is the age from which on a record is not restored any more.
+	MaxAge = time.Hour
+	// maxLatency is more than any latency of a node can be.
+	maxLatency = time.Hour
+	// maxRegressionValue is more than any part of a regression can be.
+	maxRegressionValue = 1e12
+	// maxClockAhead is how far a record's time may lie ahead of this machine's clock.
+	maxClockAhead = time.Minute
+)
+
+// InvalidRecordError says why a record cannot be restored at all.
+type InvalidRecordError struct {
+	Field  string // of the Record
+	Reason string
+}
+
+// Error returns the reason.
+func (e *InvalidRecordError) Error() string { return e.Reason }
+
+func invalid(field, format string, args ...any) error {
+	return &InvalidRecordError{Field: field, Reason: fmt.Sprintf(format, args...)}
+}
+
+// Validate checks a record against the wall time, in Unix nanoseconds, and the current settings. The error is
+// an *InvalidRecordError.
+func (r Record) Validate(wall int64, current Fingerprint) error {
+	if err := r.validateOrigin(wall, current); err != nil {
+		return err
+	}
+	if !validLatency(r.MedianLatency) || !validLatency(r.RecentLatency) || !validRegression(r.AllClasses) {
+		return invalid("AllClasses", "its figures of the usual request are out of range")
+	}
+	for i, class := range r.Classes {
+		if !validClass(class, r.Fingerprint.MaxUnits) {
+			return invalid("Classes", "its figures of class %s are out of range",
+				r.Fingerprint.Classes[i].Name)
+		}
+	}
+	for _, node := range r.Nodes {
+		if !validLatency(node.Statistics.Latency) || !validLatency(node.Statistics.Deviation) {
+			return invalid("Nodes", "its figures of a node are out of range")
+		}
+	}
+	return nil
+}
+
+// validateOrigin checks when and by which instance a record was written, and that it is complete.
+func (r Record) validateOrigin(wall int64, current Fingerprint) error {
+	age := time.Duration(wall - r.WrittenAt)
+	classes, named := len(r.Classes), len(r.Fingerprint.Classes)
+	switch {
+	case r.WrittenAt == 0:
+		return invalid("WrittenAt", "it tells of no time")
+	case r.Fingerprint.Instance != current.Instance:
+		return invalid("Fingerprint", "it is of instance %d, this is %d", r.Fingerprint.Instance,
+			current.Instance)
+	case r.WrittenAt > wall+int64(maxClockAhead):
+		return invalid("WrittenAt", "it was written %v from now", (-age).Round(time.Second))
+	case age > MaxAge:
+		return invalid("WrittenAt", "it is %v old, over %v", age.Round(time.Second), MaxAge)
+	case classes != named:
+		return invalid("Classes", "it has figures of %d classes and names %d", classes, named)
+	}
+	return nil
+}
+
+func validClass(class scheduler.ClassStatistics, maxUnits float64) bool {
+	return inRange(class.MeanUnits, maxUnits) && inRange(class.Count, math.MaxUint32) &&
+		validRegression(class.Latency)
+}
+
+func validLatency(d time.Duration) bool { return d >= 0 && d <= maxLatency }
+
+func validRegression(g scheduler.Regression) bool {
+	for _, value := range []float64{g.Count, g.MeanSize, g.MeanTime, g.MeanSquare, g.MeanProduct} {
+		if !inRange(value, maxRegressionValue) {
+			return false
+		}
+	}
+	return g.Count == 0 || g.MeanTime > 0
+}
+
+// inRange reports whether a value lies from 0 to a maximum; it does not for a NaN.
+func inRange(value, maximum float64) bool { return value >= 0 && value <= maximum }
