--- /dev/null
+++ b/internal/registry/register.go
@@ -0,0 +1,76 @@
+package registry
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"landingpaddle/endpoints"
+	"landingpaddle/internal/proto"
+)
+
+// registerRetryDelay is the delay before a registry that cannot be reached is connected to again.
+const registerRetryDelay = 100 * time.Millisecond
+
+// Register keeps a node listed for as long as ctx lasts: each endpoint received from changes is sent to the
+// registry, and the last one again after a reconnect.
+func Register(ctx context.Context, addr string, cfg proto.Config, changes <-chan endpoints.Endpoint) error {
+	cfg.Limits, cfg.Idle = Limits, watchIdleTimeout
+	r := &registration{changes: changes}
+	for ctx.Err() == nil {
+		conn, err := proto.Dial(ctx, addr, cfg)
+		if err != nil {
+			r.waitForRetry(ctx)
+			continue
+		}
+		r.serve(ctx, conn)
+	}
+	return nil
+}
+
+// registration is a node's registration over all its connections.
+type registration struct {
+	changes <-chan endpoints.Endpoint
+	last    *endpoints.Endpoint // nil: nothing to register yet
+}
+
+func (r *registration) waitForRetry(ctx context.Context) {
+	select {
+	case <-ctx.Done():
+	case endpoint := <-r.changes:
+		r.last = &endpoint
+	case <-time.After(registerRetryDelay):
+	}
+}
+
+// serve sends changes on a connection until it or ctx ends.
+func (r *registration) serve(ctx context.Context, conn *proto.Conn) {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = conn.Run(ctx, func(frame proto.Frame) error { // its end is all that matters
+			return fmt.Errorf("unexpected frame of type %v", frame.Type)
+		})
+	}()
+	if r.last != nil {
+		send(conn, *r.last)
+	}
+	for {
+		select {
+		case <-ctx.Done():
+			conn.Close(ctx.Err())
+			<-ended
+			return
+		case <-ended:
+			return
+		case endpoint := <-r.changes:
+			r.last = &endpoint
+			send(conn, endpoint)
+		}
+	}
+}
+
+func send(conn *proto.Conn, endpoint endpoints.Endpoint) {
+	message := Message{Endpoints: recordsOf([]endpoints.Endpoint{endpoint})}
+	_ = conn.Send(proto.TypeRegister, 0, message, nil) // after a reconnect it is sent again
+}
--- /dev/null
+++ b/internal/registry/registry_test.go
@@ -0,0 +1,215 @@
+package registry
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"landingpaddle/endpoints"
+	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+func endpoint(port int, s scheduler.Status) endpoints.Endpoint {
+	server, _ := ServerFromAddrPort(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)))
+	return endpoints.Endpoint{Server: server, Status: s, Cell: uint16(port), StartedAt: 7, NominalCapacity: 1}
+}
+
+// rig is a stand-in registry and one client of it.
+type rig struct {
+	server       *Server
+	client       *Client
+	updates      chan endpoints.Update
+	errs         chan error
+	acknowledged chan endpoints.Endpoint
+	addr         string
+}
+
+// start runs a registry and a client until the test ends.
+func start(t *testing.T, cfg ServerConfig, push bool, held func() (uint64, uint64)) *rig {
+	t.Helper()
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{
+		updates:      make(chan endpoints.Update, 64),
+		errs:         make(chan error, 64),
+		acknowledged: make(chan endpoints.Endpoint, 64),
+		addr:         ln.Addr().String(),
+	}
+	cfg.OnAcknowledged = func(inst uint32, e endpoints.Endpoint) { r.acknowledged <- e }
+	cfg.Epoch = 9
+	r.server = NewServer(cfg)
+	r.client = NewClient(
+		ClientConfig{Addr: r.addr, Push: push, ReconnectDelay: 20 * time.Millisecond, Version: held,
+			OnUpdate:  func(n endpoints.Update) { r.updates <- n },
+			OnFailure: func(err error) { r.errs <- err }},
+	)
+	ctx, cancel := context.WithCancel(context.Background())
+	var wg sync.WaitGroup
+	wg.Go(func() { _ = r.server.Serve(ctx, ln) })
+	wg.Go(func() { _ = r.client.Run(ctx) })
+	t.Cleanup(func() { cancel(); wg.Wait() })
+	return r
+}
+
+// next receives what must arrive soon.
+func next[T any](t *testing.T, c chan T) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(5 * time.Second):
+		t.Fatal("nothing arrived within 5 s")
+		panic("unreachable")
+	}
+}
+
+func TestClient_WatchGetsTheFullListThenChanges(t *testing.T) {
+	r := start(t, ServerConfig{MaxWait: time.Second}, false, nil)
+	r.server.Put(endpoint(1, scheduler.Ready))
+	time.Sleep(50 * time.Millisecond)
+	r.client.Watch(true)
+	if n := next(t, r.updates); !n.Full || len(n.Endpoints) != 1 || n.Epoch != 9 {
+		t.Fatalf("first update %+v", n)
+	}
+	if e := next(t, r.acknowledged); e.Server.Port != 1 {
+		t.Errorf("acknowledged %+v", e)
+	}
+	r.server.Put(endpoint(2, scheduler.Draining))
+	n := next(t, r.updates)
+	if n.Full || n.BaseVersion+1 != n.Version || n.Endpoints[0].Status != scheduler.Draining {
+		t.Errorf("change %+v", n)
+	}
+	r.client.Watch(false)
+	time.Sleep(50 * time.Millisecond)
+	r.server.Put(endpoint(3, scheduler.Ready))
+	// The registry publishes a change after a delay of its own: a fetch may overtake it.
+	for tries := 1; ; tries++ {
+		r.client.Fetch()
+		n := next(t, r.updates)
+		if n.Full && len(n.Endpoints) == 3 {
+			return
+		}
+		if !n.Full || tries == 100 {
+			t.Fatalf("fetch %d after the watch ended: %+v", tries, n)
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+func TestClient_FetchGetsOnlyChangesToTheListHeld(t *testing.T) {
+	r := start(t, ServerConfig{MaxWait: time.Second}, false, func() (uint64, uint64) { return 9, 1 })
+	r.server.Put(endpoint(1, scheduler.Ready))
+	r.server.Put(endpoint(2, scheduler.Ready))
+	time.Sleep(50 * time.Millisecond)
+	r.client.Fetch()
+	if n := next(t, r.updates); n.Full || n.BaseVersion != 1 || len(n.Endpoints) != 1 ||
+		n.Endpoints[0].Server.Port != 2 {
+		t.Errorf("changes %+v", n)
+	}
+	r.client.FetchFull()
+	if n := next(t, r.updates); !n.Full || len(n.Endpoints) != 2 {
+		t.Errorf("full list %+v", n)
+	}
+}
+
+// Endpoints are published after the stated delay; a node whose process ends is gone, after the delay as well.
+func TestServer_DelaysChangesAndRemovesEndedNodes(t *testing.T) {
+	r := start(t, ServerConfig{MaxWait: time.Second, Delay: 150 * time.Millisecond}, true, nil)
+	if n := next(t, r.updates); !n.Full || len(n.Endpoints) != 0 {
+		t.Fatalf("empty list: %+v", n)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	changes := make(chan endpoints.Endpoint, 1)
+	var wg sync.WaitGroup
+	wg.Go(func() { _ = Register(ctx, r.addr, proto.Config{}, changes) })
+	began := time.Now()
+	changes <- endpoint(5, scheduler.Ready)
+	if n := next(t,
+		r.updates); n.Endpoints[0].Status != scheduler.Ready || time.Since(began) < 150*time.Millisecond {
+		t.Errorf("after %v: %+v", time.Since(began), n)
+	}
+	began = time.Now()
+	cancel()
+	wg.Wait()
+	if n := next(t, r.updates); n.Endpoints[0].Status != scheduler.Gone ||
+		time.Since(began) < 140*time.Millisecond {
+		t.Errorf("after %v: %+v", time.Since(began), n)
+	}
+}
+
+// Calls over the registry's capacity that wait too long fail; the others are served.
+func TestServer_FailsCallsThatWaitTooLong(t *testing.T) {
+	r := start(t, ServerConfig{Workers: 1, CallTime: 100 * time.Millisecond,
+		MaxWait: 150 * time.Millisecond}, false,
+		nil)
+	for range 5 {
+		r.client.Fetch()
+	}
+	for range 2 {
+		next(t, r.updates)
+	}
+	for range 3 {
+		if err := next(t, r.errs); !strings.Contains(err.Error(), "busy") {
+			t.Error(err)
+		}
+	}
+}
+
+// The registry is down at the start: a polling client is notified, one with pushed lists is connected later.
+func TestClient_SurvivesARegistryThatIsDownAtTheStart(t *testing.T) {
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := ln.Addr().String()
+	ln.Close()
+	updates, errs := make(chan endpoints.Update, 8), make(chan error, 8)
+	for _, push := range []bool{false, true} {
+		ctx, cancel := context.WithCancel(context.Background())
+		c := NewClient(ClientConfig{Addr: addr, Push: push, ReconnectDelay: 20 * time.Millisecond,
+			OnUpdate: func(n endpoints.Update) { updates <- n }, OnFailure: func(err error) {
+				select {
+				case errs <- err:
+				default:
+				}
+			}})
+		var wg sync.WaitGroup
+		wg.Go(func() { _ = c.Run(ctx) })
+		if !push {
+			c.Watch(true)
+		}
+		next(t, errs)
+		if push {
+			ln, err := net.Listen("tcp4", addr)
+			if err != nil {
+				t.Fatal(err)
+			}
+			wg.Go(func() { _ = NewServer(ServerConfig{MaxWait: time.Second}).Serve(ctx, ln) })
+			next(t, updates)
+		}
+		cancel()
+		wg.Wait()
+	}
+}
+
+func FuzzDecodeUpdate(f *testing.F) {
+	f.Add([]byte{0xa0})
+	f.Fuzz(func(t *testing.T, data []byte) {
+		n, err := DecodeUpdate(proto.Frame{Type: proto.TypeUpdate, Header: data})
+		if err == nil && len(n.Endpoints) > MaxEndpoints {
+			t.Fatal("more endpoints than the bound")
+		}
+		_, _ = parseSnapshot(data)
+	})
+}
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"fmt"
 	"maps"
 	"net"
 	"slices"
@@ -15,69 +14,78 @@
 	"landingpaddle/scheduler"
 )
 
-// ServerConfig is a stand-in list service.
+// Reasons in the answers to calls that fail.
+const (
+	reasonDown = "down"
+	reasonBusy = "busy"
+)
+
+const defaultMaxConns = 4096
+
+// ServerConfig configures a stand-in registry.
 type ServerConfig struct {
 	Epoch    uint64
-	Delay    time.Duration // entries are told so late
-	Workers  int           // calls served at the same time
-	CallTime time.Duration // that one takes
-	MaxWait  time.Duration // a call that would wait longer fails when it has waited so long
-	MaxConns int
+	Delay    time.Duration // after which changes are published
+	Workers  int           // calls served at the same time; at least 1
+	CallTime time.Duration // that one call takes
+	MaxWait  time.Duration // a call that would wait longer for a worker fails after this
+	MaxConns int           // 0: 4096
 	Conn     proto.Config
-	// Told, where set, is called when an instance has acknowledged news of a node.
-	OnAcknowledged func(instance uint32, e endpoints.Endpoint)
+	// OnAcknowledged, where set, is called when an instance has acknowledged an update that contains an
+	// endpoint.
+	OnAcknowledged func(instance uint32, endpoint endpoints.Endpoint)
 }
 
-// Server is the stand-in: nodes register with it and are listed for as long as their connection lasts.
+// Server is the stand-in: nodes register with it and are listed for as long as their connection lasts. Its
+// methods may be called by any goroutine.
 type Server struct {
 	cfg ServerConfig
 
-	mu       sync.Mutex
-	delay    time.Duration
-	down     bool
-	version  uint64
-	listed   map[scheduler.Server]endpoints.Endpoint // as told; gone ones stay with that status
-	changed  map[scheduler.Server]uint64             // version of the last change
-	watchers map[*session]struct{}
-	free     []time.Time // when each worker is free
-	pending  map[*time.Timer]struct{}
-	coming   []change // not told yet, in order
-	closed   bool
+	mu          sync.Mutex
+	delay       time.Duration
+	down        bool
+	version     uint64
+	listed      map[scheduler.Server]endpoints.Endpoint // as published; gone ones stay with that status
+	changedIn   map[scheduler.Server]uint64             // version of the last change
+	watchers    map[*session]struct{}
+	workersFree []time.Time // when each worker is free
+	timers      map[*time.Timer]struct{}
+	unpublished []change // in order
+	closed      bool
 }
 
-// change is news of a node that is not told yet.
+// change is a change of an endpoint that is not published yet.
 type change struct {
-	due   time.Time
-	entry endpoints.Endpoint
-	ended bool // its process ended, unless another life is listed by then
+	due      time.Time
+	endpoint endpoints.Endpoint
+	ended    bool // its process ended, unless a later incarnation is listed by then
 }
 
-// session is one connection.
-type session struct {
-	conn           *proto.Conn
-	instance       uint32
-	unacknowledged map[uint64][]endpoints.Endpoint // news sent, by version
-}
-
-// NewServer makes a service that lists nothing.
+// NewServer returns a registry that lists nothing.
 func NewServer(cfg ServerConfig) *Server {
-	cfg.Workers, cfg.MaxConns = max(cfg.Workers, 1), cmp.Or(cfg.MaxConns, 4096)
+	cfg.Workers, cfg.MaxConns = max(cfg.Workers, 1), cmp.Or(cfg.MaxConns, defaultMaxConns)
 	cfg.Conn.Limits = Limits
-	cfg.Conn.Idle = 24 * time.Hour
+	cfg.Conn.Idle = watchIdleTimeout
 	cfg.Conn.Hello.Role = "list"
-	return &Server{cfg: cfg, delay: cfg.Delay, listed: map[scheduler.Server]endpoints.Endpoint{},
-		changed: map[scheduler.Server]uint64{}, watchers: map[*session]struct{}{},
-		free: make([]time.Time, cfg.Workers), pending: map[*time.Timer]struct{}{}}
+	return &Server{
+		cfg:         cfg,
+		delay:       cfg.Delay,
+		listed:      map[scheduler.Server]endpoints.Endpoint{},
+		changedIn:   map[scheduler.Server]uint64{},
+		watchers:    map[*session]struct{}{},
+		workersFree: make([]time.Time, cfg.Workers),
+		timers:      map[*time.Timer]struct{}{},
+	}
 }
 
-// SetDelay changes how late entries are told from now on.
+// SetDelay changes the delay of changes from now on.
 func (s *Server) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// SetDown makes all calls fail, or ends that.
+// SetDown makes all calls fail and breaks the watches, or ends that.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,236 +93,164 @@
 	if !down {
 		return
 	}
-	for w := range s.watchers {
-		w.conn.Close(proto.ErrClosed)
+	for watcher := range s.watchers {
+		watcher.conn.Close(proto.ErrClosed)
 	}
 }
 
-// Serve runs the service until ctx ends.
+// Serve runs the registry until ctx ends.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
-	err := proto.Serve(ctx, ln, s.cfg.Conn, s.cfg.MaxConns, s.session)
+	err := proto.Serve(ctx, ln, s.cfg.Conn, s.cfg.MaxConns, s.serveConn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for t := range s.pending {
-		t.Stop()
+	for timer := range s.timers {
+		timer.Stop()
 	}
 	return err
 }
 
-// after runs f later unless the service has ended.
+// after runs f with the lock held after a while, unless the registry has ended by then. The lock is held.
 func (s *Server) after(d time.Duration, f func()) {
-	var t *time.Timer
+	var timer *time.Timer
 	run := func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.pending, t)
+		delete(s.timers, timer)
 		if !s.closed {
 			f()
 		}
 	}
-	t = time.AfterFunc(max(d, 0), run)
-	s.pending[t] = struct{}{}
+	timer = time.AfterFunc(max(d, 0), run)
+	s.timers[timer] = struct{}{}
 }
 
-func (s *Server) session(ctx context.Context, c *proto.Conn) {
-	w := &session{conn: c, instance: c.PeerHello().Number, unacknowledged: map[uint64][]endpoints.Endpoint{}}
-	var node *endpoints.Endpoint
-	_ = c.Run(ctx, func(f proto.Frame) error { // why a peer left is its own matter
-		switch f.Type {
-		case proto.TypeRegister:
-			n, err := DecodeUpdate(f)
-			if err != nil {
-				return err
-			}
-			if len(n.Endpoints) != 1 {
-				return fmt.Errorf("a node registers one entry, not %d", len(n.Endpoints))
-			}
-			node = &n.Endpoints[0]
-			s.Put(*node)
-			return nil
-		case proto.TypeWatch, proto.TypeFetch:
-			var ask proto.ListVersion
-			if err := f.Decode(&ask); err != nil {
-				return err
-			}
-			s.call(w, f.Type, f.Stream, ask)
-			return nil
-		case proto.TypeCancel:
-			s.mu.Lock()
-			delete(s.watchers, w)
-			s.mu.Unlock()
-			return nil
-		case proto.TypeAcknowledge:
-			s.acknowledge(w, f.Stream)
-			return nil
-		}
-		return fmt.Errorf("a list service takes no frame of type %v", f.Type)
-	})
-	s.mu.Lock()
-	delete(s.watchers, w)
-	s.mu.Unlock()
-	if node != nil {
-		s.drop(*node)
-	}
-}
+// Put lists an endpoint, after the delay.
+func (s *Server) Put(endpoint endpoints.Endpoint) { s.schedule(change{endpoint: endpoint}) }
 
-// Put lists an entry, after the delay.
-func (s *Server) Put(e endpoints.Endpoint) { s.later(change{entry: e}) }
-
-// drop lists a node as gone, after the delay.
-func (s *Server) drop(e endpoints.Endpoint) { s.later(change{entry: e, ended: true}) }
+// remove lists an endpoint as gone, after the delay.
+func (s *Server) remove(endpoint endpoints.Endpoint) {
+	s.schedule(change{endpoint: endpoint, ended: true})
+}
 
-// later queues a change. Changes are told in the order in which they came, also where the delay became less.
-func (s *Server) later(c change) {
+// schedule queues a change. Changes are published in the order in which they came, also where the delay
+// became less.
+func (s *Server) schedule(c change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return
 	}
 	c.due = time.Now().Add(s.delay)
-	if n := len(s.coming); n > 0 && s.coming[n-1].due.After(c.due) {
-		c.due = s.coming[n-1].due
+	if n := len(s.unpublished); n > 0 && s.unpublished[n-1].due.After(c.due) {
+		c.due = s.unpublished[n-1].due
 	}
-	s.coming = append(s.coming, c)
-	s.after(time.Until(c.due), s.ripen)
+	s.unpublished = append(s.unpublished, c)
+	s.after(time.Until(c.due), s.publishDue)
 }
 
-// ripen tells all changes that are due.
-func (s *Server) ripen() {
-	for len(s.coming) > 0 && !s.coming[0].due.After(time.Now()) {
-		c := s.coming[0]
-		s.coming = s.coming[1:]
-		if now := s.listed[c.entry.Server]; c.ended {
-			if now.StartedAt > c.entry.StartedAt {
+// publishDue publishes all changes that are due. The lock is held.
+func (s *Server) publishDue() {
+	for len(s.unpublished) > 0 && !s.unpublished[0].due.After(time.Now()) {
+		next := s.unpublished[0]
+		s.unpublished = s.unpublished[1:]
+		if now := s.listed[next.endpoint.Server]; next.ended {
+			if now.StartedAt > next.endpoint.StartedAt {
 				continue
 			}
-			c.entry = now
-			c.entry.Status = scheduler.Gone
+			next.endpoint = now
+			next.endpoint.Status = scheduler.Gone
 		}
-		s.apply(c.entry)
+		s.publish(next.endpoint)
 	}
 }
 
-func (s *Server) apply(e endpoints.Endpoint) {
-	if old, ok := s.listed[e.Server]; ok && old.StartedAt > e.StartedAt {
+// publish writes an endpoint into the list and sends it to all watchers. The lock is held.
+func (s *Server) publish(endpoint endpoints.Endpoint) {
+	if old, ok := s.listed[endpoint.Server]; ok && old.StartedAt > endpoint.StartedAt {
 		return
 	}
 	s.version++
-	s.listed[e.Server], s.changed[e.Server] = e, s.version
-	for w := range s.watchers {
-		s.tell(w, endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: s.version - 1,
-			Endpoints: []endpoints.Endpoint{e}}, 1)
+	s.listed[endpoint.Server], s.changedIn[endpoint.Server] = endpoint, s.version
+	update := endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: s.version - 1,
+		Endpoints: []endpoints.Endpoint{endpoint}}
+	for watcher := range s.watchers {
+		s.send(watcher, update, streamWatch)
 	}
 }
 
 // call serves a watch or fetch when a worker is free.
-func (s *Server) call(w *session, t proto.Type, stream uint64, ask proto.ListVersion) {
+func (s *Server) call(caller *session, kind proto.Type, stream uint64, held proto.ListVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	first := slices.MinFunc(s.free, time.Time.Compare)
+	freeFirst := slices.MinFunc(s.workersFree, time.Time.Compare)
 	start := now
-	if first.After(now) {
-		start = first
-	}
-	fail := func(reason string) {
-		_ = w.conn.Send(proto.TypeAnswer, stream, proto.Answer{Code: proto.Error, Reason: reason}, nil)
+	if freeFirst.After(now) {
+		start = freeFirst
 	}
 	switch wait := start.Sub(now); {
 	case s.down:
-		fail("down")
+		caller.fail(stream, reasonDown)
 	case wait > s.cfg.MaxWait:
-		s.after(s.cfg.MaxWait, func() { fail("busy") })
+		s.after(s.cfg.MaxWait, func() { caller.fail(stream, reasonBusy) })
 	default:
-		s.free[slices.Index(s.free, first)] = start.Add(s.cfg.CallTime)
+		s.workersFree[slices.Index(s.workersFree, freeFirst)] = start.Add(s.cfg.CallTime)
 		s.after(wait+s.cfg.CallTime, func() {
-			if t == proto.TypeWatch {
-				s.watchers[w] = struct{}{}
+			if kind == proto.TypeWatch {
+				s.watchers[caller] = struct{}{}
 			}
-			s.tell(w, s.since(ask), stream)
+			s.send(caller, s.updateSince(held), stream)
 		})
 	}
 }
 
-// since is what has changed since the list that an instance holds, or the whole list where that is unknown.
-func (s *Server) since(ask proto.ListVersion) endpoints.Update {
-	n := endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: ask.Version,
-		Full: ask.Epoch != s.cfg.Epoch || ask.Version == 0 || ask.Version > s.version}
-	for _, e := range s.listed {
-		if n.Full && e.Status != scheduler.Gone || !n.Full && s.changed[e.Server] > ask.Version {
-			n.Endpoints = append(n.Endpoints, e)
+// updateSince returns what has changed since the list that an instance holds, or the full list where that is
+// unknown. The lock is held.
+func (s *Server) updateSince(held proto.ListVersion) endpoints.Update {
+	isUnknown := held.Epoch != s.cfg.Epoch || held.Version == 0 || held.Version > s.version
+	update := endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: held.Version,
+		Full: isUnknown}
+	for _, endpoint := range s.listed {
+		wanted := s.changedIn[endpoint.Server] > held.Version
+		if update.Full {
+			wanted = endpoint.Status != scheduler.Gone
+		}
+		if wanted {
+			update.Endpoints = append(update.Endpoints, endpoint)
 		}
 	}
-	slices.SortFunc(n.Endpoints, endpoints.ByServer)
-	return n
+	slices.SortFunc(update.Endpoints, endpoints.ByServer)
+	return update
 }
 
-func (s *Server) tell(w *session, n endpoints.Update, stream uint64) {
-	m := Message{Epoch: n.Epoch, Version: n.Version, BaseVersion: n.BaseVersion, Full: n.Full,
-		Endpoints: recordsOf(n.Endpoints)}
-	if w.conn.Send(proto.TypeUpdate, stream, m, nil) != nil {
+// send sends an update and notes what its acknowledgement will confirm. The lock is held.
+func (s *Server) send(to *session, update endpoints.Update, stream uint64) {
+	if to.conn.Send(proto.TypeUpdate, stream, messageOf(update), nil) != nil {
 		return
 	}
-	told := n.Endpoints
-	if n.Full {
-		told = slices.Collect(maps.Values(s.listed)) // what is missing in a whole list is gone
+	sent := update.Endpoints
+	if update.Full {
+		sent = slices.Collect(maps.Values(s.listed)) // what is missing in a full list is gone
 	}
-	w.unacknowledged[n.Version] = append(w.unacknowledged[n.Version], told...)
+	to.unacknowledged[update.Version] = append(to.unacknowledged[update.Version], sent...)
 }
 
-func (s *Server) acknowledge(w *session, version uint64) {
+// acknowledge reports what an instance knows by its acknowledgement of a version.
+func (s *Server) acknowledge(from *session, version uint64) {
 	s.mu.Lock()
-	told := w.unacknowledged[version]
-	delete(w.unacknowledged, version)
+	known := from.unacknowledged[version]
+	delete(from.unacknowledged, version)
 	s.mu.Unlock()
 	if s.cfg.OnAcknowledged != nil {
-		for _, e := range told {
-			s.cfg.OnAcknowledged(w.instance, e)
+		for _, endpoint := range known {
+			s.cfg.OnAcknowledged(from.instance, endpoint)
 		}
 	}
 }
 
-// Register keeps a node's entry listed for as long as ctx lasts: each entry read from changes is told to the
-// service. It connects again when the service is away.
-func Register(ctx context.Context, addr string, cfg proto.Config, changes <-chan endpoints.Endpoint) error {
-	cfg.Limits, cfg.Idle = Limits, 24*time.Hour
-	var last *endpoints.Endpoint
-	for ctx.Err() == nil {
-		conn, err := proto.Dial(ctx, addr, cfg)
-		if err != nil {
-			select {
-			case <-ctx.Done():
-			case e := <-changes:
-				last = &e
-			case <-time.After(100 * time.Millisecond):
-			}
-			continue
-		}
-		ended := make(chan struct{})
-		go func() {
-			defer close(ended)
-			_ = conn.Run(ctx, func(f proto.Frame) error { return fmt.Errorf("unasked frame %v", f.Type) })
-		}()
-		put := func(e endpoints.Endpoint) {
-			_ = conn.Send(proto.TypeRegister, 0, Message{Endpoints: recordsOf([]endpoints.Endpoint{e})}, nil)
-		}
-		if last != nil {
-			put(*last)
-		}
-		for open := true; open; {
-			select {
-			case <-ctx.Done():
-				conn.Close(ctx.Err())
-				<-ended
-				open = false
-			case <-ended:
-				open = false
-			case e := <-changes:
-				last = &e
-				put(e)
-			}
-		}
-	}
-	return nil
+func (s *Server) unwatch(watcher *session) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.watchers, watcher)
 }
--- a/internal/registry/stored_test.go
+++ b/internal/registry/snapshot_file_test.go
@@ -2,21 +2,26 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
+	"path/filepath"
 	"reflect"
+	"syscall"
 	"testing"
 
 	"landingpaddle/endpoints"
+	"landingpaddle/internal/statefile"
 	"landingpaddle/scheduler"
 )
 
-// The files in testdata were written before any field was renamed.
+// The files in testdata were written before any field was renamed: what they hold must stay readable, and
+// what is written must stay the same bytes.
 const (
-	storedList  = "testdata/list.bin"      // storedEntries, written field by field
-	stoppedList = "testdata/list-stop.bin" // written by a process that followed a list service
+	storedList  = "testdata/list.bin"      // storedSnapshot, written field by field
+	stoppedList = "testdata/list-stop.bin" // written by a process that watched a registry
 )
 
-func storedKept() endpoints.Snapshot {
+func storedSnapshot() endpoints.Snapshot {
 	return endpoints.Snapshot{Epoch: 1_780_000_000_000_000_001, Version: 12, Endpoints: []endpoints.Endpoint{
 		{
 			Server:          scheduler.Server{Addr: [4]byte{10, 1, 2, 3}, Port: 7100},
@@ -39,18 +44,18 @@
 		{Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 5}, Port: 7102}, Status: scheduler.Gone}}}
 }
 
-func TestStoredListReadsAndWritesAsBefore(t *testing.T) {
+func TestSnapshotFile_ReadsAndWritesStoredList(t *testing.T) {
 	got, err := SnapshotFile{Path: storedList}.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := storedKept(); !reflect.DeepEqual(got, want) {
+	if want := storedSnapshot(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
 	}
-	sameListBytes(t, storedList, storedKept())
+	sameListBytes(t, storedList, storedSnapshot())
 }
 
-func TestListOfAStoppedProcessReadsAsBefore(t *testing.T) {
+func TestSnapshotFile_ReadsListOfAStoppedProcess(t *testing.T) {
 	got, err := SnapshotFile{Path: stoppedList}.Load()
 	if err != nil {
 		t.Fatal(err)
@@ -83,3 +88,43 @@
 		t.Errorf("%s: the list is written as other bytes:\n%x\nwant\n%x", path, data, want)
 	}
 }
+
+// A file that is truncated or changed anywhere is reported, and a write that fails leaves the old file.
+func TestSnapshotFile_ReportsDamageAndKeepsTheOldList(t *testing.T) {
+	f := SnapshotFile{Path: filepath.Join(t.TempDir(), "list")}
+	if k, err := f.Load(); err != nil || k.Version != 0 {
+		t.Fatalf("no file: %+v, %v", k, err)
+	}
+	want := endpoints.Snapshot{
+		Epoch:   3,
+		Version: 4,
+		Endpoints: []endpoints.Endpoint{endpoint(1, scheduler.Ready), endpoint(2,
+			scheduler.Draining)},
+	}
+	if err := f.Save(want); err != nil {
+		t.Fatal(err)
+	}
+	got, err := f.Load()
+	if err != nil || len(got.Endpoints) != 2 || got.Endpoints[1] != want.Endpoints[1] || got.Version != 4 {
+		t.Fatalf("%+v, %v", got, err)
+	}
+	data, _ := os.ReadFile(f.Path)
+	for n := range data {
+		if _, err := parseSnapshot(data[:n]); !errors.Is(err, statefile.ErrCorrupt) {
+			t.Fatalf("cut at %d: %v", n, err)
+		}
+		bad := append([]byte(nil), data...)
+		bad[n] ^= 1
+		if _, err := parseSnapshot(bad); !errors.Is(err, statefile.ErrCorrupt) {
+			t.Fatalf("byte %d changed: %v", n, err)
+		}
+	}
+	f.Write = func(string, []byte) error { return syscall.ENOSPC }
+	if err := f.Save(want); !errors.Is(err, syscall.ENOSPC) {
+		t.Errorf("a full disk: %v", err)
+	}
+	f.Write = nil
+	if k, err := f.Load(); err != nil || k.Version != 4 {
+		t.Errorf("the old list after a failed write: %+v, %v", k, err)
+	}
+}
