--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -23,28 +23,71 @@
 // Group remembers keyed operations for the nodes that drop each other's repeats.
 type Group struct {
 	mu   sync.Mutex
-	seen map[uint64]time.Time
+	seen map[uint64]*effect
+}
+
+// effect is what a group remembers of an operation.
+type effect struct {
+	at      time.Time
+	settled chan struct{} // closed once the operation has taken effect, or was forgotten as it never will
 }
 
 // NewGroup remembers nothing yet.
-func NewGroup() *Group { return &Group{seen: map[uint64]time.Time{}} }
+func NewGroup() *Group { return &Group{seen: map[uint64]*effect{}} }
 
-// first notes an operation and tells whether it is none that the group remembers.
-func (g *Group) first(token uint64, window time.Duration) bool {
+// admit notes operations as in progress and tells which of them the group remembers already. While one of
+// them is in progress elsewhere nothing is noted: a repeat must not be answered as done before it is, so it
+// has to wait for the channel returned and ask again.
+func (g *Group) admit(tokens []uint64, window time.Duration) (repeats []bool, wait <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at, ok := g.seen[token]
-	if ok && time.Since(at) < window {
-		return false
+	repeats = make([]bool, len(tokens))
+	for i, token := range tokens {
+		e := g.seen[token]
+		if e == nil || time.Since(e.at) >= window {
+			continue
+		}
+		select {
+		case <-e.settled:
+			repeats[i] = true
+		default:
+			return nil, e.settled
+		}
+	}
+	for i, token := range tokens {
+		if !repeats[i] {
+			g.seen[token] = &effect{at: time.Now(), settled: make(chan struct{})}
+		}
+	}
+	return repeats, nil
+}
+
+// settle notes that an operation has taken effect.
+func (g *Group) settle(token uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if e := g.seen[token]; e != nil {
+		e.settle()
 	}
-	g.seen[token] = time.Now()
-	return true
 }
 
+// forget drops an operation that will never take effect: a repeat of it is to be done.
 func (g *Group) forget(token uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.seen, token)
+	if e := g.seen[token]; e != nil {
+		delete(g.seen, token)
+		e.settle()
+	}
+}
+
+// settle wakes those who wait. The group's lock is held.
+func (e *effect) settle() {
+	select {
+	case <-e.settled:
+	default:
+		close(e.settled)
+	}
 }
 
 // Meter knows what each volume was served everywhere, period by period.
@@ -144,12 +187,13 @@
 	ctx      context.Context // ends when it is called off
 	calledBy context.CancelFunc
 	state    opState // guarded by the life's lock
+	noted    bool    // by its group; guarded by the life's lock
 	at       time.Time
 }
 
 // only is an operation as the log tells of one of its members.
 func (o *op) only(m member) *op {
-	return &op{inst: o.inst, req: o.req, nth: o.nth, members: []member{m}}
+	return &op{inst: o.inst, req: o.req, nth: o.nth, members: []member{m}, noted: o.noted}
 }
 
 type opState uint8
@@ -361,6 +405,19 @@
 	l.mu.Unlock()
 	for _, o := range left {
 		l.call(o)
+		if ctx.Err() != nil {
+			l.abandon(o)
+		}
+	}
+}
+
+// abandon takes in that the process has ended: what has not taken effect never will.
+func (l *life) abandon(o *op) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if o.state != opDone {
+		o.state = opDropped
+		l.forget(o)
 	}
 }
 
@@ -453,30 +510,60 @@
 	}
 }
 
-func (l *life) forget(o *op) {
-	if class := l.n.cfg.Site.Classes[o.req.Class]; class.Idempotency == config.Idempotency(
-		scheduler.IdempotentByKey,
-	) {
-		for _, m := range o.members {
-			if !m.repeat {
-				l.group(class).forget(m.effect())
-			}
+// The lock is held.
+func (l *life) forget(o *op) { l.eachNoted(o, (*Group).forget) }
+
+// settle tells the group that an operation has taken effect.
+func (l *life) settle(o *op) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.eachNoted(o, (*Group).settle)
+}
+
+// eachNoted does something for each member of an operation that its group has noted. The lock is held.
+func (l *life) eachNoted(o *op, do func(g *Group, token uint64)) {
+	if !o.noted {
+		return
+	}
+	for _, m := range o.members {
+		if !m.repeat {
+			do(l.groupOf(o), m.effect())
 		}
 	}
 }
 
-// repeats asks the group about each member; it tells whether all of them are repeats.
-func (l *life) repeats(o *op) bool {
-	class, all := l.n.cfg.Site.Classes[o.req.Class], true
+func (l *life) keyed(o *op) bool {
+	class := l.n.cfg.Site.Classes[o.req.Class]
+	return class.Idempotency == config.Idempotency(scheduler.IdempotentByKey)
+}
+
+func (l *life) groupOf(o *op) *Group {
+	return l.n.cfg.Groups(scheduler.DedupScope(l.n.cfg.Site.Classes[o.req.Class].DedupScope))
+}
+
+// repeats asks the group about each member; it tells whether all of them are repeats. Where one is in
+// progress elsewhere it returns what to wait for before asking again. The lock is held.
+func (l *life) repeats(o *op) (all bool, wait <-chan struct{}) {
+	var tokens []uint64
+	var asked []*member
 	for i := range o.members {
-		m := &o.members[i]
-		m.repeat = !l.group(class).first(m.effect(), class.DedupWindow)
+		if m := &o.members[i]; !m.repeat { // one that was called off meanwhile is over
+			tokens, asked = append(tokens, m.effect()), append(asked, m)
+		}
+	}
+	repeats, wait := l.groupOf(o).admit(tokens, l.n.cfg.Site.Classes[o.req.Class].DedupWindow)
+	if wait != nil {
+		return false, wait
+	}
+	o.noted, all = true, true
+	for i, m := range asked {
+		m.repeat = repeats[i]
 		all = all && m.repeat
 		if m.repeat {
 			l.logOp(KindRepeat, o.only(member{Member: m.Member}), proto.OK)
 		}
 	}
-	return all
+	return all, nil
 }
 
 // move changes an operation's state unless it is over.
@@ -497,8 +584,6 @@
 	l.conns[o.conn][o.stream] = o
 	fell, draining := l.press(float64(o.req.Units)), l.draining
 	l.mu.Unlock()
-	class := l.n.cfg.Site.Classes[o.req.Class]
-	keyed := class.Idempotency == config.Idempotency(scheduler.IdempotentByKey)
 	switch {
 	case fell:
 		l.log(Event{Kind: KindCollapsed, Inst: o.inst, Token: o.req.Token, Boot: l.told})
@@ -507,20 +592,45 @@
 		l.answer(o, KindNotApplicable, proto.NotApplicable)
 	case draining:
 		l.answer(o, KindOverloaded, proto.Overloaded)
-	case keyed && l.repeats(o):
-		l.answer(o, KindRepeat, proto.OK)
 	default:
-		select {
-		case l.queue <- o:
-		default:
-			l.forget(o)
-			l.answer(o, KindOverloaded, proto.Overloaded)
-		}
+		l.enqueue(o)
 	}
 }
 
-func (l *life) group(c config.Class) *Group {
-	return l.n.cfg.Groups(scheduler.DedupScope(c.DedupScope))
+// enqueue lets an operation wait for a core, unless it is a repeat. A repeat of what is in progress waits for
+// that.
+func (l *life) enqueue(o *op) {
+	if l.keyed(o) {
+		l.mu.Lock()
+		dropped := o.state == opDropped
+		all, wait := false, (<-chan struct{})(nil)
+		if !dropped {
+			all, wait = l.repeats(o)
+		}
+		l.mu.Unlock()
+		switch {
+		case dropped:
+			l.answer(o, KindCancel, proto.Cancelled)
+			return
+		case wait != nil:
+			go func() {
+				<-wait
+				l.enqueue(o)
+			}()
+			return
+		case all:
+			l.answer(o, KindRepeat, proto.OK)
+			return
+		}
+	}
+	select {
+	case l.queue <- o:
+	default:
+		l.mu.Lock()
+		l.forget(o)
+		l.mu.Unlock()
+		l.answer(o, KindOverloaded, proto.Overloaded)
+	}
 }
 
 // capacity is the part of its work that the node can do now: it warms over the ramp.
@@ -594,6 +704,7 @@
 	case ctx.Err() != nil:
 	case l.move(o, opDone):
 		o.data = l.carry(o)
+		l.settle(o)
 		l.answer(o, KindEnd, proto.OK)
 	default:
 		l.answer(o, KindCancel, proto.Cancelled)
