--- a/extent/planner_test.go
+++ b/extent/planner_test.go
@@ -10,68 +10,75 @@
 	"pgregory.net/rapid"
 )
 
-// plain is the model: it knows nothing of pieces, only what was asked and which bytes the disks hold.
-type plain struct {
+// expectedRequest is what the model knows of a request: nothing of pieces but their ends, only what was
+// asked.
+type expectedRequest struct {
 	Request
-	write  []byte
-	pieces map[uint32]Piece
-	held   map[uint32]bool
-	ran    map[uint32]bool // may have run
-	ended  bool
+	written    []byte
+	pieces     map[uint32]Piece
+	queued     map[uint32]bool
+	mayHaveRun map[uint32]bool // may have run
+	answered   bool
 }
 
-// machine drives a planner as a scheduler does, at random, and compares each answer with the plain model.
-type machine struct {
-	t      *rapid.T
-	p      *Planner
-	set    Settings
-	asked  map[uint64]*plain
-	of     map[uint32]*plain
-	disk   map[uint64][]byte // by volume
-	out    [][]uint32        // operations
-	ops    map[uint32]Operation
-	id     uint32
-	now    time.Duration
-	merged int
+// plannerDriver drives a planner as the daemon does, at random, and compares each answer with a model that
+// neither merges nor splits: which bytes the disks hold.
+type plannerDriver struct {
+	t          *rapid.T
+	planner    *Planner
+	settings   Settings
+	requests   map[uint64]*expectedRequest
+	requestOf  map[uint32]*expectedRequest
+	disks      map[uint64][]byte // by volume
+	inFlight   [][]uint32        // operations
+	operations map[uint32]Operation
+	lastID     uint32
+	now        time.Duration
+	merged     int
 }
 
 const diskSize = 200
 
-func (m *machine) fill(volume uint64) []byte {
-	if m.disk[volume] == nil {
-		m.disk[volume] = make([]byte, diskSize)
-		for i := range m.disk[volume] {
-			m.disk[volume][i] = byte(uint64(i)*7 + volume)
+func (d *plannerDriver) disk(volume uint64) []byte {
+	if d.disks[volume] == nil {
+		d.disks[volume] = make([]byte, diskSize)
+		for i := range d.disks[volume] {
+			d.disks[volume][i] = byte(uint64(i)*7 + volume)
 		}
 	}
-	return m.disk[volume]
+	return d.disks[volume]
 }
 
-func (m *machine) take(*rapid.T) {
-	offset := 4 * rapid.Uint64Range(0, diskSize/4-1).Draw(m.t, "offset") // so that many touch
-	q := Request{ID: uint64(len(m.asked) + 1), DataVolume: 1 + rapid.Uint64Range(0, 9).Draw(m.t, "data")/9,
-		Range: Range{offset, min(diskSize-offset, 4*rapid.Uint64Range(1, 15).Draw(m.t, "length"))},
-		Write: rapid.Bool().Draw(m.t, "write"), Class: rapid.IntRange(0, 9).Draw(m.t, "class") / 9,
-		Plan: rapid.IntRange(0, 9).Draw(m.t, "plan") / 9, Units: rapid.IntRange(1, 9).Draw(m.t, "units"),
-		ReceivedAt: m.now, RetrySafe: rapid.Bool().Draw(m.t, "harmless")}
-	a := &plain{Request: q, pieces: map[uint32]Piece{}, held: map[uint32]bool{}, ran: map[uint32]bool{}}
-	m.asked[q.ID] = a
-	cut, err := m.p.Add(q, func() uint32 { m.id++; return m.id })
+func (d *plannerDriver) add(*rapid.T) {
+	offset := 4 * rapid.Uint64Range(0, diskSize/4-1).Draw(d.t, "offset") // so that many touch
+	q := Request{ID: uint64(len(d.requests) + 1), DataVolume: 1 + rapid.Uint64Range(0, 9).Draw(d.t, "data")/9,
+		Range: Range{offset, min(diskSize-offset, 4*rapid.Uint64Range(1, 15).Draw(d.t, "length"))},
+		Write: rapid.Bool().Draw(d.t, "write"), Class: rapid.IntRange(0, 9).Draw(d.t, "class") / 9,
+		Plan: rapid.IntRange(0, 9).Draw(d.t, "plan") / 9, Units: rapid.IntRange(1, 9).Draw(d.t, "units"),
+		ReceivedAt: d.now, RetrySafe: rapid.Bool().Draw(d.t, "harmless")}
+	a := &expectedRequest{
+		Request:    q,
+		pieces:     map[uint32]Piece{},
+		queued:     map[uint32]bool{},
+		mayHaveRun: map[uint32]bool{},
+	}
+	d.requests[q.ID] = a
+	cut, err := d.planner.Add(q, func() uint32 { d.lastID++; return d.lastID })
 	if err != nil {
-		m.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	a.write = bytes.Repeat([]byte{byte(q.ID)}, int(q.Range.Length))
+	a.written = bytes.Repeat([]byte{byte(q.ID)}, int(q.Range.Length))
 	for _, c := range cut {
-		a.pieces[c.ID], a.held[c.ID] = c, true
-		m.of[c.ID] = a
+		a.pieces[c.ID], a.queued[c.ID] = c, true
+		d.requestOf[c.ID] = a
 	}
 }
 
-// send lets a random held piece leave, with whatever the planner offers and chance accepts.
-func (m *machine) send(t *rapid.T) {
+// send sends a random queued piece, with whatever the planner proposes and chance accepts.
+func (d *plannerDriver) send(t *rapid.T) {
 	var held []uint32
-	for id, a := range m.of {
-		if a.held[id] && !a.ended {
+	for id, a := range d.requestOf {
+		if a.queued[id] && !a.answered {
 			held = append(held, id)
 		}
 	}
@@ -79,15 +86,15 @@
 		return
 	}
 	slices.Sort(held)
-	lead := held[rapid.IntRange(0, len(held)-1).Draw(m.t, "lead")]
-	ids := []uint32{lead}
+	leader := held[rapid.IntRange(0, len(held)-1).Draw(d.t, "leader")]
+	ids := []uint32{leader}
 	last := 0.0
-	m.p.Propose(lead, func(id uint32, units float64) bool {
-		a := m.of[id]
-		if a == nil || !a.held[id] || a.ended || slices.Contains(ids, id) {
-			t.Fatalf("offered piece %d, which is not held", id)
+	d.planner.Propose(leader, func(id uint32, units float64) bool {
+		a := d.requestOf[id]
+		if a == nil || !a.queued[id] || a.answered || slices.Contains(ids, id) {
+			t.Fatalf("piece %d was proposed, which is not queued", id)
 		}
-		if rapid.IntRange(0, 3).Draw(m.t, "refuse") == 0 {
+		if rapid.IntRange(0, 3).Draw(d.t, "refuse") == 0 {
 			return false
 		}
 		if units < last {
@@ -98,32 +105,35 @@
 		return true
 	})
 	for _, id := range ids {
-		m.p.AttemptSent(id)
-		m.of[id].held[id] = false
+		d.planner.AttemptSent(id)
+		d.requestOf[id].queued[id] = false
 	}
-	if op := m.leave(ids); len(ids) > 1 && float64(op.Units) != last {
-		t.Fatalf("%d units left, %v were offered", op.Units, last)
+	if op := d.seal(ids); len(ids) > 1 && float64(op.Units) != last {
+		t.Fatalf("%d units were sent, %v were proposed", op.Units, last)
 	}
 }
 
-// leave checks an operation as it leaves and lets the disk carry it out.
-func (m *machine) leave(ids []uint32) Operation {
-	op := m.p.SealOperation(ids)
-	if op.Range.Length > m.set.MaxOperation || len(ids) > m.set.MaxMembers || len(op.Members) != len(ids) ||
-		op.Range.Offset/m.set.ExtentSize != op.Extent || (op.Range.End()-1)/m.set.ExtentSize != op.Extent {
-		m.t.Fatalf("operation out of bounds: %+v", op)
+// seal checks an operation as it is sent.
+func (d *plannerDriver) seal(ids []uint32) Operation {
+	op := d.planner.SealOperation(ids)
+	if op.Range.Length > d.settings.MaxOperation || len(ids) > d.settings.MaxMembers ||
+		len(op.Members) != len(ids) ||
+		op.Range.Offset/d.settings.ExtentSize != op.Extent ||
+		(op.Range.End()-1)/d.settings.ExtentSize != op.Extent {
+		d.t.Fatalf("operation out of bounds: %+v", op)
 	}
 	covered := make([]int, op.Range.Length)
 	sum := 0
 	for _, x := range op.Members {
-		a := m.of[x.ID]
-		first := m.of[ids[0]]
+		a := d.requestOf[x.ID]
+		first := d.requestOf[ids[0]]
 		if a.DataVolume != op.DataVolume || a.Write != op.Write || a.Class != first.Class ||
 			a.Write && a.Plan != first.Plan {
-			m.t.Fatalf("members of two kinds: %+v", op)
+			d.t.Fatalf("members of different kinds: %+v", op)
 		}
-		if d := a.ReceivedAt - first.ReceivedAt; m.set.Window > 0 && max(d, -d) > m.set.Window {
-			m.t.Fatal("members taken too far apart")
+		if apart := a.ReceivedAt - first.ReceivedAt; d.settings.Window > 0 &&
+			max(apart, -apart) > d.settings.Window {
+			d.t.Fatal("members arrived too far apart")
 		}
 		at := op.Slice(x)
 		for i := at.Offset; i < at.End(); i++ {
@@ -133,39 +143,39 @@
 	}
 	for _, n := range covered {
 		if n == 0 || op.Write && n > 1 {
-			m.t.Fatalf("a byte of the operation belongs to %d members: %+v", n, op)
+			d.t.Fatalf("a byte of the operation belongs to %d members: %+v", n, op)
 		}
 	}
 	if op.Units < 1 || op.Units > sum {
-		m.t.Fatalf("%d units of %d", op.Units, sum)
+		d.t.Fatalf("%d units of %d", op.Units, sum)
 	}
-	m.out = append(m.out, ids)
-	m.ops[ids[0]] = op
+	d.inFlight = append(d.inFlight, ids)
+	d.operations[ids[0]] = op
 	if len(ids) > 1 {
-		m.merged++
+		d.merged++
 	}
 	return op
 }
 
-// end ends a random operation: served, with a bad range, lost, or turned away unseen.
-func (m *machine) end(t *rapid.T) {
-	if len(m.out) == 0 {
+// end ends a random operation: served, with an unreadable range, lost, or rejected before it ran.
+func (d *plannerDriver) end(t *rapid.T) {
+	if len(d.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.out)-1).Draw(m.t, "which")
-	ids := m.out[i]
-	m.out = slices.Delete(m.out, i, i+1)
-	op := m.ops[ids[0]]
-	how := rapid.IntRange(0, 3).Draw(m.t, "how")
+	i := rapid.IntRange(0, len(d.inFlight)-1).Draw(d.t, "which")
+	ids := d.inFlight[i]
+	d.inFlight = slices.Delete(d.inFlight, i, i+1)
+	op := d.operations[ids[0]]
+	how := rapid.IntRange(0, 3).Draw(d.t, "how")
 	var parts []Part
 	if how <= 1 {
 		var bad []Range
 		if how == 1 {
-			bad = append(bad, Range{rapid.Uint64Range(0, op.Range.Length-1).Draw(m.t, "bad"), 1})
+			bad = append(bad, Range{rapid.Uint64Range(0, op.Range.Length-1).Draw(d.t, "bad"), 1})
 		}
 		var data []byte
 		if !op.Write {
-			data = slices.Clone(m.fill(op.DataVolume)[op.Range.Offset:op.Range.End()])
+			data = slices.Clone(d.disk(op.DataVolume)[op.Range.Offset:op.Range.End()])
 		}
 		parts = op.Distribute(bad, data)
 		failed := false // of writes, those after the first that fails
@@ -176,109 +186,109 @@
 			if parts[n].OK == hit {
 				t.Fatalf("bad byte %v: member %+v got %v", bad, at, parts[n].OK)
 			}
-			if a := m.of[x.ID]; op.Write && parts[n].OK {
-				copy(m.fill(op.DataVolume)[x.Range.Offset:x.Range.End()], a.write)
+			if a := d.requestOf[x.ID]; op.Write && parts[n].OK {
+				copy(d.disk(op.DataVolume)[x.Range.Offset:x.Range.End()], a.written)
 			}
 		}
 	}
 	for n, id := range ids {
 		ran := how <= 2
-		m.p.AttemptEnded(id, ran)
-		a := m.of[id]
+		d.planner.AttemptEnded(id, ran)
+		a := d.requestOf[id]
 		if ran {
-			a.ran[id] = true
+			a.mayHaveRun[id] = true
 		}
 		switch {
 		case parts != nil && parts[n].OK:
-			m.over(id, Served, parts[n].Data)
-		case rapid.Bool().Draw(m.t, "again") && !a.ended:
-			m.p.AttemptSent(id) // repeated alone
-			m.leave([]uint32{id})
-		case a.ran[id] && !a.RetrySafe:
-			m.over(id, Failed, nil)
+			d.resolve(id, Served, parts[n].Data)
+		case rapid.Bool().Draw(d.t, "again") && !a.answered:
+			d.planner.AttemptSent(id) // repeated alone
+			d.seal([]uint32{id})
+		case a.mayHaveRun[id] && !a.RetrySafe:
+			d.resolve(id, Failed, nil)
 		default:
-			m.over(id, Rejected, nil)
+			d.resolve(id, Rejected, nil)
 		}
 	}
-	m.forget()
+	d.forgetAnswered()
 }
 
-// giveUp lets the module refuse a held piece.
-func (m *machine) giveUp(*rapid.T) {
-	for id := uint32(1); id <= m.id; id++ {
-		if a := m.of[id]; a != nil && a.held[id] && !a.ended {
-			a.held[id] = false
-			m.over(id, Rejected, nil)
-			m.forget()
+// reject lets the scheduler reject a queued piece.
+func (d *plannerDriver) reject(*rapid.T) {
+	for id := uint32(1); id <= d.lastID; id++ {
+		if a := d.requestOf[id]; a != nil && a.queued[id] && !a.answered {
+			a.queued[id] = false
+			d.resolve(id, Rejected, nil)
+			d.forgetAnswered()
 			return
 		}
 	}
 }
 
-// drop lets a random client go, whatever state its request is in.
-func (m *machine) drop(t *rapid.T) {
-	if len(m.asked) == 0 {
+// abandon lets a random client go, whatever state its request is in.
+func (d *plannerDriver) abandon(t *rapid.T) {
+	if len(d.requests) == 0 {
 		return
 	}
-	id := rapid.Uint64Range(1, uint64(len(m.asked))).Draw(m.t, "client")
-	a, withdrawn := m.p.Abandon(id)
-	if (a == nil) != m.asked[id].ended {
-		t.Fatalf("request %d: dropped %v, ended %v", id, a, m.asked[id].ended)
+	id := rapid.Uint64Range(1, uint64(len(d.requests))).Draw(d.t, "client")
+	a, withdrawn := d.planner.Abandon(id)
+	if (a == nil) != d.requests[id].answered {
+		t.Fatalf("request %d: abandoned %v, answered %v", id, a, d.requests[id].answered)
 	}
-	m.withdraw(m.asked[id], withdrawn)
-	m.asked[id].ended = true
-	m.forget()
+	d.checkWithdrawn(d.requests[id], withdrawn)
+	d.requests[id].answered = true
+	d.forgetAnswered()
 }
 
-func (m *machine) withdraw(a *plain, ids []uint32) {
+func (d *plannerDriver) checkWithdrawn(a *expectedRequest, ids []uint32) {
 	for _, id := range ids {
-		if m.of[id] != a {
-			m.t.Fatalf("piece %d of another request is withdrawn", id)
+		if d.requestOf[id] != a {
+			d.t.Fatalf("piece %d of another request is withdrawn", id)
 		}
-		a.held[id] = false
+		a.queued[id] = false
 	}
 }
 
-// over hands in a piece's end and checks the answer against the plain model.
-func (m *machine) over(id uint32, v Outcome, data []byte) {
-	a := m.of[id]
-	got, withdrawn := m.p.Resolve(id, v, data)
-	m.withdraw(a, withdrawn)
+// resolve resolves a piece and checks the answer against the model.
+func (d *plannerDriver) resolve(id uint32, v Outcome, data []byte) {
+	a := d.requestOf[id]
+	got, withdrawn := d.planner.Resolve(id, v, data)
+	d.checkWithdrawn(a, withdrawn)
 	if got == nil {
-		if v != Served && !a.ended {
-			m.t.Fatalf("request %d has no answer after a piece's failure", a.ID)
+		if v != Served && !a.answered {
+			d.t.Fatalf("request %d has no answer after a piece's failure", a.ID)
 		}
 		return
 	}
-	if got.Request != a.ID || a.ended {
-		m.t.Fatalf("answer %+v for request %d, ended before: %v", got, a.ID, a.ended)
+	if got.Request != a.ID || a.answered {
+		d.t.Fatalf("answer %+v for request %d, answered before: %v", got, a.ID, a.answered)
 	}
-	a.ended = true
-	ran := len(a.ran) > 0
+	a.answered = true
+	ran := len(a.mayHaveRun) > 0
 	for p := range a.pieces {
-		ran = ran || slices.ContainsFunc(m.out, func(op []uint32) bool { return slices.Contains(op, p) })
+		ran = ran || slices.ContainsFunc(d.inFlight, func(op []uint32) bool { return slices.Contains(op, p) })
 	}
 	switch got.Outcome {
 	case Served:
 		if v != Served || got.Done+got.Uncertain+got.Unsent != 0 {
-			m.t.Fatalf("served after %v: %+v", v, got)
+			d.t.Fatalf("served after %v: %+v", v, got)
 		}
 		if have := bytes.Join(got.Data, nil); !a.Write && uint64(len(have)) != a.Range.Length {
-			m.t.Fatalf("%d bytes of %d", len(have), a.Range.Length)
+			d.t.Fatalf("%d bytes of %d", len(have), a.Range.Length)
 		}
 		for i, b := range bytes.Join(got.Data, nil) {
 			at := a.Range.Offset + uint64(i)
-			if old := byte(at*7 + a.DataVolume); b != old && !m.written(a.DataVolume, at, b) {
-				m.t.Fatalf("request %d: byte %d is %d, which was never there", a.ID, at, b)
+			if old := byte(at*7 + a.DataVolume); b != old && !d.couldBeWritten(a.DataVolume, at, b) {
+				d.t.Fatalf("request %d: byte %d is %d, which was never there", a.ID, at, b)
 			}
 		}
 	case Rejected:
 		if ran && !a.RetrySafe {
-			m.t.Fatalf("request %d is refused though a piece may have run", a.ID)
+			d.t.Fatalf("request %d is rejected though a piece may have run", a.ID)
 		}
 	}
 	if got.Outcome != Served && got.Done+got.Uncertain+got.Unsent != len(a.pieces) {
-		m.t.Fatalf(
+		d.t.Fatalf(
 			"%+v counts %d pieces, there are %d",
 			got,
 			got.Done+got.Uncertain+got.Unsent,
@@ -287,41 +297,41 @@
 	}
 }
 
-func (m *machine) written(volume, at uint64, b byte) bool {
-	w := m.asked[uint64(b)]
+func (d *plannerDriver) couldBeWritten(volume, at uint64, b byte) bool {
+	w := d.requests[uint64(b)]
 	return w != nil && w.Write && w.DataVolume == volume && at >= w.Range.Offset && at < w.Range.End()
 }
 
-// forget lets the planner forget what is over, as the driver does.
-func (m *machine) forget() {
-	for id, a := range m.of {
-		out := slices.ContainsFunc(m.out, func(op []uint32) bool { return slices.Contains(op, id) })
-		if a.ended && !out {
-			m.p.Forget(id)
-			delete(m.of, id)
+// forgetAnswered lets the planner forget what is answered and not in flight, as the daemon does.
+func (d *plannerDriver) forgetAnswered() {
+	for id, a := range d.requestOf {
+		out := slices.ContainsFunc(d.inFlight, func(op []uint32) bool { return slices.Contains(op, id) })
+		if a.answered && !out {
+			d.planner.Forget(id)
+			delete(d.requestOf, id)
 		}
 	}
 }
 
-// Whatever comes in whatever order: each request gets one answer, with the bytes that a scheduler that never
-// merges or splits would give it; a refusal means that nothing ran; operations keep their bounds; and in the
-// end nothing is left behind.
-func TestPlannerAgainstAPlainModel(t *testing.T) {
+// In any order of events: each request gets one answer, with the bytes that a planner which never merges or
+// splits would give it; a rejection means that nothing ran; operations keep their bounds; in the end nothing
+// is left.
+func TestPlanner_MatchesAModelWithoutMerging(t *testing.T) {
 	merged := 0
-	rapid.Check(t, playMachine(&merged))
+	rapid.Check(t, playRandomCase(&merged))
 	if merged < 10 {
-		t.Errorf("only %d operations of several in all cases: they prove little", merged)
+		t.Errorf("only %d merged operations in all cases: too few to prove anything", merged)
 	}
 }
 
-// FuzzPlanner plays the same machine on what the fuzzer finds.
+// FuzzPlanner runs the same driver on what the fuzzer finds.
 func FuzzPlanner(f *testing.F) {
 	merged := 0
-	f.Fuzz(rapid.MakeFuzz(playMachine(&merged)))
+	f.Fuzz(rapid.MakeFuzz(playRandomCase(&merged)))
 }
 
-// playMachine plays one random case and adds up what was merged.
-func playMachine(merged *int) func(*rapid.T) {
+// playRandomCase plays one random case and adds up what was merged.
+func playRandomCase(merged *int) func(*rapid.T) {
 	return func(t *rapid.T) {
 		set := drawSettings(t)
 		set.ExtentSize = rapid.SampledFrom([]uint64{64, 32, 16}).Draw(t, "extents")
@@ -329,38 +339,46 @@
 			Draw(t, "operation")
 		set.Window = rapid.SampledFrom([]time.Duration{0, 20, 5}).Draw(t, "window")
 		set.MaxMembers = rapid.SampledFrom([]int{4, 8, 2, 1}).Draw(t, "most members")
-		m := &machine{t: t, p: New(set), set: set, asked: map[uint64]*plain{}, of: map[uint32]*plain{},
-			disk: map[uint64][]byte{}, ops: map[uint32]Operation{}}
+		m := &plannerDriver{
+			t:          t,
+			planner:    New(set),
+			settings:   set,
+			requests:   map[uint64]*expectedRequest{},
+			requestOf:  map[uint32]*expectedRequest{},
+			disks:      map[uint64][]byte{},
+			operations: map[uint32]Operation{},
+		}
 		for range rapid.SampledFrom([]int{20, 60, 150}).Draw(t, "steps") {
 			switch x := rapid.IntRange(0, 19).Draw(t, "what"); {
 			case x < 10:
-				m.take(t)
+				m.add(t)
 			case x < 14:
 				m.send(t)
 			case x < 18:
 				m.end(t)
 			case x == 18:
-				m.giveUp(t)
+				m.reject(t)
 			default:
-				m.drop(t)
+				m.abandon(t)
 			}
 			m.now++
 		}
-		for id := range m.asked {
-			m.p.Abandon(id)
-			m.asked[id].ended = true
+		for id := range m.requests {
+			m.planner.Abandon(id)
+			m.requests[id].answered = true
 		}
-		m.out = nil
-		m.forget()
-		if requests, pieces := m.p.Counts(); requests != 0 || pieces != 0 || m.p.held.Len() != 0 {
-			t.Fatalf("left behind: %d requests, %d pieces, %d held", requests, pieces, m.p.held.Len())
+		m.inFlight = nil
+		m.forgetAnswered()
+		if requests, pieces := m.planner.Counts(); requests != 0 || pieces != 0 ||
+			m.planner.queued.Len() != 0 {
+			t.Fatalf("left: %d requests, %d pieces, %d queued", requests, pieces, m.planner.queued.Len())
 		}
 		*merged += m.merged
 	}
 }
 
-// fresh is a planner of 1,000-byte extents that holds reads of the given ranges, with IDs from 1 on.
-func fresh(t *testing.T, s Settings, write bool, ranges ...Range) *Planner {
+// plannerWith is a planner that holds requests for the given ranges, with IDs from 1 on.
+func plannerWith(t *testing.T, s Settings, write bool, ranges ...Range) *Planner {
 	t.Helper()
 	p, id := New(s), uint32(0)
 	for i, r := range ranges {
@@ -372,9 +390,9 @@
 	return p
 }
 
-// beside lists what is offered beside a lead, all of it accepted, and the units with the last.
-func beside(p *Planner, lead uint32) (ids []uint32, units float64) {
-	p.Propose(lead, func(id uint32, u float64) bool {
+// joinedBy lists what is proposed to join a leader, all of it accepted, and the units with the last.
+func joinedBy(p *Planner, leader uint32) (ids []uint32, units float64) {
+	p.Propose(leader, func(id uint32, u float64) bool {
 		ids, units = append(ids, id), u
 		return true
 	})
@@ -382,13 +400,19 @@
 	return ids, units
 }
 
-var wide = Settings{ExtentSize: 1000, MaxOperation: 1000, MaxMembers: MaxMembers, MaxPieces: 8, Cells: 2}
+var wideSettings = Settings{
+	ExtentSize:   1000,
+	MaxOperation: 1000,
+	MaxMembers:   MaxMembers,
+	MaxPieces:    8,
+	Cells:        2,
+}
 
-func TestWhatLeavesTogether(t *testing.T) {
+func TestPropose_JoinsNeighboursOnly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		write  bool
-		lead   uint32
+		leader uint32
 		ranges []Range
 		want   string
 	}{
@@ -400,16 +424,16 @@
 		{"writes that overlap", true, 1, []Range{{0, 10}, {5, 10}, {10, 5}}, "[3] 2"},
 		{"a long one before", false, 2, []Range{{0, 500}, {400, 10}}, "[1] 2"},
 	} {
-		ids, units := beside(fresh(t, wide, c.write, c.ranges...), c.lead)
+		ids, units := joinedBy(plannerWith(t, wideSettings, c.write, c.ranges...), c.leader)
 		if got := fmt.Sprint(ids, " ", units); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
-// Members were taken within the window, whatever else fits.
-func TestTheWindow(t *testing.T) {
-	s := wide
+// Members arrived within the window, whatever else fits.
+func TestPropose_KeepsTheWindow(t *testing.T) {
+	s := wideSettings
 	s.Window = 5
 	p, id := New(s), uint32(0)
 	for i, at := range []time.Duration{0, 4, 5, 6, 11} {
@@ -418,22 +442,22 @@
 			t.Fatal(err)
 		}
 	}
-	if ids, _ := beside(p, 1); fmt.Sprint(ids) != "[2 3]" {
-		t.Errorf("beside the first %v, want the second and third", ids)
+	if ids, _ := joinedBy(p, 1); fmt.Sprint(ids) != "[2 3]" {
+		t.Errorf("joined to the first %v, want the second and third", ids)
 	}
 }
 
 // A thousand members that want the same 4 KiB become as few operations as the bound on members allows, each
 // of the work of one.
-func TestAThousandOfTheSame(t *testing.T) {
+func TestPropose_MergesAThousandIdenticalReads(t *testing.T) {
 	s := Settings{ExtentSize: 4096, MaxOperation: 4096, MaxMembers: MaxMembers, MaxPieces: 1, Cells: 1}
-	p := fresh(t, s, false, slices.Repeat([]Range{{0, 4096}}, 1000)...)
+	p := plannerWith(t, s, false, slices.Repeat([]Range{{0, 4096}}, 1000)...)
 	ops := 0
 	for id := uint32(1); id <= 1000; id++ {
-		if !p.pieces[id].held {
+		if !p.pieces[id].queued {
 			continue
 		}
-		ids, units := beside(p, id)
+		ids, units := joinedBy(p, id)
 		ops++
 		op := p.SealOperation(append([]uint32{id}, ids...))
 		if len(op.Members) > MaxMembers || units > 1 || op.Units != 1 || op.Range != (Range{0, 4096}) {
@@ -445,13 +469,13 @@
 	}
 }
 
-// A split write whose second piece is refused while its first has run is failed, and what is known is told;
-// had nothing run, it would be a refusal.
-func TestASplitWritesRefusal(t *testing.T) {
+// A split write whose second piece is rejected while its first has run has failed, and the answer tells what
+// is known; had nothing run, it would be a rejection.
+func TestResolve_FailsASplitWriteThatHasRun(t *testing.T) {
 	for ran, want := range map[bool]Answer{true: {Request: 1, Outcome: Failed, Done: 1, Uncertain: 1,
 		Unsent: 2},
 		false: {Request: 1, Outcome: Rejected, Unsent: 4}} {
-		p := fresh(t, wide, true, Range{500, 3000})
+		p := plannerWith(t, wideSettings, true, Range{500, 3000})
 		if ran {
 			p.AttemptSent(1)
 			p.AttemptEnded(1, true)
@@ -468,9 +492,9 @@
 	}
 }
 
-func TestDealIsLocal(t *testing.T) {
-	p := fresh(t, wide, false, Range{0, 10}, Range{10, 10}, Range{5, 10})
-	ids, _ := beside(p, 1)
+func TestDistribute_FailsOnlyMembersThatNeedUnreadableBytes(t *testing.T) {
+	p := plannerWith(t, wideSettings, false, Range{0, 10}, Range{10, 10}, Range{5, 10})
+	ids, _ := joinedBy(p, 1)
 	op := p.SealOperation(append([]uint32{1}, ids...))
 	data := []byte("abcdefghijklmnopqrst")
 	for _, c := range []struct {
@@ -501,16 +525,16 @@
 }
 
 // Of writes that share an operation, those after the first that fails have failed too.
-func TestAFailedWriteFailsThoseAfterIt(t *testing.T) {
-	p := fresh(t, wide, true, Range{0, 10}, Range{10, 10}, Range{20, 10})
-	ids, _ := beside(p, 1)
+func TestDistribute_FailsWritesAfterAFailedOne(t *testing.T) {
+	p := plannerWith(t, wideSettings, true, Range{0, 10}, Range{10, 10}, Range{20, 10})
+	ids, _ := joinedBy(p, 1)
 	op := p.SealOperation(append([]uint32{1}, ids...))
 	if got := fmt.Sprint(op.Distribute([]Range{{12, 1}}, nil)); got != "[{true []} {false []} {false []}]" {
 		t.Errorf("got %s", got)
 	}
 }
 
-// What the planner costs to hold, offer, send and end one read, by how many are held.
+// The cost of adding, proposing, sending and ending one read, by how many are queued.
 func BenchmarkPlanner(b *testing.B) {
 	for _, held := range []int{10, 100, 1000, 10_000, 100_000} {
 		for _, adjacent := range []bool{true, false} {
@@ -543,14 +567,14 @@
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
-				lead := uint32(0)
+				leader := uint32(0)
 				for done := 0; done < b.N; {
-					lead++
-					if x := p.pieces[lead]; x == nil || !x.held {
+					leader++
+					if x := p.pieces[leader]; x == nil || !x.queued {
 						continue
 					}
-					ids := []uint32{lead}
-					p.Propose(lead, func(id uint32, _ float64) bool { ids = append(ids, id); return true })
+					ids := []uint32{leader}
+					p.Propose(leader, func(id uint32, _ float64) bool { ids = append(ids, id); return true })
 					for _, id := range ids {
 						p.AttemptSent(id)
 					}
--- a/extent/extent_test.go
+++ b/extent/split_test.go
@@ -16,7 +16,7 @@
 
 // The pieces of any request cover its range once, each within one extent and one operation, and their units
 // add up.
-func TestSplitCoversARequestOnce(t *testing.T) {
+func TestSplit_CoversARequestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSettings(t)
 		q := Request{ID: 7, Units: rapid.IntRange(1, 50).Draw(t, "units"), Range: Range{
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestSplitRefusesWhatItCannotCut(t *testing.T) {
+func TestSplit_RejectsInvalidRequests(t *testing.T) {
 	s := Settings{ExtentSize: 10, MaxOperation: 10, MaxMembers: 1, MaxPieces: 3, Cells: 1}
 	for _, c := range []struct {
 		r     Range
