--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// hall is a fleet of two zones with two nodes each, of 100 units a second, and a standby for cell 0.
-func hall() *Fleet {
+// twoZones is a fleet of two zones with two nodes each, of 100 units a second, and a standby for cell 0.
+func twoZones() *Fleet {
 	return &Fleet{Instances: 4, ColdUnits: 60, MeanUnits: 2,
 		Plans: []Plan{{Name: "standard", Reserve: 10, Weight: 1, Limit: 50},
 			{Name: "operational", Reserve: 60, Weight: 3}},
@@ -21,31 +21,33 @@
 				Cells: []int{1, 3}}}}
 }
 
-// Each claim is judged by its worst case, which is named.
-func TestStaticChecks(t *testing.T) {
-	gone := func(n int, k Kind, name string) *Missing { return &Missing{n, Selector{k, name}} }
+// Each expectation is judged by its worst case, which is named.
+func TestCheck_JudgesByTheWorstCase(t *testing.T) {
+	missing := func(n int, k Kind, name string) *Missing { return &Missing{n, Selector{k, name}} }
 	for _, c := range []struct {
 		e    Expectation
 		want string
 	}{
 		{Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Bound: 1}, "holds 1.00  of 1"},
-		{Expectation{Measure: Reach, Of: Selector{Volumes, "charts"}, Bound: 1, Missing: gone(1, Nodes, "*")},
+		{Expectation{Measure: Reach, Of: Selector{Volumes, "charts"}, Bound: 1, Missing: missing(1, Nodes,
+			"*")},
 			"holds 1.00 node a-1 of 5"},
-		{Expectation{Measure: Reach, Of: Selector{Volumes, "charts"}, Bound: 1, Missing: gone(2, Nodes, "*")},
+		{Expectation{Measure: Reach, Of: Selector{Volumes, "charts"}, Bound: 1, Missing: missing(2, Nodes,
+			"*")},
 			"broken 0.00 node a-1 and node b-spare of 10"},
-		{Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Bound: 1, Missing: gone(1, Nodes, "*")},
+		{Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Bound: 1, Missing: missing(1, Nodes, "*")},
 			"broken 0.50 node a-2 of 5"},
 		{Expectation{Measure: Reach, Of: Selector{Plans, "operational"}, Bound: 0.5,
-			Missing: gone(1, Zones, "*")}, "holds 0.50 zone b of 2"},
+			Missing: missing(1, Zones, "*")}, "holds 0.50 zone b of 2"},
 		// cell 0: charts 10, model 15; cells 1 and 3: 5 and 15; cell 2: 15
 		{Expectation{Measure: Reserve, Of: Selector{Nodes, "*"}, AtMost: true, Bound: 0.25},
 			"holds 0.25  of 1"},
 		{Expectation{Measure: Reserve, Of: Selector{Nodes, "*"}, AtMost: true, Bound: 0.24},
 			"broken 0.25  of 1"},
 		{Expectation{Measure: Reserve, Of: Selector{Zones, "b"}, AtMost: true, Bound: 0.2,
-			Missing: gone(1, Nodes, "a-*")}, "holds 0.20 node a-1 of 2"},
+			Missing: missing(1, Nodes, "a-*")}, "holds 0.20 node a-1 of 2"},
 		{Expectation{Measure: Reserve, Of: Selector{Zones, "b"}, AtMost: true, Bound: 0.19,
-			Missing: gone(1, Zones, "a")}, "broken 0.20 zone a of 1"},
+			Missing: missing(1, Zones, "a")}, "broken 0.20 zone a of 1"},
 		{Expectation{Measure: Share, Of: Selector{Volumes, "charts"}, Bound: 0.25}, "holds 0.25  of 1"},
 		{Expectation{Measure: Share, Of: Selector{Volumes, "model"}, AtMost: true, Bound: 0.75},
 			"broken 1.00  of 1"},
@@ -58,20 +60,20 @@
 		{Expectation{Measure: Limit, Of: Selector{Volumes, "model"}, AtMost: true, Bound: 1},
 			"undecided 0.00  of 1"},
 	} {
-		f := New(hall()).Check([]Expectation{c.e})[0]
-		if got := fmt.Sprintf("%s %.2f %s of %d", f.Verdict, f.Value, f.MissingNodes,
-			f.CasesChecked); got != c.want {
+		finding := New(twoZones()).Check([]Expectation{c.e})[0]
+		if got := fmt.Sprintf("%s %.2f %s of %d", finding.Verdict, finding.Value, finding.MissingNodes,
+			finding.CasesChecked); got != c.want {
 			t.Errorf("%s %v: %s; want %s", c.e.Measure, c.e.Of, got, c.want)
 		}
-		if (f.Verdict == Undecided) != (f.Reason != "") {
-			t.Errorf("%s: undecided without a reason, or the other way: %+v", c.e.Measure, f)
+		if (finding.Verdict == Undecided) != (finding.Reason != "") {
+			t.Errorf("%s: undecided without a reason, or the other way: %+v", c.e.Measure, finding)
 		}
 	}
 }
 
-// A weight change keeps the shares but a reserve breaks once a node is gone: only the case tells.
-func TestAReserveThatBreaksWithANodeGone(t *testing.T) {
-	f := hall()
+// A reserve that holds with everything up breaks once a node is missing.
+func TestCheck_FindsAReserveThatBreaksWithANodeMissing(t *testing.T) {
+	f := twoZones()
 	e := Expectation{Measure: Reserve, Of: Selector{Nodes, "b-spare"}, AtMost: true, Bound: 0.2,
 		Missing: &Missing{1, Selector{Nodes, "*"}}}
 	if got := New(f).Check([]Expectation{e})[0]; got.Verdict != Broken || got.MissingNodes != "node a-1" {
@@ -83,8 +85,8 @@
 	}
 }
 
-// Too many cases are not looked at, and that is said.
-func TestTooManyCases(t *testing.T) {
+// Too many cases are not checked, and the finding says so.
+func TestCheck_LeavesTooManyCasesUndecided(t *testing.T) {
 	f := &Fleet{Plans: []Plan{{Name: "p", Weight: 1}}, Volumes: []Volume{{Name: "v"}}}
 	for i := range 200 {
 		f.Nodes = append(f.Nodes, Node{Name: fmt.Sprintf("n-%d", i), Cell: i, Capacity: 1})
@@ -96,7 +98,7 @@
 	}
 }
 
-func TestContradictions(t *testing.T) {
+func TestContradictions_FindsPairsThatCannotBothHold(t *testing.T) {
 	a := Expectation{Name: "a", Measure: Share, Of: Selector{Volumes, "x"}, Bound: 0.5}
 	b := Expectation{Name: "b", Measure: Share, Of: Selector{Volumes, "x"}, AtMost: true, Bound: 0.4}
 	c := b
@@ -111,9 +113,9 @@
 	}
 }
 
-// More that is gone is never better for what must be reached; shares at a node add up to one; and choices are
-// as many as they should be.
-func TestProperties(t *testing.T) {
+// More missing nodes never reach more; shares at a node add up to one; and there are as many cases as
+// combinations.
+func TestModel_Properties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &Fleet{Instances: 3, Plans: []Plan{{Name: "p", Weight: 1, Reserve: 1}, {Name: "q", Weight: 3}}}
 		for i := range rapid.IntRange(2, 6).Draw(t, "nodes") {
@@ -136,7 +138,7 @@
 				Missing: &Missing{n, Selector{Nodes, "*"}},
 			}
 			got := New(f).Check([]Expectation{e})[0]
-			if got.Value > last || float64(got.CasesChecked) != choose(len(f.Nodes), n) {
+			if got.Value > last || float64(got.CasesChecked) != combinations(len(f.Nodes), n) {
 				t.Fatalf("%d gone: %v after %v, %d cases", n, got.Value, last, got.CasesChecked)
 			}
 			last = got.Value
--- a/expect/forms_test.go
+++ b/expect/forms_test.go
@@ -7,7 +7,7 @@
 )
 
 // Findings are printed as JSON for other programs: their keys and words stay.
-func TestFindingsAsJSON(t *testing.T) {
+func TestFinding_KeepsItsJSONForm(t *testing.T) {
 	const path = "testdata/findings.json"
 	got, err := json.Marshal([]Finding{
 		{
--- /dev/null
+++ b/expect/measure.go
@@ -0,0 +1,120 @@
+package expect
+
+import "math"
+
+// reportFunc takes the value of a measure for one thing.
+type reportFunc func(kind Kind, name string, value float64)
+
+// measure reports the value of an expectation's measure for each thing that it is about, while some nodes are
+// down.
+func (m *Model) measure(e Expectation, down []bool, report reportFunc) {
+	switch e.Measure {
+	case Reach:
+		m.measureReach(e, down, report)
+	case Reserve:
+		m.measureReserve(e.Of, down, report)
+	case Share:
+		m.measureShare(e, down, report)
+	case Limit:
+		m.measureLimit(e, report)
+	case Cold:
+		m.measureCold(e, down, report)
+	}
+}
+
+// measureReach reports the fraction of each volume's cells that a node holds.
+func (m *Model) measureReach(e Expectation, down []bool, report reportFunc) {
+	held := map[int]bool{}
+	for _, cell := range m.cells {
+		held[cell] = m.isHeld(cell, down)
+	}
+	for _, i := range m.selectVolumes(e.Of) {
+		cells, reached := m.cellsOf(&m.Volumes[i]), 0
+		for _, cell := range cells {
+			if held[cell] {
+				reached++
+			}
+		}
+		report(Volumes, m.Volumes[i].Name, ratio(float64(reached), float64(len(cells))))
+	}
+}
+
+// measureReserve reports the reserves that lie on each node, or in each zone, that is up, of its capacity.
+func (m *Model) measureReserve(of Selector, down []bool, report reportFunc) {
+	reserved := make([]float64, len(m.Nodes))
+	for _, cell := range m.cells {
+		if node := m.holder(cell, down); node >= 0 {
+			reserved[node] += m.reserve[cell]
+		}
+	}
+	if of.Kind == Nodes {
+		for _, node := range m.selectNodes(of) {
+			if !down[node] {
+				report(Nodes, m.Nodes[node].Name, ratio(reserved[node], m.Nodes[node].Capacity))
+			}
+		}
+		return
+	}
+	for _, zone := range m.selectZones(of) {
+		sum, capacity := 0.0, 0.0
+		for _, node := range m.nodesByZone[zone] {
+			if !down[node] {
+				sum, capacity = sum+reserved[node], capacity+m.Nodes[node].Capacity
+			}
+		}
+		if capacity > 0 {
+			report(Zones, zone, ratio(sum, capacity))
+		}
+	}
+}
+
+// measureShare reports each volume's worst share of a node that holds some of it; 0 if no node does.
+func (m *Model) measureShare(e Expectation, down []bool, report reportFunc) {
+	for _, i := range m.selectVolumes(e.Of) {
+		volume := &m.Volumes[i]
+		worst, found := 0.0, false
+		for _, cell := range m.cellsOf(volume) {
+			if !m.isHeld(cell, down) {
+				continue
+			}
+			share := ratio(m.Plans[volume.Plan].Weight, m.weight[cell])
+			if !found || e.worse(share, worst) {
+				worst, found = share, true
+			}
+		}
+		report(Volumes, volume.Name, worst)
+	}
+}
+
+// measureLimit reports what instances grant each volume together, of its plan's limit: each grants an even
+// share by the instances that the volume's requests tell of.
+func (m *Model) measureLimit(e Expectation, report reportFunc) {
+	for _, i := range m.selectVolumes(e.Of) {
+		volume := &m.Volumes[i]
+		if m.Plans[volume.Plan].Limit > 0 {
+			granted := float64(max(1, volume.Paths)) / float64(max(1, volume.Writers))
+			report(Volumes, volume.Name, granted)
+		}
+	}
+}
+
+// measureCold reports what one usual request of each instance takes of a warming node's window.
+func (m *Model) measureCold(e Expectation, down []bool, report reportFunc) {
+	units := m.MeanUnits * float64(max(1, m.Instances))
+	for _, node := range m.selectNodes(e.Of) {
+		if !down[node] {
+			report(Nodes, m.Nodes[node].Name, ratio(units, m.ColdUnits))
+		}
+	}
+}
+
+// ratio is a of b. Of nothing, something is more than any bound, and nothing is none.
+func ratio(a, b float64) float64 {
+	switch {
+	case b > 0:
+		return a / b
+	case a > 0:
+		return math.MaxFloat64
+	}
+	return 0
+}
--- /dev/null
+++ b/expect/model.go
@@ -0,0 +1,137 @@
+package expect
+
+import (
+	"fmt"
+	"path"
+	"slices"
+)
+
+// Model is a fleet prepared for many questions. It must not be used by several goroutines at once.
+type Model struct {
+	*Fleet
+	cells       []int            // in order
+	holders     map[int][]int    // nodes by cell, in order
+	reserve     map[int]float64  // by cell, of all volumes there
+	weight      map[int]float64  // by cell, of all volumes there
+	selected    map[string][]int // volumes by selector; filled as they are asked for
+	nodesByZone map[string][]int
+	zoneNames   []string // in order
+}
+
+// New prepares a fleet, which must not change afterwards.
+func New(fleet *Fleet) *Model {
+	m := &Model{
+		Fleet:       fleet,
+		holders:     map[int][]int{},
+		reserve:     map[int]float64{},
+		weight:      map[int]float64{},
+		selected:    map[string][]int{},
+		nodesByZone: map[string][]int{},
+	}
+	m.addNodes()
+	m.addVolumes()
+	return m
+}
+
+func (m *Model) addNodes() {
+	for i, node := range m.Nodes {
+		m.holders[node.Cell] = append(m.holders[node.Cell], i)
+		if m.nodesByZone[node.Zone] == nil {
+			m.zoneNames = append(m.zoneNames, node.Zone)
+		}
+		m.nodesByZone[node.Zone] = append(m.nodesByZone[node.Zone], i)
+	}
+	for cell := range m.holders {
+		m.cells = append(m.cells, cell)
+	}
+	slices.Sort(m.cells)
+}
+
+func (m *Model) addVolumes() {
+	for i := range m.Volumes {
+		volume := &m.Volumes[i]
+		plan, count := m.Plans[volume.Plan], float64(max(1, volume.Count))
+		cells := m.cellsOf(volume)
+		for _, cell := range cells {
+			m.reserve[cell] += count * plan.Reserve / float64(len(cells))
+			m.weight[cell] += count * plan.Weight
+		}
+	}
+}
+
+// Empty reports whether a selector picks nothing: a name that matches nothing is a mistake.
+func (m *Model) Empty(s Selector) bool {
+	switch s.Kind {
+	case Nodes:
+		return len(m.selectNodes(s)) == 0
+	case Zones:
+		return len(m.selectZones(s)) == 0
+	}
+	return len(m.selectVolumes(s)) == 0
+}
+
+func (m *Model) cellsOf(volume *Volume) []int {
+	if len(volume.Cells) == 0 {
+		return m.cells
+	}
+	return volume.Cells
+}
+
+func matches(pattern, name string) bool {
+	ok, err := path.Match(pattern, name)
+	return err == nil && ok
+}
+
+func (m *Model) selectNodes(s Selector) (nodes []int) {
+	for i, node := range m.Nodes {
+		if matches(s.Name, node.Name) {
+			nodes = append(nodes, i)
+		}
+	}
+	return nodes
+}
+
+func (m *Model) selectZones(s Selector) (zones []string) {
+	for _, zone := range m.zoneNames {
+		if matches(s.Name, zone) {
+			zones = append(zones, zone)
+		}
+	}
+	return zones
+}
+
+// selectVolumes returns the volumes that a selector picks by their own names or by their plans', one for all
+// that differ in nothing but their names: thousands of volumes are mostly of few kinds.
+func (m *Model) selectVolumes(s Selector) []int {
+	key := s.String()
+	if volumes, ok := m.selected[key]; ok {
+		return volumes
+	}
+	var volumes []int
+	seen := map[string]bool{}
+	for i, volume := range m.Volumes {
+		name := volume.Name
+		if s.Kind == Plans {
+			name = m.Plans[volume.Plan].Name
+		}
+		kind := fmt.Sprint(volume.Plan, volume.Writers, volume.Paths, volume.Cells)
+		if matches(s.Name, name) && !seen[kind] {
+			seen[kind] = true
+			volumes = append(volumes, i)
+		}
+	}
+	m.selected[key] = volumes
+	return volumes
+}
+
+// holder returns the node that holds a cell while some are down; -1: none.
+func (m *Model) holder(cell int, down []bool) int {
+	for _, node := range m.holders[cell] {
+		if !down[node] {
+			return node
+		}
+	}
+	return -1
+}
+
+func (m *Model) isHeld(cell int, down []bool) bool { return m.holder(cell, down) >= 0 }
