--- a/scheduler/company_test.go
+++ b/scheduler/batching_test.go
@@ -61,7 +61,7 @@
 
 // What is held leaves with the one whose turn it is: one operation, of the slots that its size costs, whose
 // end is judged once and whose members are each over by themselves.
-func TestHeldRequestsLeaveTogether(t *testing.T) {
+func TestBatching_QueuedRequestsFormOneOperation(t *testing.T) {
 	r, c, n := crowded(t, settings())
 	var qs []Event
 	for range 4 {
@@ -90,7 +90,7 @@
 }
 
 // An operation that is lost is one lost attempt: its members add nothing to what its lead added.
-func TestALostOperationIsLearntFromOnce(t *testing.T) {
+func TestBatching_LostOperationIsLearnedFromOnce(t *testing.T) {
 	r, c, n := crowded(t, settings())
 	n.latency = 100 * ms
 	r.do(c.add(r.ask(nil)), c.add(r.ask(nil)), c.add(r.ask(nil)))
@@ -105,7 +105,7 @@
 }
 
 // An operation that fails is one failure of its node, and its members are repeated alone.
-func TestAFailedOperationsMembersAreRepeatedAlone(t *testing.T) {
+func TestBatching_MembersOfFailedOperationAreRetriedAlone(t *testing.T) {
 	r, c, n := crowded(t, settings())
 	r.do(c.add(r.ask(nil)), c.add(r.ask(nil)), c.add(r.ask(nil)))
 	for id := uint32(1); id <= 3; id++ {
@@ -124,7 +124,7 @@
 }
 
 // Each member is held to its own volume's limit, patience and turn of its key.
-func TestAMembersOwnGuards(t *testing.T) {
+func TestBatching_GuardsHoldForEachMember(t *testing.T) {
 	set := limitSettings()
 	set.Plans = append(set.Plans, Plan{Rate: 10, Weight: 1})
 	r, c, _ := crowded(t, set)
@@ -160,7 +160,7 @@
 }
 
 // A member joins only while the operation ends no later for any than alone, by what the module can tell.
-func TestNoMemberIsMadeLaterThanAlone(t *testing.T) {
+func TestBatching_MemberIsNotDelayed(t *testing.T) {
 	r, c, n := crowded(t, settings())
 	for i := range 64 { // a unit takes 10 ms here
 		units := float64(1 + i%4)
@@ -179,7 +179,7 @@
 // Over a long backlog each volume's service differs from its share without merging by less than one largest
 // request beyond what start-time fair queueing itself allows, however eagerly the company offers the requests
 // of one volume.
-func TestSharesHoldWithMerging(t *testing.T) {
+func TestBatching_KeepsSharesOfVolumes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
 		weights := []float64{1, float64(rapid.IntRange(1, 4).Draw(t, "weight")), 2}
--- a/scheduler/characterization_test.go
+++ b/scheduler/characterization_test.go
@@ -75,7 +75,7 @@
 }
 
 // Actions are what they were before the module was restructured.
-func TestActionsAreCharacterized(t *testing.T) {
+func TestScheduler_ActionsMatchCharacterization(t *testing.T) {
 	for _, c := range characterizations() {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/scheduler/fuzz_test.go
+++ b/scheduler/random_driver_test.go
@@ -6,20 +6,6 @@
 	"time"
 )
 
-// FuzzHost drives a host with whatever a fleet can throw at it, by a seed: requests of all classes,
-// outcomes of every code in any order, lists of any form, clients that leave, timers late. Whatever comes:
-// each request gets one final answer by its time, nothing is sent for it after that, attempts stay within
-// bounds, an unsafe request is not sent again while it may have run, nothing is sent to a node told as
-// draining or gone, and all is forgotten.
-func FuzzHost(f *testing.F) {
-	for seed := range uint64(8) {
-		f.Add(seed, uint8(seed*37))
-	}
-	f.Fuzz(func(t *testing.T, seed uint64, shape uint8) {
-		newChaos(t, seed, shape).run(600)
-	})
-}
-
 // chaos is what happens to one host, and what is known of it from outside.
 type chaos struct {
 	t      *testing.T
