--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -10,111 +10,133 @@
 
 const ms = time.Millisecond
 
-// settings are those of a small site: one safe class, one plan without reserve or limit.
-func settings() Settings {
-	return Settings{Instances: 1, MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, MeanUnits: 2,
-		MaxUnits: 8,
-		Classes:  []Class{{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
-		Plans:    []Plan{{Rate: 10, Weight: 1}}}
+// smallSiteSettings are those of a small site: one idempotent class, one plan without reserve or limit.
+func smallSiteSettings() Settings {
+	return Settings{
+		Instances: 1, MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, MeanUnits: 2, MaxUnits: 8,
+		Classes: []Class{{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Plans:   []Plan{{Rate: 10, Weight: 1}},
+	}
+}
+
+// fleetSettings are those of a fleet: everything that keeps records over time is in force.
+func fleetSettings() Settings {
+	settings := smallSiteSettings()
+	settings.SlowStartPeriod, settings.OverloadWindow = 10*time.Second, 3*time.Second
+	settings.OverloadFactor, settings.ColdCapacity = 2, 50
+	settings.RetryBudget, settings.RetryBudgetWindow = true, 10*time.Second
+	settings.RetryBudgetFloor, settings.RetryBudgetRatio = 5, 0.1
+	return settings
 }
 
-func server(i int) Server { return Server{Addr: [4]byte{10, 0, 0, byte(i)}, Port: 1} }
+// testServer is the address of the node that serves a cell.
+func testServer(cell int) Server { return Server{Addr: [4]byte{10, 0, 0, byte(cell)}, Port: 1} }
 
-func entry(i int, st Status) Endpoint {
-	return Endpoint{Server: server(i), Status: st, Cell: uint16(i)}
+// testEndpoint is the entry of the endpoint list for the node that serves a cell.
+func testEndpoint(cell int, status Status) Endpoint {
+	return Endpoint{Server: testServer(cell), Status: status, Cell: uint16(cell)}
 }
 
-// rig drives one host and keeps what it asked for.
-type rig struct {
-	t    *testing.T
-	h    *Scheduler
-	now  time.Duration
-	id   uint32
-	acts []Action
+// testDriver drives one scheduler by hand: a test sets the clock, passes events and reads the actions.
+type testDriver struct {
+	scheduler *Scheduler
+	now       time.Duration
+	lastID    uint32   // of the requests made
+	actions   []Action // all that the scheduler returned
 }
 
-// start makes a host with ready nodes for cells 0 to n-1.
-func start(t *testing.T, set Settings, n int) *rig {
-	r := &rig{t: t, h: New(1, set), now: time.Hour}
-	m := EndpointUpdate{Kind: UpdateCached}
-	for i := range n {
-		m.Endpoints = append(m.Endpoints, entry(i, Ready))
+// startDriver makes a scheduler that knows ready nodes for the cells 0 to nodes-1.
+func startDriver(t *testing.T, settings Settings, nodes int) *testDriver {
+	t.Helper()
+	driver := &testDriver{scheduler: New(1, settings), now: time.Hour}
+	update := EndpointUpdate{Kind: UpdateCached}
+	for cell := range nodes {
+		update.Endpoints = append(update.Endpoints, testEndpoint(cell, Ready))
 	}
-	r.do(m)
-	return r
+	driver.handle(update)
+	return driver
 }
 
-// do hands events in and decides.
-func (r *rig) do(evs ...Event) []Action {
-	for _, e := range evs {
-		r.h.Handle(r.now, e)
+// handle passes events to the scheduler as one batch and returns the actions that it decides on.
+func (d *testDriver) handle(events ...Event) []Action {
+	for _, event := range events {
+		d.scheduler.Handle(d.now, event)
 	}
-	acts := r.h.Decide(r.now)
-	r.acts = append(r.acts, acts...)
-	return acts
+	actions := d.scheduler.Decide(d.now)
+	d.actions = append(d.actions, actions...)
+	return actions
 }
 
-func (r *rig) pass(d time.Duration) []Action { r.now += d; return r.do(TimerFired{Token: tokenReview}) }
+// advance moves the clock on and lets the review fire.
+func (d *testDriver) advance(duration time.Duration) []Action {
+	d.now += duration
+	return d.handle(TimerFired{Token: tokenReview})
+}
 
-// ask makes a request with sensible defaults.
-func (r *rig) ask(change func(*Request)) Request {
-	r.id++
-	q := Request{ID: r.id, VolumeInstances: 1, Volume: 1, Units: 1, ExpiresAt: r.now + 4*time.Second}
+// newRequest makes a request of one unit for cell 0 with the next ID. A change that is not nil adapts it.
+func (d *testDriver) newRequest(change func(*Request)) Request {
+	d.lastID++
+	r := Request{ID: d.lastID, VolumeInstances: 1, Volume: 1, Units: 1, ExpiresAt: d.now + 4*time.Second}
 	if change != nil {
-		change(&q)
+		change(&r)
 	}
-	return q
+	return r
+}
+
+// finishAttempt passes the result of an attempt at the node of a cell.
+func (d *testDriver) finishAttempt(id uint32, attempt, cell int, code ResultCode,
+	latency time.Duration) []Action {
+	// The reviews that lead up to this moment are left out; without this the scheduler would take their
+	// absence for a stall of its own process.
+	d.scheduler.review.pending = false
+	return d.handle(AttemptResult{ID: id, Attempt: attempt, Server: testServer(cell), Code: code,
+		Latency: latency, RequestDone: code == OK})
 }
 
-func (r *rig) done(id uint32, attempt, node int, code ResultCode, took time.Duration) []Action {
-	r.h.review.pending = false // the rig hands in no reviews that lead up to this moment
-	return r.do(AttemptResult{ID: id, Attempt: attempt, Server: server(node), Code: code, Latency: took,
-		RequestDone: code == OK})
+// fixDepth gives the node of cell 0 a depth that does not adapt, so that a test is about the queue alone.
+func (d *testDriver) fixDepth(depth float64) *node {
+	n := d.node(0)
+	n.depth, n.depthAdaptedAt = depth, math.MaxInt64
+	n.latency, n.deviation = d.scheduler.objectives.shortest/2, time.Hour
+	return n
 }
 
-func sends(acts []Action) (ids []uint32) {
-	for _, a := range acts {
-		if s, ok := a.(Send); ok {
-			ids = append(ids, s.ID)
+// node returns the scheduler's state of the node that startDriver listed for a cell.
+func (d *testDriver) node(cell int) *node { return d.scheduler.endpoints.nodes[testServer(cell)] }
+
+// queue returns the queue of a cell that startDriver listed.
+func (d *testDriver) queue(cell int) *shardQueue { return d.scheduler.endpoints.shards[cell] }
+
+// asNewObject lets a request be placed on any node.
+func asNewObject(r *Request) { r.Cell = NewObject }
+
+// sentIDs lists the requests of which an attempt is sent.
+func sentIDs(actions []Action) (ids []uint32) {
+	for _, action := range actions {
+		if send, ok := action.(Send); ok {
+			ids = append(ids, send.ID)
 		}
 	}
 	return ids
 }
 
-// ends lists final answers as "refuse 3" or "fail 3".
-func ends(acts []Action) (out []string) {
-	for _, a := range acts {
-		switch a := a.(type) {
+// finalAnswers lists final answers as "reject 3" or "fail 3".
+func finalAnswers(actions []Action) (answers []string) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case Reject:
-			out = append(out, fmt.Sprint("refuse ", a.ID))
+			answers = append(answers, fmt.Sprint("reject ", action.ID))
 		case Fail:
-			out = append(out, fmt.Sprint("fail ", a.ID))
+			answers = append(answers, fmt.Sprint("fail ", action.ID))
 		}
 	}
-	return out
+	return answers
 }
 
-func want[T comparable](t *testing.T, what string, got []T, want ...T) {
+// wantEqual reports an error unless the values got are exactly those wanted, in order.
+func wantEqual[T comparable](t *testing.T, what string, got []T, want ...T) {
 	t.Helper()
 	if !slices.Equal(got, want) {
 		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
-
-// fix pins the depth of node 0, so that a test speaks of the queue alone.
-func (r *rig) fix(depth float64) *node {
-	n := r.h.endpoints.nodes[server(0)]
-	n.depth, n.latency, n.deviation, n.depthAdaptedAt = depth, r.h.objectives.shortest/2, time.Hour,
-		math.MaxInt64
-	return n
-}
-
-// scaleSettings are those of a fleet with everything in force that keeps records over time.
-func scaleSettings() Settings {
-	set := settings()
-	set.SlowStartPeriod, set.OverloadWindow, set.OverloadFactor, set.ColdCapacity = 10*time.Second,
-		3*time.Second, 2, 50
-	set.RetryBudget, set.RetryBudgetFloor, set.RetryBudgetRatio, set.RetryBudgetWindow = true, 5, 0.1,
-		10*time.Second
-	return set
-}
--- a/scheduler/steady_load_test.go
+++ b/scheduler/steady_load_test.go
@@ -1,56 +1,57 @@
 package scheduler
 
-import (
-	"time"
-)
+import "time"
 
-// steady drives one host at a rate: each request is answered a little later by its node.
-type steady struct {
-	h     *Scheduler
-	now   time.Duration
-	gap   time.Duration
-	nodes int
-	next  uint32
-	out   []Send // oldest first
+// maxSteadyInFlight is how many attempts a steadyLoad leaves in flight.
+const maxSteadyInFlight = 4
+
+// steadyLoad drives one scheduler at a steady rate: each request is answered a little later by its node.
+type steadyLoad struct {
+	scheduler *Scheduler
+	now       time.Duration
+	interval  time.Duration // between requests
+	nodes     int
+	nextID    uint32
+	inFlight  []Send // oldest first
 }
 
-func newSteady(set Settings, rate, nodes int, boot time.Duration) *steady {
-	s := &steady{h: New(1, set), now: time.Hour, gap: time.Second / time.Duration(rate), nodes: nodes}
-	m := EndpointUpdate{Kind: UpdateFull}
+// newSteadyLoad makes a load of so many requests per second over nodes that were all started at one time; 0:
+// long ago.
+func newSteadyLoad(settings Settings, rate, nodes int, startedAt time.Duration) *steadyLoad {
+	load := &steadyLoad{scheduler: New(1, settings), now: time.Hour,
+		interval: time.Second / time.Duration(rate), nodes: nodes}
+	update := EndpointUpdate{Kind: UpdateFull}
 	for i := range nodes {
-		at := Server{Addr: [4]byte{10, 0, byte(i >> 8), byte(i)}, Port: 1}
-		m.Endpoints = append(
-			m.Endpoints,
-			Endpoint{Server: at, Status: Ready, Cell: uint16(i), StartedAt: boot},
-		)
+		update.Endpoints = append(update.Endpoints, Endpoint{
+			Server: Server{Addr: [4]byte{10, 0, byte(i >> 8), byte(i)}, Port: 1},
+			Status: Ready, Cell: uint16(i), StartedAt: startedAt,
+		})
 	}
-	s.h.Handle(s.now, m)
-	s.h.Decide(s.now)
-	return s
+	load.scheduler.Handle(load.now, update)
+	load.scheduler.Decide(load.now)
+	return load
 }
 
-// step takes one request of the volume in and, once a few are out, ends the oldest attempt.
-func (s *steady) step(volume uint64) {
-	s.now += s.gap
-	s.h.Handle(s.now, Request{ID: s.next, Cell: int(s.next) % s.nodes, VolumeInstances: 1, Volume: volume,
-		ExpiresAt: s.now + time.Second, Units: 1})
-	s.next++
-	s.decide()
-	if len(s.out) > 4 {
-		done := s.out[0]
-		s.out = s.out[1:]
-		s.h.Handle(
-			s.now,
-			AttemptResult{ID: done.ID, Server: done.Server, Code: OK, Latency: ms, RequestDone: true},
-		)
-		s.decide()
+// step lets one request of a volume arrive and, once enough attempts are in flight, the oldest of them end.
+func (l *steadyLoad) step(volume uint64) {
+	l.now += l.interval
+	l.scheduler.Handle(l.now, Request{ID: l.nextID, Cell: int(l.nextID) % l.nodes, VolumeInstances: 1,
+		Volume: volume, ExpiresAt: l.now + time.Second, Units: 1})
+	l.nextID++
+	l.decide()
+	if len(l.inFlight) > maxSteadyInFlight {
+		oldest := l.inFlight[0]
+		l.inFlight = l.inFlight[1:]
+		l.scheduler.Handle(l.now, AttemptResult{ID: oldest.ID, Server: oldest.Server, Code: OK, Latency: ms,
+			RequestDone: true})
+		l.decide()
 	}
 }
 
-func (s *steady) decide() {
-	for _, a := range s.h.Decide(s.now) {
-		if a, ok := a.(Send); ok {
-			s.out = append(s.out, a)
+func (l *steadyLoad) decide() {
+	for _, action := range l.scheduler.Decide(l.now) {
+		if send, ok := action.(Send); ok {
+			l.inFlight = append(l.inFlight, send)
 		}
 	}
 }
