--- a/scheduler/result_test.go
+++ b/scheduler/result_test.go
@@ -5,9 +5,11 @@
 	"time"
 )
 
+// A timeout that comes in at the client's deadline still gets its answer.
 func TestResult_RejectsRequestTimedOutAtDeadline(t *testing.T) {
-	r := start(t, settings(), 1)
-	r.do(r.ask(nil))
-	r.now += 4 * time.Second
-	want(t, "answer", ends(r.done(1, 0, 0, TimedOut, 4*time.Second)), "refuse 1")
+	driver := startDriver(t, smallSiteSettings(), 1)
+	driver.handle(driver.newRequest(nil))
+	driver.now += 4 * time.Second
+	answers := finalAnswers(driver.finishAttempt(1, 0, 0, TimedOut, 4*time.Second))
+	wantEqual(t, "answers", answers, "reject 1")
 }
--- a/scheduler/rig_test.go
+++ b/scheduler/rig_test.go
@@ -116,6 +116,7 @@
 		10*time.Second
 	return set
 }
+
 // steady drives one host at a rate: each request is answered a little later by its node.
 type steady struct {
 	h     *Scheduler
--- a/scheduler/sfq_test.go
+++ b/scheduler/sfq_test.go
@@ -5,66 +5,67 @@
 	"time"
 )
 
+// With a backlog of two volumes, service is divided by their weights.
 func TestSFQ_SharesFollowWeightsUnderBacklog(t *testing.T) {
-	set := settings()
-	set.Plans = append(set.Plans, Plan{Weight: 3})
-	set.Classes[0].LatencyObjective = 100 * time.Second
-	r := start(t, set, 1)
-	r.fix(1)
-	var evs []Event
+	settings := smallSiteSettings()
+	settings.Plans = append(settings.Plans, Plan{Weight: 3})
+	settings.Classes[0].LatencyObjective = 100 * time.Second
+	driver := startDriver(t, settings, 1)
+	driver.fixDepth(1)
+	var requests []Event
 	for range 40 {
-		for v := range 2 {
-			evs = append(evs, r.ask(func(q *Request) {
-				q.Volume, q.Plan, q.ExpiresAt = uint64(v), v, r.now+200*time.Second
+		for volume := range 2 {
+			requests = append(requests, driver.newRequest(func(r *Request) {
+				r.Volume, r.Plan, r.ExpiresAt = uint64(volume), volume, driver.now+200*time.Second
 			}))
 		}
 	}
-	r.do(evs...)
-	count := map[uint64]int{}
+	driver.handle(requests...)
+	served := map[uint64]int{}
 	for range 40 {
-		for id, q := range r.h.requests {
-			if q.node != nil {
-				count[q.Volume]++
-				r.done(id, 0, 0, OK, r.h.objectives.shortest)
+		for id, r := range driver.scheduler.requests {
+			if r.node != nil {
+				served[r.Volume]++
+				driver.finishAttempt(id, 0, 0, OK, driver.scheduler.objectives.shortest)
 				break
 			}
 		}
 	}
-	if count[1] != 30 || count[0] != 10 {
-		t.Errorf("of 40 served, weight 1 got %d and weight 3 got %d; want 10 and 30", count[0], count[1])
+	if served[1] != 30 || served[0] != 10 {
+		t.Errorf("of 40 requests served, weight 1 got %d and weight 3 got %d; want 10 and 30", served[0],
+			served[1])
 	}
 }
 
 func TestSFQ_AssignsTagsAndVirtualTime(t *testing.T) {
-	r := start(t, settings(), 1)
-	r.fix(1)
-	r.do(r.ask(func(q *Request) { q.Units = 4 }), r.ask(func(q *Request) { q.Units = 2 }),
-		r.ask(func(q *Request) { q.Volume = 2 }))
-	s := r.h.endpoints.shards[0]
-	var tags []float64
+	driver := startDriver(t, smallSiteSettings(), 1)
+	driver.fixDepth(1)
+	driver.handle(
+		driver.newRequest(func(r *Request) { r.Units = 4 }),
+		driver.newRequest(func(r *Request) { r.Units = 2 }),
+		driver.newRequest(func(r *Request) { r.Volume = 2 }),
+	)
+	queue, volumes := driver.queue(0), driver.scheduler.volumes.byID
+	var startTags []float64
 	for id := uint32(1); id <= 3; id++ {
-		tags = append(tags, r.h.requests[id].startTag)
+		startTags = append(startTags, driver.scheduler.requests[id].startTag)
 	}
-	want(t, "start tags", tags, 0, 4, 0)
-	want(
-		t,
-		"finish tags",
-		[]float64{r.h.volumes.byID[1].finishTags[s], r.h.volumes.byID[2].finishTags[s]},
-		6,
-		1,
-	)
-	r.done(1, 0, 0, OK, ms)
-	r.done(3, 0, 0, OK, ms)
-	want(t, "virtual time is the start tag of the last one sent", []float64{s.virtualTime}, 4)
+	wantEqual(t, "start tags", startTags, 0, 4, 0)
+	finishTags := []float64{volumes[1].finishTags[queue], volumes[2].finishTags[queue]}
+	wantEqual(t, "finish tags", finishTags, 6, 1)
+	driver.finishAttempt(1, 0, 0, OK, ms)
+	driver.finishAttempt(3, 0, 0, OK, ms)
+	wantEqual(t, "virtual time, the start tag of the last one sent", []float64{queue.virtualTime}, 4)
 }
 
+// A volume that was idle starts at the virtual time: it gets no credit for the service that it did not use.
 func TestSFQ_IdleVolumeGetsNoCredit(t *testing.T) {
-	r := start(t, settings(), 1)
-	s := r.h.endpoints.shards[0]
-	s.virtualTime = 50
-	r.do(r.ask(nil))
-	want(t, "start and finish", []float64{r.h.requests[1].startTag, r.h.volumes.byID[1].finishTags[s]}, 50,
-		51)
+	driver := startDriver(t, smallSiteSettings(), 1)
+	scheduler, queue := driver.scheduler, driver.queue(0)
+	queue.virtualTime = 50
+	driver.handle(driver.newRequest(nil))
+	tags := []float64{scheduler.requests[1].startTag, scheduler.volumes.byID[1].finishTags[queue]}
+	wantEqual(t, "start tag and finish tag", tags, 50, 51)
 }
 
 func TestSFQ_SlotCostFollowsMeanSize(t *testing.T) {
@@ -75,27 +76,27 @@
 		c.count++
 		c.meanUnits += (units - c.meanUnits) / c.count
 	}
-	want(t, "slot costs", costs, 1, 1, 3, 1, 4)
+	wantEqual(t, "slot costs", costs, 1, 1, 3, 1, 4)
 }
 
 func TestSFQ_ReserveDoesNotAdvanceFinishTag(t *testing.T) {
-	set := settings()
-	set.Plans[0].Reserve = 2
-	r := start(t, set, 1)
-	r.do(r.ask(func(q *Request) { q.Units = 8 }), r.ask(func(q *Request) { q.Units = 3 }))
-	// The store holds a second of 2 units and one largest request of 8: 10 in all, so 1 of the 11 is beyond
-	// it.
-	want(t, "finish tag", []float64{r.h.volumes.byID[1].finishTags[r.h.endpoints.shards[0]]}, 1)
+	settings := smallSiteSettings()
+	settings.Plans[0].Reserve = 2
+	driver := startDriver(t, settings, 1)
+	driver.handle(
+		driver.newRequest(func(r *Request) { r.Units = 8 }),
+		driver.newRequest(func(r *Request) { r.Units = 3 }),
+	)
+	// The reserve holds one second's 2 units and one largest request of 8: 1 of the 11 units is beyond it.
+	finishTag := driver.scheduler.volumes.byID[1].finishTags[driver.queue(0)]
+	wantEqual(t, "finish tag", []float64{finishTag}, 1)
 }
 
 func TestSFQ_ServiceElsewhereAdvancesFinishTag(t *testing.T) {
-	r := start(t, settings(), 1)
-	r.do(r.ask(nil))
-	r.do(AttemptResult{ID: 1, Server: server(0), Code: OK, Latency: ms, RequestDone: true, ElsewhereUnits: 5})
-	want(
-		t,
-		"finish tag counts service through other hosts",
-		[]float64{r.h.volumes.byID[1].finishTags[r.h.endpoints.shards[0]]},
-		6,
-	)
+	driver := startDriver(t, smallSiteSettings(), 1)
+	driver.handle(driver.newRequest(nil))
+	driver.handle(AttemptResult{ID: 1, Server: testServer(0), Code: OK, Latency: ms, RequestDone: true,
+		ElsewhereUnits: 5})
+	finishTag := driver.scheduler.volumes.byID[1].finishTags[driver.queue(0)]
+	wantEqual(t, "finish tag, which counts service through other instances", []float64{finishTag}, 6)
 }
--- a/scheduler/sliding_window_test.go
+++ b/scheduler/sliding_window_test.go
@@ -1,21 +1,19 @@
 package scheduler
 
-import (
-	"testing"
-)
+import "testing"
 
-// The line forgets from its head, keeps numbers, and takes no more than twice what it holds.
+// The window drops from its head, keeps indexes valid, and takes no more memory than twice what it holds.
 func TestSlidingWindow_DropsFromHeadAndKeepsIndexes(t *testing.T) {
-	var l slidingWindow[int]
+	var window slidingWindow[int]
 	for i := range 10_000 {
-		l.push(i)
-		l.dropWhile(func(v int) bool { return v < i-9 })
-		if got := l.values(); got[len(got)-1] != i || len(got) > 10 || len(l.items) > 40 {
-			t.Fatalf("after %d: %v of %d", i, got, len(l.items))
+		window.push(i)
+		window.dropWhile(func(value int) bool { return value < i-9 })
+		if got := window.values(); got[len(got)-1] != i || len(got) > 10 || len(window.items) > 40 {
+			t.Fatalf("after %d: %v of %d", i, got, len(window.items))
 		}
 		if i > 20 {
-			if l.at(i-20) != nil || *l.at(i - 5) != i-5 {
-				t.Fatalf("after %d: the numbers are off", i)
+			if window.at(i-20) != nil || *window.at(i - 5) != i-5 {
+				t.Fatalf("after %d: an index finds the wrong item", i)
 			}
 		}
 	}
