--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -6,190 +6,202 @@
 	"time"
 )
 
+// Whether a request is retried, fails or is rejected after an attempt follows from what a second execution
+// would do and whether the first may have run.
 func TestRetry_FollowsIdempotency(t *testing.T) {
-	keyed := Class{
-		LatencyObjective: time.Second,
-		Deadline:         4 * time.Second,
-		Idempotency:      IdempotentByKey,
-		DedupScope:       DedupCell,
-		DedupWindow:      500 * ms,
-	}
-	all := keyed
-	all.DedupScope = DedupAll
-	unsafe := Class{LatencyObjective: time.Second, Deadline: 4 * time.Second, Idempotency: NotIdempotent}
-	for _, c := range []struct {
-		name  string
-		class Class
-		code  ResultCode
-		after time.Duration
-		again int
-		end   string
+	idempotent := smallSiteSettings().Classes[0]
+	notIdempotent := Class{LatencyObjective: time.Second, Deadline: 4 * time.Second,
+		Idempotency: NotIdempotent}
+	byKeyInCell := Class{LatencyObjective: time.Second, Deadline: 4 * time.Second,
+		Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 500 * ms}
+	byKeyInAll := byKeyInCell
+	byKeyInAll.DedupScope = DedupAll
+	for _, test := range []struct {
+		name    string
+		class   Class
+		code    ResultCode
+		elapsed time.Duration // from the send to the result
+		retries int
+		answer  string // "": none yet
 	}{
-		{"safe, reset", settings().Classes[0], Reset, 100 * ms, 1, ""},
-		{"unsafe, may have run", unsafe, Reset, 100 * ms, 0, "fail 1"},
-		{"unsafe, never ran", unsafe, Overloaded, 100 * ms, 1, ""},
-		{"keyed in its window", keyed, Error, 100 * ms, 1, ""},
-		{"keyed past its window", keyed, Error, 600 * ms, 0, "fail 1"},
-		{"keyed by all past its window", all, Error, 600 * ms, 0, "refuse 1"},
-		{"keyed, never ran", keyed, Overloaded, 600 * ms, 1, ""},
+		{"idempotent, reset", idempotent, Reset, 100 * ms, 1, ""},
+		{"not idempotent, may have run", notIdempotent, Reset, 100 * ms, 0, "fail 1"},
+		{"not idempotent, never ran", notIdempotent, Overloaded, 100 * ms, 1, ""},
+		{"by key, within its window", byKeyInCell, Error, 100 * ms, 1, ""},
+		{"by key, past its window", byKeyInCell, Error, 600 * ms, 0, "fail 1"},
+		{"by key at all nodes, past its window", byKeyInAll, Error, 600 * ms, 0, "reject 1"},
+		{"by key, never ran", byKeyInCell, Overloaded, 600 * ms, 1, ""},
 	} {
-		set := settings()
-		set.Classes[0] = c.class
-		r := start(t, set, 1)
-		r.do(r.ask(nil))
-		r.now += c.after
-		acts := r.done(1, 0, 0, c.code, ms)
-		acts = append(acts, r.pass(2*initialBackoff)...)
-		got := append(ends(acts), "")
-		if len(sends(acts)) != c.again || got[0] != c.end {
-			t.Errorf("%s: %d further attempts and %q; want %d and %q", c.name, len(sends(acts)), got[0],
-				c.again, c.end)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			settings := smallSiteSettings()
+			settings.Classes[0] = test.class
+			driver := startDriver(t, settings, 1)
+			driver.handle(driver.newRequest(nil))
+			driver.now += test.elapsed
+			actions := driver.finishAttempt(1, 0, 0, test.code, ms)
+			actions = append(actions, driver.advance(2*initialBackoff)...)
+			answer := append(finalAnswers(actions), "")[0]
+			if retries := len(sentIDs(actions)); retries != test.retries || answer != test.answer {
+				t.Errorf("%d retries and answer %q, want %d and %q", retries, answer, test.retries,
+					test.answer)
+			}
+		})
 	}
 }
 
 func TestRetry_StaysWithinDeduplicationScope(t *testing.T) {
-	set := settings()
-	set.Classes[0].Idempotency, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentByKey,
-		DedupZone, time.Minute
-	r := start(t, set, 2)
-	q := &request{class: r.h.classes[0], attempts: 1, mayHaveRunOn: &node{Endpoint: Endpoint{Zone: 1}}}
-	n := r.h.endpoints.nodes[server(0)]
-	r.h.now = r.now
-	q.mayHaveRunSince = r.now
-	if r.h.mayRetry(q, n) {
-		t.Error("sent again outside its zone")
+	settings := smallSiteSettings()
+	settings.Classes[0].Idempotency, settings.Classes[0].DedupScope = IdempotentByKey, DedupZone
+	settings.Classes[0].DedupWindow = time.Minute
+	driver := startDriver(t, settings, 2)
+	driver.scheduler.now = driver.now
+	r := &request{class: driver.scheduler.classes[0], attempts: 1, mayHaveRunSince: driver.now,
+		mayHaveRunOn: &node{Endpoint: Endpoint{Zone: 1}}}
+	n := driver.node(0)
+	if driver.scheduler.mayRetry(r, n) {
+		t.Error("retried outside its zone")
 	}
 	n.Zone = 1
-	if !r.h.mayRetry(q, n) {
-		t.Error("not sent again inside its zone")
+	if !driver.scheduler.mayRetry(r, n) {
+		t.Error("not retried inside its zone")
 	}
 }
 
-// A keyed request that may have run says until when a further attempt of it may begin, as its connection may
-// take long to come up; a first attempt, and one that is safe, may begin any time.
+// A request that is idempotent by key and may have run carries the time until which its retry may begin, as
+// the connection for it may take long to come up. A first attempt, and any of an idempotent request, may
+// begin at any time.
 func TestRetry_CarriesStartDeadline(t *testing.T) {
-	for _, keyed := range []bool{true, false} {
-		set := settings()
-		if keyed {
-			set.Classes[0].Idempotency, set.Classes[0].DedupScope,
-				set.Classes[0].DedupWindow = IdempotentByKey, DedupCell, 700*ms
-		}
-		r := start(t, set, 1)
-		q := r.ask(nil)
-		first, evs := r.now, []Event{q}
-		for n, want := range []time.Duration{0, first + 700*ms - timingMargin} {
-			var before time.Duration
-			for _, a := range r.do(evs...) {
-				if s, ok := a.(Send); ok {
-					before = s.StartBefore
-				}
+	for _, byKey := range []bool{true, false} {
+		t.Run(fmt.Sprint("byKey=", byKey), func(t *testing.T) {
+			settings := smallSiteSettings()
+			if byKey {
+				settings.Classes[0].Idempotency, settings.Classes[0].DedupScope = IdempotentByKey, DedupCell
+				settings.Classes[0].DedupWindow = 700 * ms
 			}
-			if !keyed {
-				want = 0
-			}
-			if before != want {
-				t.Errorf("keyed %v, attempt %d: before %v, want %v", keyed, n, before, want)
+			driver := startDriver(t, settings, 1)
+			r := driver.newRequest(nil)
+			firstSentAt, events := driver.now, []Event{r}
+			for attempt, want := range []time.Duration{0, firstSentAt + 700*ms - timingMargin} {
+				var startBefore time.Duration
+				for _, action := range driver.handle(events...) {
+					if send, ok := action.(Send); ok {
+						startBefore = send.StartBefore
+					}
+				}
+				if !byKey {
+					want = 0
+				}
+				if startBefore != want {
+					t.Errorf("attempt %d is to start before %v, want %v", attempt, startBefore, want)
+				}
+				driver.scheduler.Handle(driver.now, AttemptResult{ID: r.ID, Attempt: attempt,
+					Server: testServer(0), Code: Reset, Latency: ms})
+				events = nil
+				driver.now += 20 * ms
 			}
-			r.h.Handle(
-				r.now,
-				AttemptResult{ID: q.ID, Attempt: n, Server: server(0), Code: Reset, Latency: ms},
-			)
-			evs = nil
-			r.now += 20 * ms
-		}
+		})
 	}
 }
 
-// A site whose unsafe writes may have run: the end of the attempt is what is given up on. It fails in that
-// batch, without a refusal, a further attempt or advice.
+// Where writes are not idempotent and clients are told no Retry-After, a write that may have run fails at
+// once with its attempt: it is not rejected and not retried. One that never ran is rejected in the end.
 func TestRetry_NonIdempotentWriteThatMayHaveRunFails(t *testing.T) {
-	set := settings()
-	set.RetryAfter, set.RetryBudget, set.RetryBudgetFloor, set.RetryBudgetWindow = false, true, 3,
-		5*time.Second
-	set.Classes[0].Idempotency, set.Classes[0].Writes = NotIdempotent, true
+	settings := smallSiteSettings()
+	settings.RetryAfter = false
+	settings.RetryBudget, settings.RetryBudgetFloor, settings.RetryBudgetWindow = true, 3, 5*time.Second
+	settings.Classes[0].Idempotency, settings.Classes[0].Writes = NotIdempotent, true
 	for _, code := range []ResultCode{Error, TimedOut, Reset, Cancelled} {
-		r := start(t, set, 2)
-		r.do(r.ask(func(q *Request) { q.Cell = NewObject }))
-		n := r.h.requests[1].node
-		acts := r.done(1, 0, int(n.Cell), code, 50*ms)
-		want(t, fmt.Sprint("answer after ", code), ends(acts), "fail 1")
-		want(t, "further attempts", sends(acts))
+		t.Run(fmt.Sprint("may have run/code=", code), func(t *testing.T) {
+			driver := startDriver(t, settings, 2)
+			driver.handle(driver.newRequest(asNewObject))
+			n := driver.scheduler.requests[1].node
+			actions := driver.finishAttempt(1, 0, int(n.Cell), code, 50*ms)
+			wantEqual(t, "answers", finalAnswers(actions), "fail 1")
+			wantEqual(t, "retries", sentIDs(actions))
+		})
 	}
 	for _, code := range []ResultCode{Overloaded, ConnectFailed} {
-		r := start(t, set, 1)
-		r.do(r.ask(nil))
-		r.h.endpoints.nodes[server(0)].latency = 3 * time.Second // so long a wait would be the advice
-		r.done(1, 0, 0, code, ms)
-		r.pass(time.Second)
-		if len(ends(r.acts)) != 1 {
-			t.Errorf("after %v: answers %v", code, ends(r.acts))
-		}
-		for _, a := range r.acts {
-			if f, ok := a.(Reject); ok && f.RetryAfter != 0 {
-				t.Errorf("after %v: advice of %v where none may be given", code, f.RetryAfter)
+		t.Run(fmt.Sprint("never ran/code=", code), func(t *testing.T) {
+			driver := startDriver(t, settings, 1)
+			driver.handle(driver.newRequest(nil))
+			driver.node(0).latency = 3 * time.Second // would be the Retry-After if one were told
+			driver.finishAttempt(1, 0, 0, code, ms)
+			driver.advance(time.Second)
+			if answers := finalAnswers(driver.actions); len(answers) != 1 {
+				t.Errorf("answers %v, want one", answers)
 			}
-			if _, ok := a.(Fail); ok {
-				t.Errorf("after %v: a failure, though nothing ran", code)
+			for _, action := range driver.actions {
+				if reject, ok := action.(Reject); ok && reject.RetryAfter != 0 {
+					t.Errorf("Retry-After is %v where none may be told", reject.RetryAfter)
+				}
+				if _, ok := action.(Fail); ok {
+					t.Error("a failure, though nothing ran")
+				}
 			}
-		}
+		})
 	}
 }
 
 func TestRetryBudget_IsFloorPlusRatio(t *testing.T) {
-	set := settings()
-	set.RetryBudget, set.RetryBudgetFloor, set.RetryBudgetRatio, set.RetryBudgetWindow = true, 1, 0.5,
-		time.Second
-	r := start(t, set, 1)
-	r.do(r.ask(nil), r.ask(nil), r.ask(nil), r.ask(nil))
+	settings := smallSiteSettings()
+	settings.RetryBudget, settings.RetryBudgetWindow = true, time.Second
+	settings.RetryBudgetFloor, settings.RetryBudgetRatio = 1, 0.5
+	driver := startDriver(t, settings, 1)
+	driver.handle(driver.newRequest(nil), driver.newRequest(nil), driver.newRequest(nil),
+		driver.newRequest(nil))
 	for id := uint32(1); id <= 4; id++ {
-		r.done(id, 0, 0, Error, ms)
-		r.h.endpoints.nodes[server(0)].failures = 0
-		r.do()
+		driver.finishAttempt(id, 0, 0, Error, ms)
+		driver.node(0).failures = 0
+		driver.handle()
 	}
-	if got := len(sends(r.acts)) - 4; got != 3 {
-		t.Errorf("%d further attempts, want 1 + 0.5 x 4 = 3", got)
+	if got := len(sentIDs(driver.actions)) - 4; got != 3 {
+		t.Errorf("%d retries, want 1 + 0.5 x 4 = 3", got)
 	}
 }
 
-// The budget binds at any moment, counted from the host's own start.
+// The budget holds in any window, from the start of the instance on; a restart knows nothing of what was
+// spent before.
 func TestRetryBudget_HoldsInAnyWindow(t *testing.T) {
-	set := settings()
-	set.RetryBudget, set.RetryBudgetFloor, set.RetryBudgetRatio, set.RetryBudgetWindow = true, 3, 0.15,
-		5*time.Second
-	for range 2 { // a restart knows nothing of what was spent before
-		r := start(t, set, 1)
-		var taken, extra []time.Duration
-		within := func(list []time.Duration) (n int) {
-			for _, at := range list {
-				if at > r.now-5*time.Second {
-					n++
+	const window, floor, ratio = 5 * time.Second, 3, 0.15
+	settings := smallSiteSettings()
+	settings.RetryBudget, settings.RetryBudgetWindow = true, window
+	settings.RetryBudgetFloor, settings.RetryBudgetRatio = floor, ratio
+	for _, name := range []string{"first start", "restart"} {
+		t.Run(name, func(t *testing.T) {
+			driver := startDriver(t, settings, 1)
+			var admissions, retries []time.Duration
+			inWindow := func(times []time.Duration) (count int) {
+				for _, at := range times {
+					if at > driver.now-window {
+						count++
+					}
 				}
+				return count
 			}
-			return n
-		}
-		for range 400 {
-			r.now += 50 * ms
-			taken = append(taken, r.now)
-			acts := r.do(r.ask(nil))
-			for range 3 {
-				var next []Action
-				for _, id := range sends(acts) {
-					q := r.h.requests[id]
-					if q.attempts > 1 {
-						extra = append(extra, r.now)
-						if got, most := within(extra), 3+0.15*float64(within(taken)); float64(got) > most {
-							t.Fatalf("%d further attempts in 5 s, at most %v", got, most)
+			for range 400 {
+				driver.now += 50 * ms
+				admissions = append(admissions, driver.now)
+				actions := driver.handle(driver.newRequest(nil))
+				for range 3 {
+					var next []Action
+					for _, id := range sentIDs(actions) {
+						r := driver.scheduler.requests[id]
+						if r.attempts > 1 {
+							retries = append(retries, driver.now)
+							got, allowed := inWindow(retries), floor+ratio*float64(inWindow(admissions))
+							if float64(got) > allowed {
+								t.Fatalf("%d retries in %v, %v allowed", got, window, allowed)
+							}
 						}
+						driver.node(0).failures = 0
+						next = append(next, driver.finishAttempt(id, r.attempts-1, 0, Error, ms)...)
 					}
-					r.h.endpoints.nodes[server(0)].failures = 0
-					next = append(next, r.done(id, q.attempts-1, 0, Error, ms)...)
+					actions = next
 				}
-				acts = next
 			}
-		}
-		if len(extra) < 20 {
-			t.Fatalf("only %d further attempts: the bound was not met", len(extra))
-		}
+			if len(retries) < 20 {
+				t.Fatalf("only %d retries: the budget was not reached", len(retries))
+			}
+		})
 	}
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -9,231 +10,240 @@
 	"time"
 )
 
+// coldSettings are those of two instances at nodes that need a slow start.
 func coldSettings() Settings {
-	set := settings()
-	set.Instances, set.ColdCapacity, set.ColdFraction, set.SlowStartPeriod, set.OverloadWindow = 2, 20,
-		0.25, 10*time.Second,
-		time.Second
-	return set
+	settings := smallSiteSettings()
+	settings.Instances, settings.ColdCapacity, settings.ColdFraction = 2, 20, 0.25
+	settings.SlowStartPeriod, settings.OverloadWindow = 10*time.Second, time.Second
+	return settings
 }
 
-// A restarted host does not know what it sent to a cold node before.
+// startColdDriver makes a scheduler that knows one node, for cell 0, that started just now.
+func startColdDriver(t *testing.T, settings Settings) *testDriver {
+	t.Helper()
+	driver := startDriver(t, settings, 0)
+	cold := Endpoint{Server: testServer(0), Status: Ready, StartedAt: driver.now}
+	driver.handle(EndpointUpdate{Kind: UpdateFull, Endpoints: []Endpoint{cold}})
+	return driver
+}
+
+// startColdFleet makes so many instances that share one node that started just now.
+func startColdFleet(t *testing.T, settings Settings, instances int) (drivers []*testDriver) {
+	t.Helper()
+	settings.Instances = instances
+	for index := range instances {
+		settings.InstanceIndex = index
+		drivers = append(drivers, startColdDriver(t, settings))
+	}
+	return drivers
+}
+
+// sendIfAllowed records a send to a node at a time, if slow start allows it.
+func (d *testDriver) sendIfAllowed(n *node, now time.Duration, units float64) bool {
+	d.scheduler.now = now
+	if !d.scheduler.slowStartAllows(n, units) {
+		return false
+	}
+	n.sends.push(sendRecord{at: now, units: units})
+	n.unitsSent += units
+	return true
+}
+
+// sentWithin sums the units of sends, in order of time, from the first of them on until a window has passed.
+func sentWithin(sends []sendRecord, window time.Duration) (units float64) {
+	for _, record := range sends {
+		if record.at > sends[0].at+window {
+			break
+		}
+		units += record.units
+	}
+	return units
+}
+
+// An instance that restarted does not know what it sent to a cold node before.
 func TestSlowStart_RestartedInstanceWaitsOneWindow(t *testing.T) {
-	r := start(t, coldSettings(), 0)
-	r.do(EndpointUpdate{Kind: UpdateCached, Endpoints: []Endpoint{{Server: server(0), Status: Ready,
-		StartedAt: r.now - time.Second}}})
-	want(t, "not yet", sends(r.do(r.ask(nil))))
-	r.now += 500 * ms
-	want(t, "not yet", sends(r.do(TimerFired{Token: tokenReview})))
-	r.do(r.ask(func(q *Request) { q.ExpiresAt += 4 * time.Second }))
-	r.now += 500 * ms
-	if got := len(sends(r.do(r.ask(nil)))); got == 0 {
-		t.Error("nothing after the window")
+	driver := startDriver(t, coldSettings(), 0)
+	cold := Endpoint{Server: testServer(0), Status: Ready, StartedAt: driver.now - time.Second}
+	driver.handle(EndpointUpdate{Kind: UpdateCached, Endpoints: []Endpoint{cold}})
+	wantEqual(t, "none at the start", sentIDs(driver.handle(driver.newRequest(nil))))
+	driver.now += 500 * ms
+	wantEqual(t, "none within the window", sentIDs(driver.handle(TimerFired{Token: tokenReview})))
+	driver.handle(driver.newRequest(func(r *Request) { r.ExpiresAt += 4 * time.Second }))
+	driver.now += 500 * ms
+	if got := len(sentIDs(driver.handle(driver.newRequest(nil)))); got == 0 {
+		t.Error("nothing is sent after the window")
 	}
 }
 
 func TestSlowStart_SendsShareOfInstance(t *testing.T) {
-	r := start(t, coldSettings(), 0)
-	r.do(
-		EndpointUpdate{
-			Kind:      UpdateFull,
-			Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}},
-		},
-	)
-	r.fix(64).latency = 250 * ms
-	var evs []Event
+	driver := startColdDriver(t, coldSettings())
+	n := driver.fixDepth(64)
+	n.latency = 250 * ms
+	var requests []Event
 	for range 15 {
-		evs = append(evs, r.ask(nil))
+		requests = append(requests, driver.newRequest(nil))
 	}
-	if got := len(sends(r.do(evs...))); got != 10 {
-		t.Errorf("%d units in the first window, want 20 for 2 hosts = 10", got)
+	if got := len(sentIDs(driver.handle(requests...))); got != 10 {
+		t.Errorf("%d units in the first window, want 20 for 2 instances = 10", got)
 	}
-	n := r.h.endpoints.nodes[server(0)]
-	r.h.now += 6 * time.Second // the window then starts 5 s after the boot: a quarter and half of the rest
-	if !r.h.slowStartAllows(n, 25) || r.h.slowStartAllows(n, 26) {
-		t.Error("later it bears 10 x 0.625 / 0.25 = 25")
+	// The window then starts 5 s after the node: a quarter of the capacity and half of the rest.
+	driver.scheduler.now += 6 * time.Second
+	if !driver.scheduler.slowStartAllows(n, 25) || driver.scheduler.slowStartAllows(n, 26) {
+		t.Error("halfway the node does not take just 10 x 0.625 / 0.25 = 25 units")
 	}
-	r.h.now += 6 * time.Second
-	if !r.h.slowStartAllows(n, 1000) {
-		t.Error("warm, it bears anything")
+	driver.scheduler.now += 6 * time.Second
+	if !driver.scheduler.slowStartAllows(n, 1000) {
+		t.Error("a warm node does not take any number of units")
 	}
 }
 
-// Where the part is less than a request, one may go in a window, up to the rule's multiple of the part.
+// Where the share of an instance is less than a request, instances take turns, in which each may send more.
 func TestSlowStart_ManyInstancesTakeTurns(t *testing.T) {
-	set := coldSettings()
-	set.Instances, set.OverloadFactor = 40, 2
-	r := start(t, set, 0)
-	r.do(
-		EndpointUpdate{
-			Kind:      UpdateFull,
-			Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}},
-		},
-	)
-	r.fix(64).latency = 250 * ms
-	units := func(u float64) Event { return r.ask(func(q *Request) { q.Units, q.Volume = u, uint64(u) }) }
-	want(t, "part of half a unit, in its turn: 2 units, not 3", sends(r.do(units(3), units(2), units(1))), 2)
+	settings := coldSettings()
+	settings.Instances, settings.OverloadFactor = 40, 2
+	driver := startColdDriver(t, settings)
+	driver.fixDepth(64).latency = 250 * ms
+	newRequest := func(units float64) Event {
+		return driver.newRequest(func(r *Request) { r.Units, r.Volume = units, uint64(units) })
+	}
+	sent := sentIDs(driver.handle(newRequest(3), newRequest(2), newRequest(1)))
+	wantEqual(t, "2 units and not 3 in its turn, for a share of half a unit", sent, 2)
 }
 
-// What a cold node serves counts less, what it does not answer counts in full.
+// Requests that a cold node has served count less against its capacity, others count in full.
 func TestSlowStart_ServedRequestsCountLess(t *testing.T) {
-	set := coldSettings()
-	set.OverloadFactor = 2
-	for code, more := range map[ResultCode]int{OK: 5, Overloaded: 0} {
-		r := start(t, set, 0)
-		r.do(
-			EndpointUpdate{
-				Kind:      UpdateFull,
-				Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}},
-			},
-		)
-		n := r.fix(64)
-		n.latency = 250 * ms
-		var evs []Event
-		for range 30 {
-			evs = append(evs, r.ask(nil))
-		}
-		ids := sends(r.do(evs...))
-		for _, id := range ids {
-			r.h.Handle(
-				r.now,
-				AttemptResult{ID: id, Server: server(0), Code: code, Latency: ms, RequestDone: code == OK},
-			)
-		}
-		n.failures = 0
-		if got := len(sends(r.do())); len(ids) != 10 || got != more {
-			t.Errorf("after %d answers %d: %d more, want %d", len(ids), code, got, more)
-		}
+	settings := coldSettings()
+	settings.OverloadFactor = 2
+	for _, test := range []struct {
+		name string
+		code ResultCode
+		more int
+	}{
+		{"served", OK, 5},
+		{"overloaded", Overloaded, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			driver := startColdDriver(t, settings)
+			n := driver.fixDepth(64)
+			n.latency = 250 * ms
+			var requests []Event
+			for range 30 {
+				requests = append(requests, driver.newRequest(nil))
+			}
+			sent := sentIDs(driver.handle(requests...))
+			for _, id := range sent {
+				driver.scheduler.Handle(driver.now, AttemptResult{ID: id, Server: testServer(0),
+					Code: test.code, Latency: ms, RequestDone: test.code == OK})
+			}
+			n.failures = 0
+			if got := len(sentIDs(driver.handle())); len(sent) != 10 || got != test.more {
+				t.Errorf("after %d results %d more are sent, want %d after 10", len(sent), got, test.more)
+			}
+		})
 	}
 }
 
-// An answer from a node finds its own request's mark, never one of another node with the same number: a new
-// object that moved on had marks at two nodes, and the number of the one was looked for at the other.
+// A result credits its own request's record at the node that answered, never one of another node with the
+// same index: a new object that was placed anew has records at two nodes.
 func TestSlowStart_CreditsSendRecordOfAnsweringNode(t *testing.T) {
-	set := scaleSettings()
-	h := New(1, set)
-	a, b := &node{}, &node{}
+	scheduler := New(1, fleetSettings())
+	other, answering := &node{}, &node{}
 	for range 50 {
-		a.sends.push(sendRecord{time.Second, 4})
+		other.sends.push(sendRecord{time.Second, 4})
 	}
-	b.sends.push(sendRecord{time.Second, 4})
-	r := &request{sends: []sendRef{{a, 49}, {b, 0}}}
-	h.creditServed(b, r)
-	if got := b.sends.values()[0].units; got != 2 {
-		t.Errorf("the answering node's mark counts %v, want 2", got)
+	answering.sends.push(sendRecord{time.Second, 4})
+	r := &request{sends: []sendRef{{other, 49}, {answering, 0}}}
+	scheduler.creditServed(answering, r)
+	if got := answering.sends.values()[0].units; got != 2 {
+		t.Errorf("the record at the answering node counts %v units, want 2", got)
 	}
-	if got := a.sends.values()[49].units; got != 4 {
-		t.Errorf("the other node's mark counts %v, want 4", got)
+	if got := other.sends.values()[49].units; got != 4 {
+		t.Errorf("the record at the other node counts %v units, want 4", got)
 	}
 }
 
-// All hosts at once, each sending whatever its guard lets go, must stay within the stated figure in any
-// window, however many they are; and some of it must get through.
+// All instances at once, each sending whatever slow start allows, must stay within the stated capacity in any
+// window, however many they are; and some requests must get through.
 func TestSlowStart_AllInstancesStayWithinCapacity(t *testing.T) {
-	for _, hosts := range []int{2, 10, 19, 30, 57, 170, 230, 300} {
-		set := coldSettings()
-		set.Instances, set.OverloadFactor = hosts, 2.5
-		var sent []sendRecord
-		var all []*rig
-		for me := range hosts {
-			set.InstanceIndex = me
-			r := start(t, set, 0)
-			r.do(
-				EndpointUpdate{
-					Kind:      UpdateFull,
-					Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}},
-				},
-			)
-			all = append(all, r)
-		}
-		boot := all[0].now
-		for now := boot; now < boot+set.SlowStartPeriod; now += 50 * ms {
-			for i, r := range all {
-				n := r.h.endpoints.nodes[server(0)]
-				r.h.now = now
-				for units := float64(1 + i%3); r.h.slowStartAllows(n, units); {
-					n.sends.push(sendRecord{now, units})
-					n.unitsSent += units
-					sent = append(sent, sendRecord{at: now, units: units})
+	for _, instances := range []int{2, 10, 19, 30, 57, 170, 230, 300} {
+		t.Run(fmt.Sprint("instances=", instances), func(t *testing.T) {
+			settings := coldSettings()
+			settings.OverloadFactor = 2.5
+			drivers := startColdFleet(t, settings, instances)
+			startedAt := drivers[0].now
+			var sent []sendRecord
+			for now := startedAt; now < startedAt+settings.SlowStartPeriod; now += 50 * ms {
+				for i, driver := range drivers {
+					n, units := driver.node(0), float64(1+i%3)
+					for driver.sendIfAllowed(n, now, units) {
+						sent = append(sent, sendRecord{at: now, units: units})
+					}
 				}
 			}
-		}
-		for i, first := range sent {
-			sum := 0.0
-			for _, m := range sent[i:] {
-				if m.at > first.at+set.OverloadWindow {
-					break
+			for i, first := range sent {
+				units := sentWithin(sent[i:], settings.OverloadWindow)
+				progress := (first.at - startedAt).Seconds() / settings.SlowStartPeriod.Seconds()
+				if capacity := settings.ColdCapacity * (1 + 3*progress); units > capacity+1e-9 {
+					t.Fatalf("%v units from %v on, want %v at most", units, first.at-startedAt, capacity)
 				}
-				sum += m.units
 			}
-			most := set.ColdCapacity * (1 + 3*(first.at-boot).Seconds()/set.SlowStartPeriod.Seconds())
-			if sum > most+1e-9 {
-				t.Fatalf("%d hosts: %v units from %v on, %v at most", hosts, sum, first.at-boot, most)
+			if len(sent) < 20 {
+				t.Errorf("only %d sends, want 20 at least", len(sent))
 			}
-		}
-		if len(sent) < 20 {
-			t.Errorf("%d hosts: starved, %d sends", hosts, len(sent))
-		}
+		})
 	}
 }
 
-// What every cold disk server has to stand is the sum of all hosts, with unevenly spread traffic (some
-// hosts ask all the time, most now and then) and sends that reach it later than they were decided on, by up
-// to the time that a connection may take to come up. The operators allow N + 2 root of N + 2 requests of
-// mean work in any window, N being what the settings allow then.
+// What a cold node has to take is the sum over all instances, with traffic that is spread unevenly (some
+// instances have requests all the time, most now and then) and with sends that reach it later than they were
+// decided on, by up to the time that a connection may take to come up. The operators allow N + 2 root of N +
+// 2 requests of mean size in any window, N being what the settings allow then.
 func TestSlowStart_UnevenAndLateSendsStayWithinTolerance(t *testing.T) {
-	const window, connect = 3 * time.Second, 250 * time.Millisecond
-	for _, hosts := range []int{30, 300} {
+	for _, instances := range []int{30, 300} {
 		for seed := range uint64(4) {
-			rng := rand.New(rand.NewPCG(seed, uint64(hosts)))
-			set := coldSettings()
-			set.Instances, set.OverloadFactor, set.OverloadWindow, set.ConnectTimeout = hosts, 2.5, window,
-				connect
-			set.ColdCapacity, set.MeanUnits, set.MaxUnits = 62, 2, 6
-			var all []*rig
-			for me := range hosts {
-				set.InstanceIndex = me
-				r := start(t, set, 0)
-				r.do(EndpointUpdate{Kind: UpdateFull,
-					Endpoints: []Endpoint{{Server: server(0), Status: Ready, StartedAt: r.now}}})
-				all = append(all, r)
-			}
-			boot, busy := all[0].now, make([]float64, hosts)
-			for i := range busy { // chance of a request in a step: a few ask for several times the mean
-				busy[i] = min(1, 0.02/(0.02+rng.Float64()))
-			}
-			var sent []sendRecord
-			for now := boot; now < boot+set.SlowStartPeriod; now += 20 * ms {
-				for i, r := range all {
-					n, units := r.h.endpoints.nodes[server(0)], float64(1+rng.IntN(3))
-					r.h.now = now
-					if rng.Float64() > busy[i] || !r.h.slowStartAllows(n, units) {
-						continue
-					}
-					n.sends.push(sendRecord{now, units})
-					n.unitsSent += units
-					sent = append(sent, sendRecord{now + time.Duration(rng.Int64N(int64(connect))), units})
-				}
-			}
-			slices.SortFunc(sent, func(a, b sendRecord) int { return cmp.Compare(a.at, b.at) })
-			for i, first := range sent {
-				sum := 0.0
-				for _, m := range sent[i:] {
-					if m.at > first.at+window {
-						break
-					}
-					sum += m.units / set.MeanUnits
-				}
-				n := set.ColdCapacity / set.MeanUnits * (1 +
-					3*(first.at-boot).Seconds()/set.SlowStartPeriod.Seconds())
-				if most := n + 2*math.Sqrt(n) + 2; sum > most {
-					t.Fatalf("%d hosts, seed %d: %.1f requests of mean work from %v on, %.1f at most", hosts,
-						seed, sum, first.at-boot, most)
-				}
-			}
-			if len(sent) < 20 {
-				t.Errorf("%d hosts: starved, %d sends", hosts, len(sent))
+			t.Run(fmt.Sprintf("instances=%d/seed=%d", instances, seed), func(t *testing.T) {
+				checkUnevenAndLateSends(t, instances, seed)
+			})
+		}
+	}
+}
+
+func checkUnevenAndLateSends(t *testing.T, instances int, seed uint64) {
+	t.Helper()
+	const window, connectTime = 3 * time.Second, 250 * time.Millisecond
+	random := rand.New(rand.NewPCG(seed, uint64(instances)))
+	settings := coldSettings()
+	settings.OverloadFactor, settings.OverloadWindow, settings.ConnectTimeout = 2.5, window, connectTime
+	settings.ColdCapacity, settings.MeanUnits, settings.MaxUnits = 62, 2, 6
+	drivers := startColdFleet(t, settings, instances)
+	startedAt := drivers[0].now
+	requestChance := make([]float64, instances) // in one step: a few have several times the mean
+	for i := range requestChance {
+		requestChance[i] = min(1, 0.02/(0.02+random.Float64()))
+	}
+
+	var arrivals []sendRecord
+	for now := startedAt; now < startedAt+settings.SlowStartPeriod; now += 20 * ms {
+		for i, driver := range drivers {
+			units := float64(1 + random.IntN(3))
+			if random.Float64() > requestChance[i] || !driver.sendIfAllowed(driver.node(0), now, units) {
+				continue
 			}
+			delay := time.Duration(random.Int64N(int64(connectTime)))
+			arrivals = append(arrivals, sendRecord{now + delay, units})
 		}
 	}
+	slices.SortFunc(arrivals, func(a, b sendRecord) int { return cmp.Compare(a.at, b.at) })
+	for i, first := range arrivals {
+		requests := sentWithin(arrivals[i:], window) / settings.MeanUnits
+		progress := (first.at - startedAt).Seconds() / settings.SlowStartPeriod.Seconds()
+		allowed := settings.ColdCapacity / settings.MeanUnits * (1 + 3*progress)
+		if tolerated := allowed + 2*math.Sqrt(allowed) + 2; requests > tolerated {
+			t.Fatalf("%.1f requests of mean size from %v on, %.1f at most", requests, first.at-startedAt,
+				tolerated)
+		}
+	}
+	if len(arrivals) < 20 {
+		t.Errorf("only %d sends, want 20 at least", len(arrivals))
+	}
 }
