--- a/scheduler/characterization_test.go
+++ b/scheduler/characterization_test.go
@@ -12,69 +12,49 @@
 	"time"
 )
 
-// characterization is one run of the random driver with the hash of all actions that the module returned in
-// it, and of what it had learned at the end. The hashes were taken before the module was restructured: a
+// characterization is one run of the random driver with the hash of all actions that the scheduler returned
+// in it, and of what it had learned at the end. The hashes were taken before the package was restructured: a
 // change that is meant to keep behaviour keeps them.
 type characterization struct {
-	name      string
-	seed      uint64
-	shape     uint8
-	change    func(*Settings)
-	elsewhere bool // outcomes tell of service through other instances
-	want      string
+	name             string
+	seed             uint64
+	shape            uint8           // of the random driver's settings
+	change           func(*Settings) // nil: none
+	reportsElsewhere bool            // results tell of service through other instances
+	want             string
 }
 
 func characterizations() []characterization {
-	plain := func(*Settings) {}
 	return []characterization{
-		{"one instance", 1, 0x00, plain, false, "5bde84ff4a961cfe"},
-		{"polled list and retry budget", 2, 0x03, plain, false, "6c4dc5bed98a72c6"},
-		{"merged operations", 3, 0x0c, plain, false, "4e0d4c80944b35ec"},
-		{"sixteen instances, merged operations", 4, 0xff, plain, false, "681d35238c53e64e"},
-		{"service elsewhere", 5, 0x27, plain, true, "2d4ea7463ecbd452"},
-		{
-			"slow start in turns",
-			6,
-			0x0b,
-			func(s *Settings) { s.Instances, s.InstanceIndex, s.ColdCapacity = 220, 7, 40 },
-			false,
-			"0bffd0b8d55a483b",
-		},
-		{
-			"slow start with a share",
-			7,
-			0x09,
-			func(s *Settings) { s.Instances, s.InstanceIndex, s.ColdFraction = 4, 1, 0.25 },
-			false,
-			"a748d635561db248",
-		},
-		{"unequal worths", 8, 0x42, func(s *Settings) {
-			s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 3, 2, 1
-			s.Plans[0].PriorityWeight, s.Plans[1].PriorityWeight = 1, 4
-			s.ShareWeight, s.SpareWeight = 0.35, 0.08
-		}, true, "2d18dd4ba2e20477"},
-		{
-			"marked retries",
-			9,
-			0x12,
-			func(s *Settings) { s.RetriesMarked = true },
-			false,
-			"15bec58c607ceb0c",
-		},
-		{"no Retry-After", 10, 0x06, func(s *Settings) { s.RetryAfter = false }, false, "df4454e482b9daa1"},
-		{
-			"pushed list",
-			11,
-			0x01,
-			func(s *Settings) { s.PushGrace, s.PollTimeout = 250*ms, 4*time.Second },
-			false,
-			"77e4c25f5c508200",
-		},
-		{"fifty-seven instances", 12, 0x8a, func(s *Settings) { s.Instances = 57 }, true, "d5f886cdbf1822a2"},
+		{name: "one instance", seed: 1, shape: 0x00, want: "5bde84ff4a961cfe"},
+		{name: "polled list and retry budget", seed: 2, shape: 0x03, want: "6c4dc5bed98a72c6"},
+		{name: "merged operations", seed: 3, shape: 0x0c, want: "4e0d4c80944b35ec"},
+		{name: "sixteen instances, merged operations", seed: 4, shape: 0xff, want: "681d35238c53e64e"},
+		{name: "service elsewhere", seed: 5, shape: 0x27, reportsElsewhere: true, want: "2d4ea7463ecbd452"},
+		{name: "slow start in turns", seed: 6, shape: 0x0b, want: "0bffd0b8d55a483b",
+			change: func(s *Settings) { s.Instances, s.InstanceIndex, s.ColdCapacity = 220, 7, 40 }},
+		{name: "slow start with a share", seed: 7, shape: 0x09, want: "a748d635561db248",
+			change: func(s *Settings) { s.Instances, s.InstanceIndex, s.ColdFraction = 4, 1, 0.25 }},
+		{name: "unequal priority weights", seed: 8, shape: 0x42, reportsElsewhere: true,
+			want: "2d18dd4ba2e20477", change: setUnequalPriorityWeights},
+		{name: "marked retries", seed: 9, shape: 0x12, want: "15bec58c607ceb0c",
+			change: func(s *Settings) { s.RetriesMarked = true }},
+		{name: "no Retry-After", seed: 10, shape: 0x06, want: "df4454e482b9daa1",
+			change: func(s *Settings) { s.RetryAfter = false }},
+		{name: "pushed list", seed: 11, shape: 0x01, want: "77e4c25f5c508200",
+			change: func(s *Settings) { s.PushGrace, s.PollTimeout = 250*ms, 4*time.Second }},
+		{name: "fifty-seven instances", seed: 12, shape: 0x8a, reportsElsewhere: true,
+			want: "d5f886cdbf1822a2", change: func(s *Settings) { s.Instances = 57 }},
 	}
 }
 
-// Actions are what they were before the module was restructured.
+func setUnequalPriorityWeights(s *Settings) {
+	s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight, s.Classes[2].PriorityWeight = 3, 2, 1
+	s.Plans[0].PriorityWeight, s.Plans[1].PriorityWeight = 1, 4
+	s.ShareWeight, s.SpareWeight = 0.35, 0.08
+}
+
+// Actions are what they were before the package was restructured.
 func TestScheduler_ActionsMatchCharacterization(t *testing.T) {
 	for _, c := range characterizations() {
 		t.Run(c.name, func(t *testing.T) {
@@ -86,58 +66,69 @@
 	}
 }
 
-// play runs the driver, hands what was learned to a second instance and runs that as well.
+// play runs the driver, hands what was learned to a second instance and runs that as well. It returns the
+// hash.
 func (c characterization) play(t *testing.T) string {
-	const steps, leastEvents = 3000, 5000
+	t.Helper()
+	const batches, leastEvents = 3000, 5000
 	sum := sha256.New()
-	first := c.driver(t, c.seed, sum)
+	first := c.newDriver(t, c.seed, sum)
 	events := 0
-	first.events = func() { events++ }
-	first.run(steps)
+	first.countEvent = func() { events++ }
+	first.run(batches)
 	if events < leastEvents {
 		t.Errorf("%d events were played, want %d at least", events, leastEvents)
 	}
-	writeState(sum, first.h)
-	second := c.driver(t, c.seed+100, sum)
-	fmt.Fprintf(sum, "recalled %d\n", second.h.RestoreStatistics(first.h.Statistics()))
-	second.run(steps / 4)
-	writeState(sum, second.h)
+	writeState(sum, first.scheduler)
+	second := c.newDriver(t, c.seed+100, sum)
+	fmt.Fprintf(sum, "recalled %d\n", second.scheduler.RestoreStatistics(first.scheduler.Statistics()))
+	second.run(batches / 4)
+	writeState(sum, second.scheduler)
 	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
 }
 
-func (c characterization) driver(t *testing.T, seed uint64, sum hash.Hash) *chaos {
-	driver := newChaosWith(t, seed, c.shape, c.change)
-	if c.elsewhere {
-		driver.extra = rand.New(rand.NewPCG(seed, 11))
+// newDriver makes a driver that writes all actions into the sum.
+func (c characterization) newDriver(t *testing.T, seed uint64, sum hash.Hash) *randomDriver {
+	t.Helper()
+	change := c.change
+	if change == nil {
+		change = func(*Settings) {}
+	}
+	driver := newRandomDriverWith(t, seed, c.shape, change)
+	if c.reportsElsewhere {
+		driver.elsewhere = rand.New(rand.NewPCG(seed, 11))
+	}
+	driver.recordAction = func(action Action) {
+		fmt.Fprintf(sum, "%d %s\n", int64(driver.now), spellAction(action))
 	}
-	driver.record = func(a Action) { fmt.Fprintf(sum, "%d %s\n", int64(driver.now), spellAction(a)) }
 	return driver
 }
 
-// spellAction writes an action as a word and numbers, so that renamed types and fields do not show.
-func spellAction(a Action) string {
-	switch x := a.(type) {
+// spellAction writes an action as a word and numbers, so that renamed types and fields do not change the
+// hash. The words are those of the time when the hashes were taken and are part of what is hashed.
+func spellAction(action Action) string {
+	switch a := action.(type) {
 	case Send:
-		return fmt.Sprintf("send id=%d to=%s allow=%d before=%d with=%d", x.ID, spellServer(x.Server),
-			int64(x.Timeout), int64(x.StartBefore), x.Leader)
+		return fmt.Sprintf("send id=%d to=%s allow=%d before=%d with=%d", a.ID, spellServer(a.Server),
+			int64(a.Timeout), int64(a.StartBefore), a.Leader)
 	case Reject:
-		return fmt.Sprintf("refuse id=%d backoff=%d", x.ID, int64(x.RetryAfter))
+		return fmt.Sprintf("refuse id=%d backoff=%d", a.ID, int64(a.RetryAfter))
 	case Fail:
-		return fmt.Sprintf("fail id=%d", x.ID)
+		return fmt.Sprintf("fail id=%d", a.ID)
 	case Cancel:
-		return fmt.Sprintf("cancel id=%d attempt=%d", x.ID, x.Attempt)
+		return fmt.Sprintf("cancel id=%d attempt=%d", a.ID, a.Attempt)
 	case SetTimer:
-		return fmt.Sprintf("timer token=%d after=%d", x.Token, int64(x.After))
+		return fmt.Sprintf("timer token=%d after=%d", a.Token, int64(a.After))
 	case CheckHealth:
-		return "probe " + spellServer(x.Server)
+		return "probe " + spellServer(a.Server)
 	case CloseIdle:
-		return "close " + spellServer(x.Server)
+		return "close " + spellServer(a.Server)
 	case SendToPeer:
-		return fmt.Sprintf("tell to=%d body=%x", x.To, x.Body)
+		return fmt.Sprintf("tell to=%d body=%x", a.To, a.Body)
 	case WriteLog:
-		return "log " + x.Text
+		return "log " + a.Text
 	case WatchEndpoints:
-		return fmt.Sprintf("watch on=%t", x.On)
+		return fmt.Sprintf("watch on=%t", a.On)
 	case FetchEndpoints:
 		return "fetch"
 	}
@@ -148,24 +139,21 @@
 	return fmt.Sprintf("%d.%d.%d.%d:%d", s.Addr[0], s.Addr[1], s.Addr[2], s.Addr[3], s.Port)
 }
 
-func spellFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
+func spellFloat(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
 
-// writeState spells what the module believes of the nodes and what it has learned.
-func writeState(sum hash.Hash, h *Scheduler) {
-	for _, b := range h.NodeStates() {
-		fmt.Fprintf(
-			sum,
-			"node %s status=%d out=%d used=%s depth=%s latency=%d fails=%d\n",
-			spellServer(b.Server),
-			uint8(b.Status),
-			b.InFlight,
-			spellFloat(b.SlotsUsed),
-			spellFloat(b.Depth),
-			int64(b.Latency),
-			b.Failures,
-		)
+func spellRegression(g Regression) string {
+	return fmt.Sprintf("%s/%s/%s/%s/%s", spellFloat(g.Count), spellFloat(g.MeanSize), spellFloat(g.MeanTime),
+		spellFloat(g.MeanSquare), spellFloat(g.MeanProduct))
+}
+
+// writeState spells what a scheduler believes of the nodes and what it has learned.
+func writeState(sum hash.Hash, scheduler *Scheduler) {
+	for _, n := range scheduler.NodeStates() {
+		fmt.Fprintf(sum, "node %s status=%d out=%d used=%s depth=%s latency=%d fails=%d\n",
+			spellServer(n.Server), uint8(n.Status), n.InFlight, spellFloat(n.SlotsUsed), spellFloat(n.Depth),
+			int64(n.Latency), n.Failures)
 	}
-	learned := h.Statistics()
+	learned := scheduler.Statistics()
 	for _, server := range slices.SortedFunc(maps.Keys(learned.Nodes), Server.Compare) {
 		n := learned.Nodes[server]
 		fmt.Fprintf(sum, "learned %s latency=%d deviation=%d\n", spellServer(server), int64(n.Latency),
@@ -173,18 +161,8 @@
 	}
 	for i, c := range learned.Classes {
 		fmt.Fprintf(sum, "class %d mean=%s seen=%s fit=%s\n", i, spellFloat(c.MeanUnits), spellFloat(c.Count),
-			spellFit(c.Latency))
+			spellRegression(c.Latency))
 	}
-	fmt.Fprintf(
-		sum,
-		"usual=%s median=%d lately=%d\n",
-		spellFit(learned.AllClasses),
-		int64(learned.MedianLatency),
-		int64(learned.RecentLatency),
-	)
-}
-
-func spellFit(f Regression) string {
-	return fmt.Sprintf("%s/%s/%s/%s/%s", spellFloat(f.Count), spellFloat(f.MeanSize), spellFloat(f.MeanTime),
-		spellFloat(f.MeanSquare), spellFloat(f.MeanProduct))
+	fmt.Fprintf(sum, "usual=%s median=%d lately=%d\n", spellRegression(learned.AllClasses),
+		int64(learned.MedianLatency), int64(learned.RecentLatency))
 }
--- a/scheduler/endpoint_view_test.go
+++ b/scheduler/endpoint_view_test.go
@@ -6,74 +6,74 @@
 )
 
 func TestEndpointView_SendsNothingToDrainingOrGoneNodes(t *testing.T) {
-	for _, st := range []Status{Draining, Gone} {
-		r := start(t, settings(), 1)
-		r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry(0, st)}})
-		want(t, "sent", sends(r.do(r.ask(nil))))
-		r.do(
-			EndpointUpdate{
-				Kind:      UpdateDelta,
-				Endpoints: []Endpoint{{Server: server(7), Status: Ready, Cell: 0}},
-			},
-		)
-		want(t, "the node in its place serves the shard", sends(r.acts), 1)
+	for _, status := range []Status{Draining, Gone} {
+		t.Run(status.String(), func(t *testing.T) {
+			driver := startDriver(t, smallSiteSettings(), 1)
+			driver.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{testEndpoint(0, status)}})
+			wantEqual(t, "sent", sentIDs(driver.handle(driver.newRequest(nil))))
+			successor := Endpoint{Server: testServer(7), Status: Ready, Cell: 0}
+			driver.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{successor}})
+			wantEqual(t, "sent once another node holds the cell", sentIDs(driver.actions), 1)
+		})
 	}
-	r := start(t, settings(), 1)
-	r.do(EndpointUpdate{Kind: UpdateFull})
-	want(t, "left out of a full list", sends(r.do(r.ask(nil))))
+	t.Run("left out of a full list", func(t *testing.T) {
+		driver := startDriver(t, smallSiteSettings(), 1)
+		driver.handle(EndpointUpdate{Kind: UpdateFull})
+		wantEqual(t, "sent", sentIDs(driver.handle(driver.newRequest(nil))))
+	})
 }
 
-// With 250 ms to stop, what was held, placed or waits for a further attempt when a drain is told must not
-// reach the node either: nor may a probe.
+// With a drain grace of 250 ms, requests that are queued, placed or waiting for a retry when a drain is
+// announced must not reach the node any more, nor may a health check.
 func TestEndpointView_DrainStopsQueuedRequests(t *testing.T) {
-	set := settings()
-	set.DrainGrace, set.HealthChecks = 250*ms, true
-	r := start(t, set, 1)
-	n := r.fix(1)
-	r.do(r.ask(nil), r.ask(nil), r.ask(func(q *Request) { q.Cell = NewObject }))
-	if len(n.inFlight) == 0 || len(r.h.endpoints.shards[0].requests) == 0 {
-		t.Fatalf("%d out, %d held: the test needs both", len(n.inFlight),
-			len(r.h.endpoints.shards[0].requests))
+	settings := smallSiteSettings()
+	settings.DrainGrace, settings.HealthChecks = 250*ms, true
+	driver := startDriver(t, settings, 1)
+	n, queue := driver.fixDepth(1), driver.queue(0)
+	driver.handle(driver.newRequest(nil), driver.newRequest(nil), driver.newRequest(asNewObject))
+	if len(n.inFlight) == 0 || len(queue.requests) == 0 {
+		t.Fatalf("%d in flight, %d queued: the test needs both", len(n.inFlight), len(queue.requests))
 	}
-	before := len(r.acts)
-	r.do(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{entry(0, Draining)}})
-	r.done(1, 0, 0, Error, ms) // would be tried again
+	before := len(driver.actions)
+	driver.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{testEndpoint(0, Draining)}})
+	driver.finishAttempt(1, 0, 0, Error, ms) // would be retried
 	for range 8 {
-		r.pass(500 * ms)
+		driver.advance(500 * ms)
 	}
-	for _, a := range r.acts[before:] {
-		switch a := a.(type) {
+	for _, action := range driver.actions[before:] {
+		switch action := action.(type) {
 		case Send, CheckHealth:
-			t.Errorf("after the drain was told: %#v", a)
+			t.Errorf("after the drain was announced: %#v", action)
 		}
 	}
-	if got := len(ends(r.acts)); got != 3 {
-		t.Errorf("%d final answers, want 3: %v", got, ends(r.acts))
+	if got := finalAnswers(driver.actions); len(got) != 3 {
+		t.Errorf("%d final answers, want 3: %v", len(got), got)
 	}
 }
 
-// Nodes that are gone for very long are forgotten; those that come back in time are not, and one whose
-// attempt is still out stays until that is over.
+// Nodes that are gone for very long are forgotten; those that were removed a short time ago are not.
 func TestEndpointView_ForgetsRemovedNodes(t *testing.T) {
-	s := newSteady(scaleSettings(), 1000, 3, 0)
+	load := newSteadyLoad(fleetSettings(), 1000, 3, 0)
+	view := &load.scheduler.endpoints
 	all := []Endpoint{}
-	for _, n := range s.h.endpoints.nodes {
+	for _, n := range view.nodes {
 		all = append(all, n.Endpoint)
 	}
+	applyFull := func(listed []Endpoint) {
+		load.scheduler.Handle(load.now, EndpointUpdate{Kind: UpdateFull, Endpoints: listed})
+	}
 	one := all[:1]
-	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
-	s.now += removedNodeRetention / 2
-	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: all[:2]})
-	s.now += removedNodeRetention/2 + time.Second
-	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
-	if len(s.h.endpoints.nodes) != 2 {
-		t.Fatalf("%d nodes known, want the listed one and the one that went just now",
-			len(s.h.endpoints.nodes))
+	applyFull(one)
+	load.now += removedNodeRetention / 2
+	applyFull(all[:2])
+	load.now += removedNodeRetention/2 + time.Second
+	applyFull(one)
+	if len(view.nodes) != 2 {
+		t.Fatalf("%d nodes known, want the listed one and the one that was removed just now", len(view.nodes))
 	}
-	s.now += removedNodeRetention + time.Second
-	s.h.Handle(s.now, EndpointUpdate{Kind: UpdateFull, Endpoints: one})
-	if len(s.h.endpoints.nodes) != 1 || len(s.h.endpoints.removals) != 0 {
-		t.Fatalf("%d nodes known and %d departures, want 1 and 0", len(s.h.endpoints.nodes),
-			len(s.h.endpoints.removals))
+	load.now += removedNodeRetention + time.Second
+	applyFull(one)
+	if len(view.nodes) != 1 || len(view.removals) != 0 {
+		t.Fatalf("%d nodes and %d removals known, want 1 and 0", len(view.nodes), len(view.removals))
 	}
 }
--- a/scheduler/random_driver_test.go
+++ b/scheduler/random_driver_test.go
@@ -6,278 +6,349 @@
 	"time"
 )
 
-// chaos is what happens to one host, and what is known of it from outside.
-type chaos struct {
-	t      *testing.T
-	rng    *rand.Rand
-	h      *Scheduler
-	set    Settings
-	now    time.Duration
-	timers []chaosTimer
-	reqs   map[uint32]*chaosRequest
-	out    []chaosSend
-	status map[Server]Status
-	nextID uint32
-	joined int  // members of operations
-	lead   Send // last sent alone or as one
+const (
+	randomCells     = 4 // that the endpoint list names
+	randomNodes     = 6
+	randomClasses   = 3
+	randomPlans     = 2
+	randomVolumes   = 9
+	maxRandomWait   = 800 * ms // of a client
+	maxRandomAnswer = 150 * ms // after the send
+	overdueAfter    = 400 * ms // past its deadline a request counts as overdue
+	drainSteps      = 2000     // in which all requests come to their end
+)
+
+// The classes of a randomDriver.
+const (
+	classIdempotent = iota
+	classByKey
+	classNotIdempotent
+)
 
-	record func(Action) // nil: actions are not recorded
-	events func()       // called for each event; nil: events are not counted
-	extra  *rand.Rand   // draws service told of elsewhere; nil: none is told
+// randomDriver drives one scheduler with random events drawn from a seed and checks each action against what
+// is known from outside. It is used for fuzzing and, with the recording fields set, for characterization.
+type randomDriver struct {
+	t          *testing.T
+	random     *rand.Rand
+	scheduler  *Scheduler
+	settings   Settings
+	now        time.Duration
+	timers     []pendingTimer
+	requests   map[uint32]*trackedRequest
+	inFlight   []pendingAttempt
+	statuses   map[Server]Status // of the listed nodes
+	lastID     uint32            // of the requests made
+	lastLeader Send              // last attempt sent that joined no operation
+
+	recordAction func(Action) // nil: actions are not recorded
+	countEvent   func()       // called for each event; nil: events are not counted
+	elsewhere    *rand.Rand   // draws units served through other instances; nil: none are reported
 }
 
-type chaosTimer struct {
+// pendingTimer is a timer that the scheduler asked for.
+type pendingTimer struct {
 	at    time.Duration
 	token uint32
 }
 
-type chaosRequest struct {
+// trackedRequest is what is known from outside of a request.
+type trackedRequest struct {
 	Request
-	sends    int
-	answered bool
-	left     time.Duration // when its client left; an answer of the same batch crossed that
-	mayRun   bool
+	attempts   int
+	answered   bool          // or its client is gone
+	goneAt     time.Duration // when its client went; an answer in the same batch may cross that
+	mayHaveRun bool
 }
 
-type chaosSend struct {
+// pendingAttempt is an attempt in flight.
+type pendingAttempt struct {
 	Send
 	attempt int
-	end     time.Duration
+	endsAt  time.Duration
 }
 
-func newChaos(t *testing.T, seed uint64, shape uint8) *chaos {
-	return newChaosWith(t, seed, shape, func(*Settings) {})
+// newRandomDriver makes a driver. The bits of shape choose between settings.
+func newRandomDriver(t *testing.T, seed uint64, shape uint8) *randomDriver {
+	t.Helper()
+	return newRandomDriverWith(t, seed, shape, func(*Settings) {})
 }
 
-// newChaosWith is newChaos under changed settings.
-func newChaosWith(t *testing.T, seed uint64, shape uint8, change func(*Settings)) *chaos {
-	set := scaleSettings()
-	set.Instances = 1 + int(shape>>4)
-	set.PollEndpoints = shape&1 != 0
-	set.RetryBudget = shape&2 != 0
-	set.OrderingPause = 20 * ms
-	set.Classes = []Class{
-		{LatencyObjective: 200 * ms, Deadline: 800 * ms, PriorityWeight: 1},
-		{
-			LatencyObjective: 200 * ms,
-			Deadline:         800 * ms,
-			Idempotency:      IdempotentByKey,
-			DedupScope:       DedupScope(shape >> 2 & 1),
-			DedupWindow:      400 * ms,
-			OrderedByKey:     true,
-			Writes:           true,
-			PriorityWeight:   1,
-		},
-		{LatencyObjective: 200 * ms, Deadline: 800 * ms, Idempotency: NotIdempotent, PriorityWeight: 1}}
-	set.Plans = []Plan{{Rate: 10, Weight: 1}, {Rate: 10, Weight: 2, Reserve: 5, Limit: 50, Burst: 50}}
-	change(&set)
-	c := &chaos{t: t, rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Hour, h: New(seed, set),
-		reqs: map[uint32]*chaosRequest{}, status: map[Server]Status{}}
+// newRandomDriverWith is newRandomDriver with settings changed.
+func newRandomDriverWith(t *testing.T, seed uint64, shape uint8, change func(*Settings)) *randomDriver {
+	t.Helper()
+	settings := randomSettings(shape)
+	change(&settings)
+	d := &randomDriver{
+		t: t, random: rand.New(rand.NewPCG(seed, 7)), settings: settings, now: time.Hour,
+		scheduler: New(seed, settings), requests: map[uint32]*trackedRequest{}, statuses: map[Server]Status{},
+	}
 	if shape&8 != 0 {
-		c.h.SetBatcher(c)
+		d.scheduler.SetBatcher(d)
 	}
-	c.handle(EndpointUpdate{Kind: UpdateCached, Endpoints: c.entries(6)})
-	c.decide()
-	return c
+	d.handle(EndpointUpdate{Kind: UpdateCached, Endpoints: d.randomEndpoints(randomNodes)})
+	d.decide()
+	return d
 }
 
-// Beside offers whatever was asked lately, known or not, held or out.
-func (c *chaos) Propose(id uint32, join func(uint32, float64) bool) {
-	units := c.reqs[id].Units
-	for range c.rng.IntN(12) {
-		other := c.nextID - c.rng.Uint32N(min(c.nextID, 40))
-		if r := c.reqs[other]; join(other, units+1) {
+// randomSettings are those of a fleet with a class of each idempotency. The bits of shape are, from the
+// lowest: polled list, retry budget, deduplication by zone, batcher (see newRandomDriverWith), and in the
+// upper four the number of instances less one.
+func randomSettings(shape uint8) Settings {
+	settings := fleetSettings()
+	settings.Instances = 1 + int(shape>>4)
+	settings.PollEndpoints = shape&1 != 0
+	settings.RetryBudget = shape&2 != 0
+	settings.OrderingPause = 20 * ms
+	class := Class{LatencyObjective: 200 * ms, Deadline: 800 * ms, PriorityWeight: 1}
+	byKey, notIdempotent := class, class
+	byKey.Idempotency, byKey.DedupScope = IdempotentByKey, DedupScope(shape>>2&1)
+	byKey.DedupWindow, byKey.OrderedByKey, byKey.Writes = 400*ms, true, true
+	notIdempotent.Idempotency = NotIdempotent
+	settings.Classes = []Class{classIdempotent: class, classByKey: byKey, classNotIdempotent: notIdempotent}
+	settings.Plans = []Plan{{Rate: 10, Weight: 1}, {Rate: 10, Weight: 2, Reserve: 5, Limit: 50, Burst: 50}}
+	return settings
+}
+
+// Propose offers recent requests, whether known or not, queued or in flight.
+func (d *randomDriver) Propose(id uint32, join func(uint32, float64) bool) {
+	units := d.requests[id].Units
+	for range d.random.IntN(12) {
+		other := d.lastID - d.random.Uint32N(min(d.lastID, 40))
+		if r := d.requests[other]; join(other, units+1) {
 			units += r.Units
-			c.joined++
 		}
 	}
 }
 
-func (c *chaos) entries(n int) (out []Endpoint) {
-	for i := range n {
-		e := Endpoint{
-			Server: server(i),
-			Cell:   uint16(i % 4),
-			Zone:   uint8(i % 2),
-			Status: Status(c.rng.IntN(3)),
-		}
-		if c.rng.IntN(3) == 0 {
-			e.StartedAt = c.now - time.Duration(c.rng.Int64N(int64(20*time.Second)))
+// randomEndpoints makes the entries of the first so many nodes, in random states.
+func (d *randomDriver) randomEndpoints(count int) (endpoints []Endpoint) {
+	for i := range count {
+		endpoint := Endpoint{Server: testServer(i), Cell: uint16(i % randomCells), Zone: uint8(i % 2),
+			Status: Status(d.random.IntN(3))}
+		if d.random.IntN(3) == 0 {
+			endpoint.StartedAt = d.now - time.Duration(d.random.Int64N(int64(20*time.Second)))
 		}
-		out = append(out, e)
+		endpoints = append(endpoints, endpoint)
 	}
-	return out
+	return endpoints
 }
 
-func (c *chaos) handle(ev Event) {
-	if m, ok := ev.(EndpointUpdate); ok && m.Kind != UpdateFailed {
-		if m.Kind != UpdateDelta {
-			clear(c.status)
+// handle passes an event to the scheduler and notes what an endpoint update tells.
+func (d *randomDriver) handle(event Event) {
+	if update, ok := event.(EndpointUpdate); ok && update.Kind != UpdateFailed {
+		if update.Kind != UpdateDelta {
+			clear(d.statuses)
 		}
-		for _, e := range m.Endpoints {
-			c.status[e.Server] = e.Status
+		for _, endpoint := range update.Endpoints {
+			d.statuses[endpoint.Server] = endpoint.Status
 		}
 	}
-	if c.events != nil {
-		c.events()
+	if d.countEvent != nil {
+		d.countEvent()
 	}
-	c.h.Handle(c.now, ev)
+	d.scheduler.Handle(d.now, event)
 }
 
-func (c *chaos) run(steps int) {
-	for range steps {
-		c.now += time.Duration(c.rng.Int64N(int64(4 * ms)))
-		if c.rng.IntN(100) == 0 {
-			c.now += time.Duration(c.rng.Int64N(int64(300 * ms))) // a stall
+// run plays so many batches of random events, then lets all requests come to their end and checks that each
+// was answered and that the scheduler has forgotten all of them.
+func (d *randomDriver) run(batches int) {
+	d.t.Helper()
+	for range batches {
+		d.now += time.Duration(d.random.Int64N(int64(4 * ms)))
+		if d.random.IntN(100) == 0 { // the process stalls
+			d.now += time.Duration(d.random.Int64N(int64(300 * ms)))
 		}
-		for range c.rng.IntN(4) {
-			c.event()
+		for range d.random.IntN(4) {
+			d.randomEvent()
 		}
-		c.due()
-		c.decide()
+		d.fireTimers()
+		d.endAttempts()
+		d.decide()
 	}
-	for range 2000 { // all comes to its end
-		c.now += 2 * ms
-		c.due()
-		c.decide()
+	for range drainSteps {
+		d.now += 2 * ms
+		d.fireTimers()
+		d.endAttempts()
+		d.decide()
 	}
-	for id, r := range c.reqs {
+	for id, r := range d.requests {
 		if !r.answered {
-			c.t.Fatalf("request %d never got an answer", id)
+			d.t.Fatalf("request %d never got an answer", id)
 		}
 	}
-	if len(c.h.requests) != 0 || c.h.inFlight != 0 || len(c.h.backlog.shards) != 0 {
-		c.t.Fatalf(
-			"%d requests, %d attempts, %d queues left behind",
-			len(c.h.requests),
-			c.h.inFlight,
-			len(c.h.backlog.shards),
-		)
+	s := d.scheduler
+	if len(s.requests) != 0 || s.inFlight != 0 || len(s.backlog.shards) != 0 {
+		d.t.Fatalf("%d requests, %d attempts, %d queues left behind", len(s.requests), s.inFlight,
+			len(s.backlog.shards))
 	}
 }
 
-func (c *chaos) event() {
-	switch x := c.rng.IntN(20); {
-	case x < 16:
-		c.nextID++
-		r := &chaosRequest{Request: Request{ID: c.nextID, Class: c.rng.IntN(3), Cell: c.rng.IntN(6) - 1,
-			Plan: c.rng.IntN(
-				2,
-			), Volume: uint64(c.rng.IntN(9)), Units: float64(1 + c.rng.IntN(8)), VolumeInstances: 1,
-			ExpiresAt: c.now + time.Duration(c.rng.Int64N(int64(800*ms)))}}
-		if r.Class == 1 {
-			r.Key = uint64(1 + c.rng.IntN(3))
-		}
-		c.reqs[r.ID] = r
-		c.handle(r.Request)
-	case x == 16:
-		c.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: c.entries(6)[c.rng.IntN(6):]})
-	case x == 17 && c.rng.IntN(4) == 0:
-		c.handle(EndpointUpdate{Kind: UpdateFull, Endpoints: c.entries(1 + c.rng.IntN(6))})
-	case x == 18:
-		c.handle(EndpointUpdate{Kind: UpdateFailed})
-	case x == 19 && c.nextID > 0:
-		id := 1 + c.rng.Uint32N(c.nextID)
-		if r := c.reqs[id]; !r.answered {
-			r.answered, r.left = true, c.now
-			c.handle(ClientGone{ID: id})
+// randomEvent plays a request, an endpoint update, a client that goes, or nothing.
+func (d *randomDriver) randomEvent() {
+	switch choice := d.random.IntN(20); {
+	case choice < 16:
+		d.lastID++
+		r := d.randomRequest(d.lastID)
+		d.requests[r.ID] = &trackedRequest{Request: r}
+		d.handle(r)
+	case choice == 16:
+		some := d.randomEndpoints(randomNodes)[d.random.IntN(randomNodes):]
+		d.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: some})
+	case choice == 17 && d.random.IntN(4) == 0:
+		all := d.randomEndpoints(1 + d.random.IntN(randomNodes))
+		d.handle(EndpointUpdate{Kind: UpdateFull, Endpoints: all})
+	case choice == 18:
+		d.handle(EndpointUpdate{Kind: UpdateFailed})
+	case choice == 19 && d.lastID > 0:
+		id := 1 + d.random.Uint32N(d.lastID)
+		if r := d.requests[id]; !r.answered {
+			r.answered, r.goneAt = true, d.now
+			d.handle(ClientGone{ID: id})
 		}
 	}
 }
 
-// due lets timers and attempts end; clients whose time is up must have been answered.
-func (c *chaos) due() {
-	timers := c.timers
-	c.timers = nil
-	for _, x := range timers {
-		if x.at > c.now {
-			c.timers = append(c.timers, x)
+// randomRequest draws a request. The order of the draws is part of what the characterization hashes fix.
+func (d *randomDriver) randomRequest(id uint32) Request {
+	r := Request{ID: id, VolumeInstances: 1}
+	r.Class = d.random.IntN(randomClasses)
+	r.Cell = d.random.IntN(6) - 1 // NewObject, a listed cell, or one that no node holds
+	r.Plan = d.random.IntN(randomPlans)
+	r.Volume = uint64(d.random.IntN(randomVolumes))
+	r.Units = float64(1 + d.random.IntN(8))
+	r.ExpiresAt = d.now + time.Duration(d.random.Int64N(int64(maxRandomWait)))
+	if r.Class == classByKey {
+		r.Key = uint64(1 + d.random.IntN(3))
+	}
+	return r
+}
+
+// fireTimers lets the timers fire that are due.
+func (d *randomDriver) fireTimers() {
+	timers := d.timers
+	d.timers = nil
+	for _, timer := range timers {
+		if timer.at > d.now {
+			d.timers = append(d.timers, timer)
 			continue
 		}
-		c.handle(TimerFired{Token: x.token})
+		d.handle(TimerFired{Token: timer.token})
 	}
-	sends := c.out
-	c.out = nil
-	for _, s := range sends {
-		r := c.reqs[s.ID]
-		code := []ResultCode{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, TimedOut}[c.rng.IntN(9)]
-		if r.ExpiresAt <= c.now {
+}
+
+// endAttempts passes random results of the attempts that are due. Those of requests past their deadline time
+// out.
+func (d *randomDriver) endAttempts() {
+	codes := []ResultCode{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, TimedOut}
+	attempts := d.inFlight
+	d.inFlight = nil
+	for _, attempt := range attempts {
+		r := d.requests[attempt.ID]
+		code := codes[d.random.IntN(len(codes))]
+		if r.ExpiresAt <= d.now {
 			code = TimedOut
-		} else if s.end > c.now {
-			c.out = append(c.out, s)
+		} else if attempt.endsAt > d.now {
+			d.inFlight = append(d.inFlight, attempt)
 			continue
 		}
 		if code != Overloaded && code != ConnectFailed {
-			r.mayRun = true
+			r.mayHaveRun = true
 		}
 		r.answered = r.answered || code == OK
-		out := AttemptResult{ID: s.ID, Attempt: s.attempt, Server: s.Server, Code: code, Latency: 10 * ms,
-			RequestDone: r.answered}
-		if c.extra != nil {
-			out.ElsewhereUnits = float64(c.extra.IntN(3))
+		result := AttemptResult{ID: attempt.ID, Attempt: attempt.attempt, Server: attempt.Server, Code: code,
+			Latency: 10 * ms, RequestDone: r.answered}
+		if d.elsewhere != nil {
+			result.ElsewhereUnits = float64(d.elsewhere.IntN(3))
 		}
-		c.handle(out)
+		d.handle(result)
 	}
 }
 
-func (c *chaos) decide() {
-	for _, a := range c.h.Decide(c.now) {
-		if c.record != nil {
-			c.record(a)
+// decide takes the scheduler's actions and checks them, and that no request is overdue.
+func (d *randomDriver) decide() {
+	d.t.Helper()
+	for _, action := range d.scheduler.Decide(d.now) {
+		if d.recordAction != nil {
+			d.recordAction(action)
 		}
-		switch x := a.(type) {
+		switch action := action.(type) {
 		case Send:
-			c.send(x)
+			d.send(action)
 		case Reject:
-			r := c.final(x.ID)
-			untold := r.Class == 2 || r.Class == 1 && c.set.Classes[1].DedupScope != DedupAll
-			if r.mayRun && untold {
-				c.t.Fatalf("request %d refused while it may have run", x.ID)
+			r := d.recordFinalAnswer(action.ID)
+			if r.mayHaveRun && !d.isRetrySafe(r) {
+				d.t.Fatalf("request %d rejected while it may have run", action.ID)
 			}
 		case Fail:
-			c.final(x.ID)
+			d.recordFinalAnswer(action.ID)
 		case SetTimer:
-			c.timers = append(c.timers, chaosTimer{c.now + x.After, x.Token})
+			d.timers = append(d.timers, pendingTimer{d.now + action.After, action.Token})
 		}
 	}
-	for id, r := range c.reqs {
-		if !r.answered && c.now > r.ExpiresAt+400*ms {
-			c.t.Fatalf("request %d is overdue", id)
+	for id, r := range d.requests {
+		if !r.answered && d.now > r.ExpiresAt+overdueAfter {
+			d.t.Fatalf("request %d is overdue", id)
 		}
 	}
 }
 
-func (c *chaos) final(id uint32) *chaosRequest {
-	r := c.reqs[id]
-	if r == nil || r.answered && r.left != c.now {
-		c.t.Fatalf("request %d answered twice or unknown", id)
+// isRetrySafe reports whether a client's retry of a request that may have run does no harm. It restates what
+// Class.RetrySafe decides.
+func (d *randomDriver) isRetrySafe(r *trackedRequest) bool {
+	switch r.Class {
+	case classIdempotent:
+		return true
+	case classByKey:
+		return d.settings.Classes[classByKey].DedupScope == DedupAll
+	}
+	return false
+}
+
+// recordFinalAnswer notes that a request was answered and checks that it was so once.
+func (d *randomDriver) recordFinalAnswer(id uint32) *trackedRequest {
+	d.t.Helper()
+	r := d.requests[id]
+	if r == nil || r.answered && r.goneAt != d.now {
+		d.t.Fatalf("request %d answered twice or unknown", id)
 	}
 	r.answered = true
 	return r
 }
 
-func (c *chaos) send(s Send) {
-	r := c.reqs[s.ID]
+// send checks an attempt and lets it end at a random time.
+func (d *randomDriver) send(send Send) {
+	d.t.Helper()
+	r := d.requests[send.ID]
 	switch {
 	case r.answered:
-		c.t.Fatalf("request %d sent after its answer", s.ID)
-	case r.sends >= c.set.MaxAttempts:
-		c.t.Fatalf("request %d sent %d times", s.ID, r.sends+1)
-	case r.Class == 2 && r.mayRun:
-		c.t.Fatalf("unsafe request %d sent again", s.ID)
-	case c.status[s.Server] != Ready:
-		c.t.Fatalf("request %d sent to a node that is not ready", s.ID)
+		d.t.Fatalf("request %d sent after its answer", send.ID)
+	case r.attempts >= d.settings.MaxAttempts:
+		d.t.Fatalf("request %d sent %d times", send.ID, r.attempts+1)
+	case r.Class == classNotIdempotent && r.mayHaveRun:
+		d.t.Fatalf("request %d is not idempotent and is sent again", send.ID)
+	case d.statuses[send.Server] != Ready:
+		d.t.Fatalf("request %d sent to a node that is not ready", send.ID)
+	}
+	d.checkOperation(send, r)
+	latency := time.Duration(d.random.Int64N(int64(maxRandomAnswer)))
+	if send.Timeout > 0 {
+		latency = min(latency, send.Timeout)
 	}
-	if s.Leader == 0 {
-		c.lead = s
-	} else if s.Leader != c.lead.ID || s.Server != c.lead.Server || r.sends > 0 ||
-		r.Class != c.reqs[s.Leader].Class {
-		c.t.Fatalf("request %d sent as a member with %d: %+v after %+v", s.ID, s.Leader, s, c.lead)
+	d.inFlight = append(d.inFlight, pendingAttempt{send, r.attempts, d.now + latency})
+	r.attempts++
+}
+
+// checkOperation checks that a member of an operation follows its leader at once, is of the same class, goes
+// to the same node and is not a retry.
+func (d *randomDriver) checkOperation(send Send, r *trackedRequest) {
+	d.t.Helper()
+	if send.Leader == 0 {
+		d.lastLeader = send
+		return
 	}
-	end := time.Duration(c.rng.Int64N(int64(150 * ms)))
-	if s.Timeout > 0 {
-		end = min(end, s.Timeout)
+	if send.Leader != d.lastLeader.ID || send.Server != d.lastLeader.Server || r.attempts > 0 ||
+		r.Class != d.requests[send.Leader].Class {
+		d.t.Fatalf("request %d sent as a member with %d: %+v after %+v", send.ID, send.Leader, send,
+			d.lastLeader)
 	}
-	c.out = append(c.out, chaosSend{s, r.sends, c.now + end})
-	r.sends++
 }
--- a/scheduler/volume_test.go
+++ b/scheduler/volume_test.go
@@ -7,74 +7,77 @@
 
 // BenchmarkVolumes_SeenOnce shows what volumes that are seen once leave behind.
 func BenchmarkVolumes_SeenOnce(b *testing.B) {
-	s := newSteady(scaleSettings(), 100_000, 10, 0)
+	load := newSteadyLoad(fleetSettings(), 100_000, 10, 0)
 	for range b.N {
-		s.step(uint64(s.next))
+		load.step(uint64(load.nextID))
 	}
-	b.ReportMetric(float64(len(s.h.volumes.byID)), "volumes-kept")
+	b.ReportMetric(float64(len(load.scheduler.volumes.byID)), "volumes-kept")
 }
 
 // Volumes that were seen once are forgotten, so that a million of them take no more memory than those that
-// came lately; so are the records of taken requests, of sends and of keys.
+// came recently; so are the records of admitted requests, of sends and of keys.
 func TestVolumes_SeenOnceAreForgotten(t *testing.T) {
-	set := scaleSettings()
-	s := newSteady(set, 100_000, 10, 0)
+	load := newSteadyLoad(fleetSettings(), 100_000, 10, 0)
 	for range 200_000 {
-		s.step(uint64(s.next))
+		load.step(uint64(load.nextID))
 	}
-	kept, heap := len(s.h.volumes.byID), heapInUse()
+	volumes := &load.scheduler.volumes
+	knownBefore, heapBefore := len(volumes.byID), heapInUse()
 	for range 800_000 {
-		s.step(uint64(s.next))
+		load.step(uint64(load.nextID))
 	}
-	if got := len(s.h.volumes.byID); got > 2*kept+1000 || got > 500_000 {
-		t.Errorf("%d volumes kept after 1,000,000, %d after 200,000", got, kept)
+	if known := len(volumes.byID); known > 2*knownBefore+1000 || known > 500_000 {
+		t.Errorf("%d volumes known after 1,000,000, %d after 200,000", known, knownBefore)
 	}
-	if len(s.h.volumes.byID) != len(s.h.volumes.order) {
-		t.Errorf("%d volumes known, %d looked through", len(s.h.volumes.byID), len(s.h.volumes.order))
+	if len(volumes.byID) != len(volumes.order) {
+		t.Errorf("%d volumes known, %d looked through", len(volumes.byID), len(volumes.order))
 	}
-	if got := heapInUse(); got > 2*heap+(64<<20) {
-		t.Errorf("heap %d MiB after 1,000,000, %d MiB after 200,000", got>>20, heap>>20)
+	if heap := heapInUse(); heap > 2*heapBefore+(64<<20) {
+		t.Errorf("heap %d MiB after 1,000,000, %d MiB after 200,000", heap>>20, heapBefore>>20)
 	}
-	for _, n := range s.h.endpoints.nodes {
-		if got, most := len(n.sends.items), 2*100_000*3/10+1000; got > 2*most {
-			t.Errorf("%d sends remembered, %d in the window", got, most)
+	const sendsInWindow = 2*100_000*3/10 + 1000
+	for _, n := range load.scheduler.endpoints.nodes {
+		if got := len(n.sends.items); got > 2*sendsInWindow {
+			t.Errorf("%d sends recorded, %d in the window", got, sendsInWindow)
 		}
 	}
-	runtime.KeepAlive(s)
+	runtime.KeepAlive(load)
+}
+
+func heapInUse() uint64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
 
 // A volume that is forgotten and comes again is held to its limit as one that was known all along.
 func TestVolumes_ForgottenVolumeKeepsItsQuota(t *testing.T) {
-	set := scaleSettings()
-	set.Plans[0].Limit, set.Plans[0].Burst, set.Plans[0].Reserve, set.MaxUnits = 10, 20, 2, 4
-	s := newSteady(set, 1000, 4, 0)
+	settings := fleetSettings()
+	settings.Plans[0].Limit, settings.Plans[0].Burst = 10, 20
+	settings.Plans[0].Reserve, settings.MaxUnits = 2, 4
+	load := newSteadyLoad(settings, 1000, 4, 0)
+	volumes := &load.scheduler.volumes
 	for range 10_000 {
-		s.step(7)
+		load.step(7)
 	}
-	spent := s.h.volumes.byID[7].limit.level
-	if spent > 1 {
-		t.Fatalf("the limit of a volume asked for 1000 a second still holds %v", spent)
+	if level := volumes.byID[7].limit.level; level > 1 {
+		t.Fatalf("the quota of a volume with 1000 requests per second still holds %v", level)
 	}
-	for range 500 { // others come: not enough time for the limit to fill
-		s.step(8)
+	for range 500 { // another volume comes: not enough time for the quota to refill
+		load.step(8)
 	}
-	if s.h.volumes.byID[7] == nil {
-		t.Fatal("forgotten while its limit's store is not full")
+	if volumes.byID[7] == nil {
+		t.Fatal("forgotten while the bucket of its quota is not full")
 	}
 	for i := range 20_000 {
-		s.step(uint64(9 + i%3))
+		load.step(uint64(9 + i%3))
 	}
-	if s.h.volumes.byID[7] != nil {
-		t.Fatal("still known long after its stores filled")
+	if volumes.byID[7] != nil {
+		t.Fatal("still known long after its buckets filled")
 	}
-	if v := s.h.volumeFor(Request{Volume: 7, VolumeInstances: 1}); s.h.quotaRemaining(v) > 20 {
-		t.Errorf("a forgotten volume has %v units, its store holds 20", s.h.quotaRemaining(v))
+	v := load.scheduler.volumeFor(Request{Volume: 7, VolumeInstances: 1})
+	if remaining := load.scheduler.quotaRemaining(v); remaining > 20 {
+		t.Errorf("a forgotten volume has %v units, its bucket holds 20", remaining)
 	}
 }
-
-func heapInUse() uint64 {
-	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
-}
