--- a/scheduler/batching_test.go
+++ b/scheduler/batching_test.go
@@ -19,6 +19,7 @@
 	return &greedyBatcher{units: map[uint32]float64{}, maxMembers: maxMembers}
 }
 
+// Propose offers every other request that it knows until the operation has all the members it may have.
 func (b *greedyBatcher) Propose(id uint32, join func(uint32, float64) bool) {
 	units, members := b.units[id], 1
 	for _, other := range b.ids {
