--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Action is an output of the scheduler that its driver carries out: one of the types below.
+// Action is an output of the scheduler that its driver carries out: one of the types below. At present the
+// scheduler returns Send, Reject, Fail, SetTimer and WatchEndpoints only.
 type Action interface{ isAction() }
 
 // Send starts an attempt. Attempts of a request are numbered from 0 in the order of their sends.
@@ -17,7 +18,7 @@
 // Reject is a final answer that promises that a retry does no harm.
 type Reject struct {
 	ID         uint32
-	RetryAfter time.Duration // when to come back; 0: not told
+	RetryAfter time.Duration // how long the client should wait before a retry; 0: not stated
 }
 
 // Fail is a final answer that promises nothing.
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -81,10 +81,10 @@
 	return knownClass && inTime && placeable
 }
 
-// objectiveTime is when a request's latency objective ends. A client's retry has less time left than a first
-// try, and its objective counts from the first. A first try with less time than the objective comes from an
-// impatient client: its objective counts from now, as does that of a retry so late that little can be earned
-// either way.
+// objectiveTime is when a request's latency objective ends. The objective of a client's retry counts from its
+// first try, which is taken to have come with the longest wait that clients of the class grant. It counts
+// from now for a request with less time left than the objective, which comes from an impatient client or is a
+// retry so late that little is lost either way; and, where clients mark their retries, for all others.
 func (s *Scheduler) objectiveTime(r *request) time.Duration {
 	at := r.ExpiresAt
 	if objective := r.class.LatencyObjective; objective > 0 {
@@ -93,7 +93,7 @@
 			at = s.now + objective
 		}
 	}
-	// An instance that has only seen retries knows too short a longest wait: never hold a request beyond its
-	// own.
+	// An instance that has seen nothing but retries takes too short a wait for the longest and gets too late
+	// a time: never hold a request beyond its own deadline.
 	return min(at, r.ExpiresAt-timingMargin)
 }
--- a/scheduler/batching.go
+++ b/scheduler/batching.go
@@ -37,8 +37,9 @@
 }
 
 // mayJoin reports whether a queued request may become a member, the operation then counting so many units. It
-// joins in tag order, or ahead of it by no more than its volume's largest request, and the operation must not
-// end later for a member than alone, within the node's mean deviation.
+// must be the next in tag order, or its finish tag must be ahead of the virtual time by no more than one
+// largest request. The operation must be expected to end within the objectives of member and leader, and no
+// later than either would end alone, give or take the node's mean deviation.
 func (s *Scheduler) mayJoin(op *operation, r *request, units float64) bool {
 	leader, n, queue := op.leader, op.node, op.leader.shard
 	if !r.queued || r.attempts > 0 || r.shard != queue || r.class != leader.class {
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -10,8 +10,8 @@
 	initialDepth        = 8.0  // slots at a node of which nothing is known; the design's value
 	fleetSlots          = 128  // that all instances together may use at a node that answers quickly
 	congestionThreshold = 0.3  // of the shortest objective: a higher latency reduces fleetSlots
-	congestionExponent  = 4.0  // by this power of it
-	maxDepth            = 24.0 // attempts in flight at one node, those given up for lost included
+	congestionExponent  = 4.0  // by this power of the latency over that
+	maxDepth            = 24.0 // of slots, and of attempts in flight at one node with lost ones included
 	depthGain           = 3.0  // slots that all instances together gain in a period
 	depthStep           = 0.5  // part of the way to the wanted depth that one period goes
 	nodeTimeFraction    = 0.1  // of the shortest objective that a request may spend at its node
@@ -20,9 +20,9 @@
 	minAdaptPeriod      = 50 * time.Millisecond
 )
 
-// exceedsSlots reports whether a request must wait for slots of its shard's node. A new object is not bound
-// to one node, so all of them keep the node's pace: where few nodes are left, those of all instances would
-// starve reads.
+// exceedsSlots reports whether a request must wait for slots of its shard's node. Pacing holds back requests
+// that start after the virtual time, and all new objects: they are not bound to this node, and where few
+// nodes are left the new objects of all instances would starve the reads that are.
 func (s *Scheduler) exceedsSlots(queue *shardQueue, r *request) bool {
 	n, limit := queue.node, s.slotLimit(queue, r)
 	if n.slotsUsed > 0 && n.slotsUsed+r.slotCost > limit {
@@ -32,14 +32,18 @@
 	return (ahead && s.isPaced(n, limit)) || len(n.inFlight) >= maxDepth
 }
 
-// slotLimit is how many slots may be used at the shard's node when a request joins those in flight: the
-// depth, but of many instances only a share of what all may use there, which falls steeply once the node's
-// latency passes the congestion threshold. Of many instances most are idle at a node at any moment, so the
-// share starts high; a jam of all of them must still end. The work itself counts for all alike; the wait
-// beyond it counts more for what has less priority weight, else patient low-priority requests fill a slow
-// node and those with short objectives expire there first. A request that starts no later than the virtual
-// time gets extra slots, as its volume has had no more than its share here while others may have filled the
-// node; they shrink to none with latency.
+// slotLimit is how many slots may be used at the shard's node when a request joins those in flight.
+//
+// It is the depth, but no more than this instance's share of the slots of all instances. At any moment most
+// instances have nothing at a given node, so their sum starts high; it falls steeply once the node's latency
+// passes the congestion threshold, so that the node recovers even when all of them use it.
+//
+// The latency of the work itself counts alike for all requests. The wait beyond it counts more for requests
+// of less priority weight: otherwise patient low-priority requests fill a slow node, and those with short
+// objectives expire first.
+//
+// A request that starts no later than the virtual time gets extra slots, as its volume has had no more than
+// its share while others may have filled the node. They shrink to none as the latency grows.
 func (s *Scheduler) slotLimit(queue *shardQueue, r *request) float64 {
 	n := queue.node
 	if s.objectives.shortest <= 0 {
@@ -57,9 +61,9 @@
 	return limit + extraSlots*max(0, 1-usage/extraSlotsThreshold)
 }
 
-// relativeWeight is the priority weight of a request's units against the largest there is. The class's weight
-// is squared: the class of less weight is mostly the patient one, which gets in whenever a jam eases. Weights
-// that are not told count alike.
+// relativeWeight is the priority weight of a request's units relative to the largest there is. The class's
+// weight is squared: classes of less weight mostly have the longer objectives, so their requests are still
+// queued whenever congestion eases. A weight that is not set counts as 1.
 func (s *Scheduler) relativeWeight(r *request) float64 {
 	reserved := r.reservedUnits / r.Units
 	classWeight := cmp.Or(r.class.PriorityWeight, 1) / cmp.Or(s.objectives.maxClassWeight, 1)
@@ -68,8 +72,8 @@
 	return classWeight * classWeight * planWeight * shareWeight
 }
 
-// isPaced reports whether a limit under one slot holds the next send back: the last send's slot then counts
-// for longer than its attempt is in flight.
+// isPaced reports whether a limit under one slot holds the next send back. Sends are then spaced by the
+// node's latency divided by the limit, as if the last one used its slot for that long.
 func (s *Scheduler) isPaced(n *node, limit float64) bool {
 	return limit < 1 && n.hasSent && s.now-n.lastSentAt < seconds(n.latency.Seconds()/limit)
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// dispatchVerdict is what becomes of a queued request when its shard is looked through.
+// dispatchVerdict is what becomes of a queued request when its shard is dispatched.
 type dispatchVerdict uint8
 
 const (
@@ -37,7 +37,7 @@
 				head = r
 			}
 			i++
-		case shedRequest:
+		case shedRequest: // it leaves the queue, so i is now the next request's
 			s.finishUnserved(r, 0)
 		case backfillExhausted:
 			return
@@ -121,9 +121,9 @@
 	s.emit(send)
 }
 
-// attemptTimeout bounds an attempt. Where a retry is safe it ends with the latency objective, since a later
-// answer earns little, while a node that holds what nobody waits for gets slower by it and may never recover.
-// Other attempts may take as long as the client waits (0), as their end would leave the outcome uncertain.
+// attemptTimeout bounds an attempt. That of an idempotent request ends with the latency objective: a later
+// answer is worth little, and a node that is busy with requests for which nobody waits may never recover.
+// Other attempts may take as long as the client waits (0), as ending them would leave the outcome uncertain.
 func (s *Scheduler) attemptTimeout(r *request) time.Duration {
 	if r.class.Idempotency != Idempotent || r.objectiveAt <= s.now {
 		return 0
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,4 +1,4 @@
-// Package scheduler decides when a host's storage requests are sent and to which node.
+// Package scheduler decides when the storage requests of one gateway instance are sent and to which node.
 //
 // A [Scheduler] queues requests per shard and dispatches them by SFQ(D)+: in start-tag order, while the slot
 // cost of the attempts in flight at the node stays within its depth, with capped backfill of small requests
--- a/scheduler/endpoint_view.go
+++ b/scheduler/endpoint_view.go
@@ -32,7 +32,7 @@
 	removedAt         time.Duration // 0: it is listed
 }
 
-// restart forgets what was learned of a node, as its process is a new one.
+// restart sets what is learned of a node back to the values of an unknown one, as its process is new.
 func (n *node) restart(depth float64, target time.Duration) {
 	n.depth, n.latency, n.deviation = depth, target/2, target/4
 	n.failures, n.consecutiveResets, n.errorRate, n.retryAt = 0, 0, 0, 0
@@ -84,7 +84,7 @@
 }
 
 // forgetRemoved drops nodes that have been gone for very long, so that they do not accumulate over months. A
-// node that is listed again sooner is remembered as it was.
+// node that is listed again sooner is remembered as it was, and one with attempts in flight stays.
 func (v *endpointView) forgetRemoved(now time.Duration) {
 	for len(v.removals) > 0 && now-v.removals[0].at >= removedNodeRetention {
 		oldest := v.removals[0]
--- a/scheduler/endpoint_watch.go
+++ b/scheduler/endpoint_watch.go
@@ -28,8 +28,8 @@
 	return endpointWatch{reopenDelay: delay}
 }
 
-// openWatch opens the watch, and again if nothing at all is heard of it for half of the time within which an
-// instance must have asked: answers of the registry may get lost too.
+// openWatch opens the watch, and schedules that it is opened again unless something is heard of it within
+// half of PollTimeout, or within two reopen delays if those are longer: the registry's answer may get lost.
 func (s *Scheduler) openWatch() {
 	s.watch.heard = false
 	s.emit(WatchEndpoints{On: true})
@@ -47,10 +47,10 @@
 	}
 }
 
-// watchFailed schedules a new watch. A failed call does not tell whether a watch still stands, so it is
-// opened again in any case, at a random time, so that the instances of a fleet do not ask in step. A watch
-// that stood and broke is mostly back at once, and its first call may fail too: the next delays after it are
-// shorter.
+// watchFailed schedules a new watch, unless one is due soon already. A failed call does not tell whether a
+// watch still stands, so it is opened again in any case, after a random delay, so that the instances of a
+// fleet do not call in step. A watch that stood and broke can mostly be opened again at once, and the first
+// call for that may fail too: the delays after it are shorter.
 func (s *Scheduler) watchFailed() {
 	delay := s.watch.reopenDelay
 	pending := !s.watch.heard && s.watch.reopenAt <= s.now+2*delay
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -68,8 +68,8 @@
 	return seconds(c.latency.predict(units) - m.allClasses.meanTime)
 }
 
-// ofNode is what the usual request takes at a node. What is old of it fades towards that of all nodes: with
-// many instances, each hears of a node only now and then.
+// ofNode is what the usual request takes at a node. It fades towards the recent mean of all nodes as it gets
+// old: with many instances, each gets an answer of a node only now and then.
 func (m *latencyModel) ofNode(n *node, now time.Duration) time.Duration {
 	if m.allClasses.count < regressionMinCount {
 		return n.latency
@@ -85,8 +85,9 @@
 	return max(0, s.recentLatency(n)+s.latency.sizeCorrection(r.class, r.Units))
 }
 
-// learnLoss takes in that an attempt got no answer: it would have taken longer, by about the mean. Nodes that
-// are cut off must not speak for all.
+// learnLoss learns from an attempt that got no answer, of which only the time waited is known. The model of
+// all nodes takes in twice its mean at most, and nothing from a node that fails repeatedly, as nodes that are
+// cut off must not make all others look slow.
 func (s *Scheduler) learnLoss(n *node, waited time.Duration) {
 	if n.failures <= 1 {
 		s.latency.observe(min(waited, 2*s.latency.recentMean))
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -32,8 +32,9 @@
 	queue.requests = append(queue.requests, r)
 }
 
-// isTurn reports whether a request's key lets it be sent. A member of an operation may follow those of its
-// key that are members too, unless each could run again later.
+// isTurn reports whether a request's key lets it be sent. A member of an operation may follow earlier
+// requests of its key that are in the same operation, unless the class is idempotent: a retry of one of those
+// could then run after it.
 func (t *keyTable) isTurn(r, leader *request, now time.Duration) bool {
 	if !r.isOrdered() {
 		return true
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -41,8 +41,9 @@
 		result.Latency > min(n.latency, s.objectives.shortest/2)
 }
 
-// detectOutlier counts failures in a row. Nodes that do their work may lose a part of the answers: one reset
-// is no failure, two in a row are.
+// detectOutlier counts a node's failures in a row. An error is an answer and ends the row. Of nodes that do
+// their work some answers may still get lost with a connection: one reset is no failure, the second in a row
+// is. A timeout counts if silent says so.
 func (s *Scheduler) detectOutlier(n *node, r *request, code ResultCode, silent bool) {
 	switch {
 	case code == OK || code == Error:
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// errorExponent is the power of the part of good answers by which a new object's wait is divided.
+// errorExponent is the power of a node's part of answers without error by which a new object's wait is
+// divided.
 const errorExponent = 3.0
 
 // placeNewObject picks the shard for an object that may be placed anywhere: the one with the least expected
@@ -24,8 +25,8 @@
 
 // placementWait estimates a new object's wait at a shard: the work at hand, in requests, times what the node
 // takes for one. A stuck node shows first in the age of its oldest attempt. A node that fails most requests
-// fast looks quick and idle, so errors count as wait. Of nodes never heard of, which look alike, instances
-// that start pick at random.
+// fast looks quick and idle, so errors count as wait. Nodes that never answered look alike, so their waits
+// are randomized: instances that start would else all pick the same one.
 func (s *Scheduler) placementWait(queue *shardQueue, r *request) float64 {
 	n := queue.node
 	wait := s.expectedLatency(n, r).Seconds()
--- a/scheduler/result.go
+++ b/scheduler/result.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// requeue puts a request back for its next attempt. A new object that cannot exist twice is placed anew.
+// requeue puts a request back for its next attempt. A new object is placed anew where a second copy of it
+// does no harm or cannot come about.
 func (s *Scheduler) requeue(r *request) {
 	if r.Cell < 0 && (r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent) {
 		r.shard = s.placeNewObject(r)
@@ -60,8 +61,9 @@
 	s.backlog.enqueue(r)
 }
 
-// shedLate gives up at once on queued requests that would miss their objective even if they were sent now:
-// they would only take slots from requests that can still be in time.
+// shedLate ends at once the queued requests that would miss their objective even if they were sent now, as
+// they would only take slots from requests that can still be in time, and those that may not be retried any
+// more.
 func (s *Scheduler) shedLate(queue *shardQueue) {
 	n := queue.node
 	for _, r := range slices.Clone(queue.requests) {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -48,7 +48,8 @@
 	b.admissions.dropWhile(func(at time.Duration) bool { return at <= now-b.window })
 }
 
-// mayRetry guards against a second effect of a request, and keeps the retry budget.
+// mayRetry reports whether a request may be sent again, to a node: within the number of attempts and the
+// retry budget, and only where a second execution does no harm.
 func (s *Scheduler) mayRetry(r *request, n *node) bool {
 	if r.attempts >= s.settings.MaxAttempts || !s.retries.allowsRetry(s.now) {
 		return false
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -93,7 +93,8 @@
 	return o
 }
 
-// Handle takes one event in. The clock value must not be smaller than that of an earlier call.
+// Handle takes one event in. The clock value must not be smaller than that of an earlier call. Events that
+// the scheduler makes no use of (ResponseStarted, HealthCheckResult, PeerMessage) only advance the clock.
 func (s *Scheduler) Handle(now time.Duration, event Event) {
 	s.advanceClock(now)
 	switch event := event.(type) {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -31,7 +31,7 @@
 	DedupWindow      time.Duration // how long that scope remembers a key
 	OrderedByKey     bool          // requests of one key run one at a time, in arrival order
 	Writes           bool
-	PriorityWeight   float64 // value of an answer within the objective; 0: not told
+	PriorityWeight   float64 // value of an answer within the objective; 0: not set
 	LateFraction     float64 // part of that value which a late answer still has
 }
 
@@ -50,7 +50,7 @@
 	Limit          float64 // rate of the quota; 0: no quota
 	Burst          float64 // units that the quota's bucket holds
 	LimitSlack     float64 // part of the quota that may be exceeded; not used
-	PriorityWeight float64 // value of the plan's answers; 0: not told
+	PriorityWeight float64 // value of the plan's answers; 0: not set
 }
 
 // Settings configure a Scheduler. They do not change during its lifetime.
@@ -66,7 +66,7 @@
 	Cancellation      bool
 	HedgedRequests    bool
 	RetryAfter        bool          // rejections may say when to come back
-	MaxRetryAfter     time.Duration // the longest such advice
+	MaxRetryAfter     time.Duration // the longest Retry-After
 	ConnectTimeout    time.Duration
 	BatchInterval     time.Duration // batches begin at most this often
 	MeanUnits         float64       // of a request
--- a/scheduler/sfq.go
+++ b/scheduler/sfq.go
@@ -61,7 +61,7 @@
 }
 
 // compareTags orders requests by start tag. At equal tags those wholly inside their reserve go first, then
-// age decides.
+// the order of arrival decides.
 func compareTags(a, b *request) int {
 	return cmp.Or(cmp.Compare(a.startTag, b.startTag), cmp.Compare(a.beyondReserve(), b.beyondReserve()),
 		cmp.Compare(a.sequence, b.sequence))
@@ -91,8 +91,8 @@
 	r.sequence = s.sequence
 }
 
-// refundTags returns what a request took that was never sent: its volume's place in the order and its
-// reserve.
+// refundTags gives back what a request that was never sent has taken from its volume: its part of the finish
+// tag and of the reserve.
 func (r *request) refundTags() {
 	r.volume.finishTags[r.shard] -= r.tagAdvance
 	r.volume.reserve.level += r.reservedUnits
--- a/scheduler/sliding_window.go
+++ b/scheduler/sliding_window.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// slidingWindow is a queue whose head is dropped at no cost per step: dropped items are cut off once they are
-// half of all.
+// slidingWindow is a queue in which push and drop take constant time on average: dropped items stay in memory
+// until they are more than half of all. Items keep their index for good.
 type slidingWindow[T any] struct {
 	items   []T
 	head    int // of items, dropped already
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -52,8 +52,8 @@
 	return isOurs && s.fitsOverloadWindow(n, units, turnCapacity/math.Ceil(instances/turns))
 }
 
-// slowStartCapacity is what a node takes in a window that begins so long after its start: more as it is sure
-// to warm.
+// slowStartCapacity is how many units a node takes in a window that begins so long after its start: the cold
+// capacity at first, growing evenly to that of a warm node at the end of the slow start.
 func (s *Scheduler) slowStartCapacity(sinceStart time.Duration) float64 {
 	if sinceStart <= 0 || s.settings.ColdFraction <= 0 {
 		return s.settings.ColdCapacity
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -68,14 +68,16 @@
 }
 
 // forgetIdleVolumes forgets volumes of which no more is known than of a new one, so that volumes seen once do
-// not accumulate. Where each comes once, no virtual time ever passes their tags: over maxVolumes idle ones
-// are forgotten all the same, and one that comes again soon may lead by what it had.
+// not accumulate. Where very many volumes come once each, the virtual time hardly passes their finish tags:
+// over maxVolumes, idle ones are forgotten all the same, and one that comes again soon may start ahead of its
+// share.
 func (s *Scheduler) forgetIdleVolumes() { s.volumes.sweep(s.isForgettable) }
 
 func (s *Scheduler) isForgettable(v *volume) bool {
 	if v.openRequests > 0 {
 		return false
 	}
+	// A bucket made anew must hold as much as this one: both are full.
 	rate, burst := v.quota()
 	fresh := tokenBucket{filledAt: s.startedAt}
 	if v.plan.Limit > 0 && !(v.limit.isFullAt(s.now, rate, burst) && fresh.isFullAt(s.now, rate, burst)) {
