--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -51,8 +51,8 @@
 	wantEqual(t, "answered at once", finalAnswers(driver.handle(impatient)), "reject 1")
 }
 
-// An attempt ends with the latency objective, as a later answer earns little, but only where that leaves no
-// uncertain outcome.
+// An attempt ends with the latency objective, as a later answer is worth little, but only where that leaves
+// no uncertain outcome.
 func TestDispatch_AttemptTimeoutEndsAtLatencyObjective(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Classes = append(settings.Classes,
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -9,7 +9,7 @@
 	latencyGain        = 0.25                   // weight of a new latency against a node's running mean
 	lossGain           = 0.12                   // and of the time of an attempt that was lost
 	latencyHalfLife    = 500 * time.Millisecond // after which a node's latency counts half
-	regressionMinCount = 16.0                   // answers before sizes are held to tell anything of latencies
+	regressionMinCount = 16.0                   // answers before latency is taken to depend on size
 	regressionWindow   = 512.0                  // answers over which that is learned
 	medianStep         = 0.05                   // part of itself by which the median moves
 	recentMeanWindow   = 16.0                   // attempts over which the fleet's present latency is learned
@@ -50,8 +50,8 @@
 }
 
 // observe takes the latency of a usual request in. The running median stands for the work itself, as nodes
-// pause and jam less than half of the time; the mean of the last few attempts stands for the present state of
-// the fleet.
+// pause or are congested less than half of the time; the mean of the last few attempts stands for the present
+// state of the fleet.
 func (m *latencyModel) observe(latency time.Duration) {
 	step := medianStep * max(m.runningMedian.Seconds(), m.allClasses.meanTime)
 	direction := float64(latency - m.runningMedian)
--- a/scheduler/latency_test.go
+++ b/scheduler/latency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// With many instances each hears of a node only now and then: what it learned of a jam must not hold for
+// With many instances each hears of a node only now and then: what it learned of congestion must not hold for
 // seconds.
 func TestLatency_OldValuesFadeToRecentMean(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
@@ -20,7 +20,7 @@
 	}
 }
 
-// A lost attempt makes its node look slower for a moment, and the fleet a little: neither the nodes of a hall
+// A lost attempt makes its node look slower for a moment, and the fleet a little: neither nodes of a zone
 // that is cut off nor those that lose a part of their answers may hold back requests to all others.
 func TestLatency_LostAttemptsHardlyMoveRecentMean(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
--- a/scheduler/random_driver_test.go
+++ b/scheduler/random_driver_test.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	randomCells     = 4 // that the endpoint list names
-	randomNodes     = 6
-	randomClasses   = 3
-	randomPlans     = 2
-	randomVolumes   = 9
-	maxRandomWait   = 800 * ms // of a client
-	maxRandomAnswer = 150 * ms // after the send
-	overdueAfter    = 400 * ms // past its deadline a request counts as overdue
-	drainSteps      = 2000     // in which all requests come to their end
+	randomCells      = 4 // that the endpoint list names
+	randomNodes      = 6
+	randomClasses    = 3
+	randomPlans      = 2
+	randomVolumes    = 9
+	maxRandomWait    = 800 * ms // of a client
+	maxRandomLatency = 150 * ms // of an attempt
+	overdueAfter     = 400 * ms // past its deadline a request counts as overdue
+	drainSteps       = 2000     // in which all requests come to their end
 )
 
 // The classes of a randomDriver.
@@ -45,7 +45,7 @@
 	elsewhere    *rand.Rand   // draws units served through other instances; nil: none are reported
 }
 
-// pendingTimer is a timer that the scheduler asked for.
+// pendingTimer is a timer that the scheduler has set.
 type pendingTimer struct {
 	at    time.Duration
 	token uint32
@@ -330,7 +330,7 @@
 		d.t.Fatalf("request %d sent to a node that is not ready", send.ID)
 	}
 	d.checkOperation(send, r)
-	latency := time.Duration(d.random.Int64N(int64(maxRandomAnswer)))
+	latency := time.Duration(d.random.Int64N(int64(maxRandomLatency)))
 	if send.Timeout > 0 {
 		latency = min(latency, send.Timeout)
 	}
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Where writes are not idempotent and clients are told no Retry-After, a write that may have run fails at
+// Where writes are not idempotent and rejections state no Retry-After, a write that may have run fails at
 // once with its attempt: it is not rejected and not retried. One that never ran is rejected in the end.
 func TestRetry_NonIdempotentWriteThatMayHaveRunFails(t *testing.T) {
 	settings := smallSiteSettings()
@@ -124,7 +124,7 @@
 		t.Run(fmt.Sprint("never ran/code=", code), func(t *testing.T) {
 			driver := startDriver(t, settings, 1)
 			driver.handle(driver.newRequest(nil))
-			driver.node(0).latency = 3 * time.Second // would be the Retry-After if one were told
+			driver.node(0).latency = 3 * time.Second // would be the Retry-After if rejections stated one
 			driver.finishAttempt(1, 0, 0, code, ms)
 			driver.advance(time.Second)
 			if answers := finalAnswers(driver.actions); len(answers) != 1 {
@@ -132,7 +132,7 @@
 			}
 			for _, action := range driver.actions {
 				if reject, ok := action.(Reject); ok && reject.RetryAfter != 0 {
-					t.Errorf("Retry-After is %v where none may be told", reject.RetryAfter)
+					t.Errorf("Retry-After is %v where none may be stated", reject.RetryAfter)
 				}
 				if _, ok := action.(Fail); ok {
 					t.Error("a failure, though nothing ran")
@@ -159,49 +159,70 @@
 	}
 }
 
+// retryBudgetCheck counts admissions and retries of one scheduler and checks them against a retry budget.
+type retryBudgetCheck struct {
+	window     time.Duration
+	floor      float64
+	ratio      float64
+	admissions []time.Duration
+	retries    []time.Duration
+}
+
+// recordRetry counts a retry and checks that all those within the window stay within the budget.
+func (c *retryBudgetCheck) recordRetry(t *testing.T, now time.Duration) {
+	t.Helper()
+	c.retries = append(c.retries, now)
+	retries, allowed := c.countInWindow(c.retries, now), c.floor+c.ratio*c.countInWindow(c.admissions, now)
+	if retries > allowed {
+		t.Fatalf("%v retries in %v, %v allowed", retries, c.window, allowed)
+	}
+}
+
+func (c *retryBudgetCheck) countInWindow(times []time.Duration, now time.Duration) (count float64) {
+	for _, at := range times {
+		if at > now-c.window {
+			count++
+		}
+	}
+	return count
+}
+
 // The budget holds in any window, from the start of the instance on; a restart knows nothing of what was
 // spent before.
 func TestRetryBudget_HoldsInAnyWindow(t *testing.T) {
-	const window, floor, ratio = 5 * time.Second, 3, 0.15
-	settings := smallSiteSettings()
-	settings.RetryBudget, settings.RetryBudgetWindow = true, window
-	settings.RetryBudgetFloor, settings.RetryBudgetRatio = floor, ratio
 	for _, name := range []string{"first start", "restart"} {
 		t.Run(name, func(t *testing.T) {
+			check := retryBudgetCheck{window: 5 * time.Second, floor: 3, ratio: 0.15}
+			settings := smallSiteSettings()
+			settings.RetryBudget, settings.RetryBudgetWindow = true, check.window
+			settings.RetryBudgetFloor, settings.RetryBudgetRatio = check.floor, check.ratio
 			driver := startDriver(t, settings, 1)
-			var admissions, retries []time.Duration
-			inWindow := func(times []time.Duration) (count int) {
-				for _, at := range times {
-					if at > driver.now-window {
-						count++
-					}
-				}
-				return count
-			}
 			for range 400 {
 				driver.now += 50 * ms
-				admissions = append(admissions, driver.now)
+				check.admissions = append(check.admissions, driver.now)
 				actions := driver.handle(driver.newRequest(nil))
-				for range 3 {
-					var next []Action
-					for _, id := range sentIDs(actions) {
-						r := driver.scheduler.requests[id]
-						if r.attempts > 1 {
-							retries = append(retries, driver.now)
-							got, allowed := inWindow(retries), floor+ratio*float64(inWindow(admissions))
-							if float64(got) > allowed {
-								t.Fatalf("%d retries in %v, %v allowed", got, window, allowed)
-							}
-						}
-						driver.node(0).failures = 0
-						next = append(next, driver.finishAttempt(id, r.attempts-1, 0, Error, ms)...)
-					}
-					actions = next
+				for range 3 { // each attempt fails, up to the largest number of attempts
+					actions = failAttempts(t, driver, sentIDs(actions), &check)
 				}
 			}
-			if len(retries) < 20 {
-				t.Fatalf("only %d retries: the budget was not reached", len(retries))
+			if len(check.retries) < 20 {
+				t.Fatalf("only %d retries: the budget was not reached", len(check.retries))
 			}
 		})
 	}
 }
+
+// failAttempts lets the attempts that were just sent end in an error, and counts those that are retries. It
+// returns the actions that follow.
+func failAttempts(t *testing.T, driver *testDriver, sent []uint32, check *retryBudgetCheck) (next []Action) {
+	t.Helper()
+	for _, id := range sent {
+		attempts := driver.scheduler.requests[id].attempts
+		if attempts > 1 {
+			check.recordRetry(t, driver.now)
+		}
+		driver.node(0).failures = 0
+		next = append(next, driver.finishAttempt(id, attempts-1, 0, Error, ms)...)
+	}
+	return next
+}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -8,7 +8,7 @@
 const (
 	// reviewInterval is how often requests that wait or are in flight are looked at while no event arrives.
 	reviewInterval = 5 * time.Millisecond
-	// stallThreshold is the delay of a review from which on this process is held to have stalled.
+	// stallThreshold is the delay of a review beyond which this process counts as having stalled.
 	stallThreshold = 50 * time.Millisecond
 	// timingMargin, two reviews, is kept before each time by which something must be over.
 	timingMargin = 2 * reviewInterval
