--- a/internal/daemon/edges_test.go
+++ b/internal/daemon/edges_test.go
@@ -63,7 +63,7 @@
 		t.Fatalf("%d operations sent", len(edges.sent))
 	}
 	l.now += 5 * time.Second
-	l.timers.run(l.now)
+	l.timers.runDue(l.now)
 	if len(edges.got) != 1 || edges.got[0].Code != proto.Failed || edges.got[0].Reason != ReasonNodeTimeout ||
 		c.Stats.Overdue.Load() != 0 || c.Stats.TimedOut.Load() != 1 || edges.off != 1 || c.open.Load() != 0 {
 		t.Errorf("answers %+v, overdue %d, timed out %d, cancelled %d, open %d", edges.got,
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -177,7 +177,7 @@
 		l.item(item)
 	}
 	l.spare = items
-	l.timers.run(l.now)
+	l.timers.runDue(l.now)
 	if l.fresh {
 		l.decide()
 	}
--- a/internal/daemon/timers.go
+++ b/internal/daemon/timers.go
@@ -5,71 +5,78 @@
 	"time"
 )
 
-// timers hold what is due later, owned by the loop. What is no longer needed is taken out: a request is
-// mostly over long before its time is up, and timers left to run out would pile up with rate and patience.
+// timers are the callbacks that are due later. The loop's goroutine owns them. A timer that is no longer
+// needed is removed at once: most requests end long before their deadline, and timers left to expire would
+// pile up with the request rate and the deadlines.
 type timers struct {
-	rows timerHeap
-	seq  uint64
+	pending  timerHeap
+	sequence uint64 // of the timer set last
 }
 
-// timer is one of them; of two due at once the one set first goes first.
+// timer is one callback. Of two timers due at once the one that was set first is called first.
 type timer struct {
-	at  time.Duration
-	seq uint64
-	due func()
-	row int // in the heap; -1: not in it
+	dueAt    time.Duration
+	sequence uint64
+	callback func()
+	index    int // in the heap; notPending: not in it
 }
 
+const notPending = -1
+
 type timerHeap []*timer
 
-func (t timerHeap) Len() int { return len(t) }
-func (t timerHeap) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].dueAt < h[j].dueAt || h[i].dueAt == h[j].dueAt && h[i].sequence < h[j].sequence
 }
-func (t timerHeap) Swap(i, j int) {
-	t[i], t[j] = t[j], t[i]
-	t[i].row, t[j].row = i, j
+
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
-func (t *timerHeap) Push(x any) {
-	row := x.(*timer)
-	row.row = len(*t)
-	*t = append(*t, row)
+
+func (h *timerHeap) Push(x any) {
+	added := x.(*timer)
+	added.index = len(*h)
+	*h = append(*h, added)
 }
-func (t *timerHeap) Pop() any {
-	old := *t
-	row := old[len(old)-1]
+
+func (h *timerHeap) Pop() any {
+	old := *h
+	removed := old[len(old)-1]
 	old[len(old)-1] = nil
-	*t = old[:len(old)-1]
-	row.row = -1
-	return row
+	*h = old[:len(old)-1]
+	removed.index = notPending
+	return removed
 }
 
-// set makes due be called once the clock is at at.
-func (t *timers) set(at time.Duration, due func()) *timer {
-	t.seq++
-	row := &timer{at: at, seq: t.seq, due: due}
-	heap.Push(&t.rows, row)
-	return row
+// set schedules a call of callback for when the clock reaches dueAt.
+func (t *timers) set(dueAt time.Duration, callback func()) *timer {
+	t.sequence++
+	added := &timer{dueAt: dueAt, sequence: t.sequence, callback: callback}
+	heap.Push(&t.pending, added)
+	return added
 }
 
-// cancel takes a timer out; nil and one that was called already are none.
-func (t *timers) cancel(row *timer) {
-	if row != nil && row.row >= 0 {
-		heap.Remove(&t.rows, row.row)
+// cancel removes a timer. It does nothing for nil and for a timer that is not pending any more.
+func (t *timers) cancel(cancelled *timer) {
+	if cancelled != nil && cancelled.index != notPending {
+		heap.Remove(&t.pending, cancelled.index)
 	}
 }
 
-// next is when the first is due; false when none is set.
+// next returns when the first timer is due; false when none is pending.
 func (t *timers) next() (time.Duration, bool) {
-	if len(t.rows) == 0 {
+	if len(t.pending) == 0 {
 		return 0, false
 	}
-	return t.rows[0].at, true
+	return t.pending[0].dueAt, true
 }
 
-// run calls all that are due.
-func (t *timers) run(now time.Duration) {
-	for len(t.rows) > 0 && t.rows[0].at <= now {
-		heap.Pop(&t.rows).(*timer).due()
+// runDue calls all timers that are due, those included that these calls set.
+func (t *timers) runDue(now time.Duration) {
+	for len(t.pending) > 0 && t.pending[0].dueAt <= now {
+		heap.Pop(&t.pending).(*timer).callback()
 	}
 }
--- a/internal/daemon/timers_test.go
+++ b/internal/daemon/timers_test.go
@@ -37,11 +37,11 @@
 				}
 			case 3:
 				now += time.Duration(rapid.IntRange(0, 10).Draw(t, "pass"))
-				ts.run(now)
+				ts.runDue(now)
 				var rest []*timer
 				for _, row := range live {
-					if called[row] != (row.at <= now) {
-						t.Fatal(fmt.Sprintf("due at %v, called %v at %v", row.at, called[row], now))
+					if called[row] != (row.dueAt <= now) {
+						t.Fatal(fmt.Sprintf("due at %v, called %v at %v", row.dueAt, called[row], now))
 					}
 					if !called[row] {
 						rest = append(rest, row)
@@ -49,8 +49,8 @@
 				}
 				live = rest
 			}
-			if len(ts.rows) != len(live) {
-				t.Fatalf("%d timers held, %d live", len(ts.rows), len(live))
+			if len(ts.pending) != len(live) {
+				t.Fatalf("%d timers held, %d live", len(ts.pending), len(live))
 			}
 		}
 	})
