--- a/internal/daemon/edges.go
+++ b/internal/daemon/edges.go
@@ -109,5 +109,5 @@
 
 // Beliefs hands what the module believes of the nodes to tell, on the loop's goroutine.
 func (c *EventLoop) InspectNodes(tell func([]scheduler.NodeState)) {
-	c.in.put(func(l *loop) { tell(l.module.NodeStates()) })
+	c.in.put(func(l *loop) { tell(l.scheduler.NodeStates()) })
 }
--- a/internal/daemon/edges_test.go
+++ b/internal/daemon/edges_test.go
@@ -70,7 +70,7 @@
 			c.Stats.Overdue.Load(),
 			c.Stats.TimedOut.Load(), edges.off, c.open.Load())
 	}
-	if b := l.module.NodeStates(); len(b) != 1 || b[0].Server != server || b[0].InFlight != 0 ||
+	if b := l.scheduler.NodeStates(); len(b) != 1 || b[0].Server != server || b[0].InFlight != 0 ||
 		b[0].Status != scheduler.Ready {
 		t.Errorf("the module believes %+v", b)
 	}
--- a/internal/daemon/extents_test.go
+++ b/internal/daemon/extents_test.go
@@ -730,7 +730,7 @@
 		t.Error(err)
 	}
 	<-x.c.ended
-	x.logged("all.taken=14 all.served=14")
+	x.logged("all.admitted=14 all.served=14")
 	x.logged("all.saved=11")
 	for i, id := range ids {
 		x.got(id, v, uint64(i)*1000, 1000)
--- a/internal/daemon/learnt_test.go
+++ b/internal/daemon/learnt_test.go
@@ -75,9 +75,9 @@
 // writes, and stops in order; nothing of what a rule hangs on has come over.
 func TestTheFirstSecondsAfterASwitch(t *testing.T) {
 	r, c := switchOver(t, nil)
-	r.logged("learnt figures written")
-	r.logged("learnt figures taken over")
-	if text := r.logs.String(); !strings.Contains(text, "nodes=2 of=2 classes=1 usual=true") {
+	r.logged("statistics saved")
+	r.logged("saved statistics restored")
+	if text := r.logs.String(); !strings.Contains(text, "nodes=2 saved_nodes=2 classes=1 all_classes=true") {
 		t.Errorf("not told what came over:\n%s", text)
 	}
 	for i := range 20 {
@@ -150,7 +150,7 @@
 		name, told string
 		spoil      func(string)
 	}{
-		{"none", "no learnt figures", func(p string) { _ = os.Remove(p) }},
+		{"none", "no saved statistics", func(p string) { _ = os.Remove(p) }},
 		{"damaged", "checksum does not match", func(p string) {
 			data, _ := os.ReadFile(p)
 			data[len(data)-1] ^= 1
@@ -179,10 +179,10 @@
 				}
 			}
 			client.once()
-			if strings.Contains(r.logs.String(), "learnt figures taken over") {
+			if strings.Contains(r.logs.String(), "saved statistics restored") {
 				t.Error("figures were taken over all the same")
 			}
-			if n := strings.Count(r.logs.String(), "learnt figures left out"); c.name != "none" && n != 1 {
+			if n := strings.Count(r.logs.String(), "saved statistics ignored"); c.name != "none" && n != 1 {
 				t.Errorf("told in %d lines", n)
 			}
 		})
--- /dev/null
+++ b/internal/daemon/log.go
@@ -0,0 +1,39 @@
+package daemon
+
+// Attribute keys of log messages. docs/ops lists the messages for operators.
+const (
+	keyAge              = "age"         // time since the call was received
+	keyAllClasses       = "all_classes" // whether the regression over all classes was restored
+	keyAttempts         = "attempts"
+	keyBaseVersion      = "base_version" // of the list that an update changes
+	keyCause            = "cause"
+	keyCell             = "cell"
+	keyClasses          = "classes" // of which statistics were restored
+	keyClient           = "client"  // number, by the client's own word
+	keyCode             = "code"
+	keyCounters         = "all"
+	keyDataVolume       = "data_volume"
+	keyError            = "error"
+	keyInFlight         = "in_flight" // operations
+	keyInstance         = "instance"
+	keyInstances        = "instances"
+	keyLastReason       = "last_reason" // of the last attempt
+	keyLength           = "length"      // bytes
+	keyListener         = "listener"    // address for clients
+	keyNode             = "node"
+	keyNodes            = "nodes"
+	keyOffset           = "offset" // bytes
+	keyPath             = "path"
+	keyReason           = "reason"
+	keyRegistry         = "registry" // address
+	keyRequestsInFlight = "requests_in_flight"
+	keyRetryAfter       = "retry_after"
+	keyRole             = "role"
+	keySavedNodes       = "saved_nodes"
+	keySource           = "source" // of an update that no list brought
+	keyState            = "state"
+	keyStatus           = "status"
+	keyText             = "text"
+	keyToken            = "token" // by which a client names its request
+	keyVersion          = "version"
+)
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"slices"
-	"sync/atomic"
 	"time"
 
 	"landingpaddle/checkpoint"
@@ -63,24 +62,24 @@
 
 // loop owns the module and all state of requests. It never blocks on a socket.
 type loop struct {
-	c       *EventLoop
-	edges   Drivers
-	host    Decider
-	module  *scheduler.Scheduler // the one behind host
-	before  *checkpoint.Record   // what an earlier life learnt; nil: nothing to believe
-	set     scheduler.Settings
-	plan    *extent.Planner // nil: no ranged requests
-	view    *endpoints.View
-	timers  timers
-	nextID  uint32
-	wholes  uint64
-	reqs    map[uint32]*request
-	leaving []*Operation  // of this batch
-	now     time.Duration // of this batch
-	fresh   bool          // the module was told of something
-	spare   []any
-	last    time.Duration // end of the last batch
-	told    time.Duration // when the counters were last logged
+	shared          *EventLoop
+	drivers         Drivers
+	decider         Decider
+	scheduler       *scheduler.Scheduler // the one behind decider
+	savedStatistics *checkpoint.Record   // of the incarnation before; nil: none to restore
+	settings        scheduler.Settings
+	planner         *extent.Planner // nil: no ranged requests
+	view            *endpoints.View
+	timers          timers
+	nextID          uint32
+	wholes          uint64
+	requests        map[uint32]*request
+	leaving         []*Operation  // of this batch
+	now             time.Duration // of this batch
+	fresh           bool          // the module was told of something
+	spare           []any
+	last            time.Duration // end of the last batch
+	told            time.Duration // when the counters were last logged
 }
 
 // handOver is how long a call may be between Admit and Take.
@@ -89,59 +88,59 @@
 // tellEvery is how often an instance that works logs its counters.
 const tellEvery = time.Minute
 
-func newLoop(c *EventLoop, edges Drivers) *loop {
+func newLoop(c *EventLoop, drivers Drivers) *loop {
 	set := c.cfg.Settings
 	module := scheduler.New(c.cfg.Seed, set)
 	l := &loop{
-		c:      c,
-		edges:  edges,
-		host:   module,
-		module: module,
-		set:    set,
-		view:   endpoints.New(c.cfg.ClockSkew),
-		reqs:   map[uint32]*request{},
+		shared:    c,
+		drivers:   drivers,
+		decider:   module,
+		scheduler: module,
+		settings:  set,
+		view:      endpoints.New(c.cfg.ClockSkew),
+		requests:  map[uint32]*request{},
 	}
 	if e := c.cfg.Extents; e != nil {
-		l.plan = extent.New(*e)
-		module.SetBatcher(l.plan)
+		l.planner = extent.New(*e)
+		module.SetBatcher(l.planner)
 	}
 	if wrap := c.cfg.Hooks.Decider; wrap != nil {
-		l.host = wrap(set, module)
+		l.decider = wrap(set, module)
 	}
 	return l
 }
 
 // run gathers what happens into batches until the instance has stopped in order or ctx ends.
 func (l *loop) run(ctx context.Context) error {
-	kept := l.c.cfg.InitialList
-	if l.c.cfg.Snapshot.Path != "" {
-		k, err := l.c.cfg.Snapshot.Load()
+	kept := l.shared.cfg.InitialList
+	if l.shared.cfg.Snapshot.Path != "" {
+		k, err := l.shared.cfg.Snapshot.Load()
 		if err != nil {
-			l.c.log.Warn("kept list left out", "error", err)
+			l.shared.log.Warn("kept list left out", "error", err)
 		}
 		kept = k
 	}
-	l.now = l.c.Now()
+	l.now = l.shared.Now()
 	l.told = l.now
-	l.members(l.view.Restore(l.c.clock(), kept))
-	if l.c.cfg.TrustInitialList {
+	l.members(l.view.Restore(l.shared.clock(), kept))
+	if l.shared.cfg.TrustInitialList {
 		l.view.TrustRestored()
 		l.holds()
 	}
-	l.loadLearnt()
-	l.recall(kept.Endpoints)
+	l.loadStatistics()
+	l.restoreStatistics(kept.Endpoints)
 	l.decide()
-	close(l.c.ready)
+	close(l.shared.ready)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	var stopBy <-chan time.Time
-	stop := l.c.stop
+	stop := l.shared.stop
 	for {
-		if stop == nil && len(l.reqs) == 0 && l.c.open.Load() == 0 {
+		if stop == nil && len(l.requests) == 0 && l.shared.open.Load() == 0 {
 			return nil
 		}
 		if at, ok := l.timers.next(); ok {
-			timer.Reset(max(0, at-l.c.Now()))
+			timer.Reset(max(0, at-l.shared.Now()))
 		} else {
 			timer.Reset(time.Hour)
 		}
@@ -150,19 +149,19 @@
 			return context.Cause(ctx)
 		case <-stop:
 			stop = nil
-			stopBy = time.After(l.c.cfg.ShutdownTimeout)
-			l.c.log.Info("instance stopping", "held", len(l.reqs))
+			stopBy = time.After(l.shared.cfg.ShutdownTimeout)
+			l.shared.log.Info("instance stopping", "held", len(l.requests))
 		case <-stopBy:
 			l.abandon()
 			return nil
-		case <-l.c.in.wake:
+		case <-l.shared.in.wake:
 		case <-timer.C:
 		}
-		if wait := l.last + l.c.cfg.BatchInterval - l.c.Now(); wait > 0 {
+		if wait := l.last + l.shared.cfg.BatchInterval - l.shared.Now(); wait > 0 {
 			time.Sleep(wait)
 		}
-		if l.c.cfg.Hooks.Gate != nil {
-			l.c.cfg.Hooks.Gate()
+		if l.shared.cfg.Hooks.Gate != nil {
+			l.shared.cfg.Hooks.Gate()
 		}
 		l.batch()
 	}
@@ -171,8 +170,8 @@
 // batch hands all that has happened to the module and carries out what it asks for. Answers go before
 // time-outs that are due in the same batch: what was served was served.
 func (l *loop) batch() {
-	l.now = l.c.Now()
-	items := l.c.in.take(l.spare)
+	l.now = l.shared.Now()
+	items := l.shared.in.take(l.spare)
 	for _, item := range items {
 		l.item(item)
 	}
@@ -184,31 +183,31 @@
 	if l.fresh {
 		// Carrying out told the module something (an attempt cancelled has its outcome at once): what it
 		// wants done about that must not wait for the next thing to happen.
-		l.c.in.ring()
+		l.shared.in.ring()
 	}
-	l.count()
+	l.publishPlannerStats()
 	if l.now-l.told >= tellEvery {
 		l.told = l.now
-		l.c.log.Info("counters", "all", &l.c.Stats)
+		l.shared.log.Info("counters", "all", &l.shared.Stats)
 	}
-	l.last = l.c.Now()
+	l.last = l.shared.Now()
 }
 
 func (l *loop) tell(ev scheduler.Event) {
 	l.fresh = true
-	l.host.Handle(l.now, ev)
+	l.decider.Handle(l.now, ev)
 }
 
 // members tells the module, and whoever is about to write a first byte, of the nodes.
 func (l *loop) members(m scheduler.EndpointUpdate) {
-	l.c.standings.told(m)
+	l.shared.standings.told(m)
 	l.tell(m)
 }
 
 func (l *loop) decide() {
 	l.fresh = false
-	l.c.Stats.Batches.Add(1)
-	for _, a := range l.host.Decide(l.now) {
+	l.shared.Stats.Batches.Add(1)
+	for _, a := range l.decider.Decide(l.now) {
 		l.act(a)
 	}
 	l.depart()
@@ -232,16 +231,16 @@
 	case endpoints.Update:
 		l.news(x)
 	case listFailed:
-		l.c.log.Warn("list call failed", "error", x.err)
+		l.shared.log.Warn("list call failed", "error", x.err)
 		l.members(scheduler.EndpointUpdate{Kind: scheduler.UpdateFailed})
 	case notice:
-		if m, ok := l.view.ApplyDrainNotice(l.c.clock(), x.server, x.boot); ok {
-			l.c.log.Info("node drains", "node", l.c.cfg.NodeName(x.server), "told by", "node")
+		if m, ok := l.view.ApplyDrainNotice(l.shared.clock(), x.server, x.boot); ok {
+			l.shared.log.Info("node drains", "node", l.shared.cfg.NodeName(x.server), "told by", "node")
 			l.members(m)
 		}
 	case greeted:
-		if m, ok := l.view.ApplyGreeting(l.c.clock(), x.server, x.boot); ok {
-			l.c.log.Info("node restarted", "node", l.c.cfg.NodeName(x.server), "told by", "node")
+		if m, ok := l.view.ApplyGreeting(l.shared.clock(), x.server, x.boot); ok {
+			l.shared.log.Info("node restarted", "node", l.shared.cfg.NodeName(x.server), "told by", "node")
 			l.members(m)
 		}
 	case scheduler.PeerMessage:
@@ -254,75 +253,75 @@
 }
 
 func (l *loop) news(n endpoints.Update) {
-	m, verdict := l.view.Apply(l.c.clock(), n)
+	m, verdict := l.view.Apply(l.shared.clock(), n)
 	switch verdict {
 	case endpoints.Gap:
-		l.c.log.Info("list has a gap", "version", n.Version, "since", n.BaseVersion)
-		l.c.held.Store(&[2]uint64{})
-		l.edges.Endpoints.FetchFull()
+		l.shared.log.Info("list has a gap", "version", n.Version, "since", n.BaseVersion)
+		l.shared.held.Store(&[2]uint64{})
+		l.drivers.Endpoints.FetchFull()
 	case endpoints.Applied:
 		l.members(m)
 		if m.Kind == scheduler.UpdateFull { // the first whole list of a life ends what is taken over
-			l.recall(l.view.Snapshot().Endpoints)
-			l.before = nil
+			l.restoreStatistics(l.view.Snapshot().Endpoints)
+			l.savedStatistics = nil
 		}
 		l.holds()
 		for _, e := range m.Endpoints {
-			l.c.log.Info("node listed", "node", l.c.cfg.NodeName(e.Server), "status", e.Status.String(),
+			l.shared.log.Info("node listed", "node", l.shared.cfg.NodeName(e.Server), "status", e.Status.String(),
 				"cell", e.Cell)
 		}
 		select {
-		case <-l.c.kept: // an older list that was not written yet
+		case <-l.shared.kept: // an older list that was not written yet
 		default:
 		}
-		l.c.kept <- l.view.Snapshot()
+		l.shared.kept <- l.view.Snapshot()
 	}
 }
 
 // holds tells the edges which version of the list is held.
 func (l *loop) holds() {
 	epoch, version := l.view.Version()
-	l.c.held.Store(&[2]uint64{epoch, version})
+	l.shared.held.Store(&[2]uint64{epoch, version})
 }
 
 // id hands out a number by which the module knows a request.
 func (l *loop) id() uint32 {
 	for {
 		l.nextID++
-		if _, used := l.reqs[l.nextID]; !used && l.nextID != 0 {
+		if _, used := l.requests[l.nextID]; !used && l.nextID != 0 {
 			return l.nextID
 		}
 	}
 }
 
 func (l *loop) take(k *Call) {
-	expires := k.ReceivedAt + k.Wait - l.c.cfg.ResponseMargin
-	k.overdue = l.timers.set(expires+l.c.cfg.AnswerSlack, func() { l.overdue(k) })
+	expires := k.ReceivedAt + k.Wait - l.shared.cfg.ResponseMargin
+	k.overdue = l.timers.set(expires+l.shared.cfg.AnswerSlack, func() { l.overdue(k) })
 	ask := k.Request
 	ask.ExpiresAt = expires
 	if k.Range == nil {
 		r := &request{call: k, id: l.id(), expires: expires}
-		l.reqs[r.id], k.reqs = r, []*request{r}
+		l.requests[r.id], k.reqs = r, []*request{r}
 		ask.ID = r.id
 		l.tell(ask)
 		return
 	}
 	l.wholes++
-	pieces, err := l.plan.Add(
+	pieces, err := l.planner.Add(
 		extent.Request{ID: l.wholes, DataVolume: k.DataVolume, Range: *k.Range, Write: ask.Write,
 			Class: ask.Class, Plan: ask.Plan, Units: int(ask.Units), ReceivedAt: k.ReceivedAt,
-			RetrySafe: l.set.Classes[ask.Class].RetrySafe()},
+			RetrySafe: l.settings.Classes[ask.Class].RetrySafe()},
 		l.id,
 	)
 	if err != nil {
-		l.c.log.Debug("range refused", "token", k.Token, "error", err)
+		l.shared.log.Debug("range refused", "token", k.Token, "error", err)
 		l.finish(k, proto.Answer{Code: proto.Rejected, Reason: ReasonBadRange}, nil)
 		return
 	}
 	k.id = l.wholes
 	for n, p := range pieces {
 		r := &request{call: k, piece: p, id: p.ID, expires: expires}
-		l.reqs[r.id], k.reqs = r, append(k.reqs, r)
+		l.requests[r.id], k.reqs = r, append(k.reqs, r)
 		ask.ID, ask.Cell, ask.Units, ask.Continuation = p.ID, p.Cell, float64(p.Units), n > 0
 		l.tell(ask)
 	}
@@ -339,12 +338,12 @@
 	if k.done {
 		return
 	}
-	l.c.Stats.Overdue.Add(1)
+	l.shared.Stats.Overdue.Add(1)
 	sends := 0
 	for _, r := range k.reqs {
 		sends += r.sends
 	}
-	l.c.log.Error("overdue", "token", k.Token, "attempts", sends, "held", l.now-k.ReceivedAt)
+	l.shared.log.Error("overdue", "token", k.Token, "attempts", sends, "held", l.now-k.ReceivedAt)
 	l.drop(k, ReasonOverdue)
 }
 
@@ -353,7 +352,7 @@
 	if k.done || k.reqs == nil {
 		return
 	}
-	l.c.Stats.ClientGone.Add(1)
+	l.shared.Stats.ClientGone.Add(1)
 	l.drop(k, ReasonClientGone)
 }
 
@@ -363,7 +362,7 @@
 	var withdraw []uint32
 	if k.id != 0 {
 		var ends *extent.Answer
-		if ends, withdraw = l.plan.Abandon(k.id); ends != nil {
+		if ends, withdraw = l.planner.Abandon(k.id); ends != nil {
 			tellPieces(&a, ends)
 		}
 	} else {
@@ -381,7 +380,7 @@
 // withdraw tells the module that nothing is owed for requests any more.
 func (l *loop) withdraw(ids []uint32) {
 	for _, id := range ids {
-		if r := l.reqs[id]; r != nil {
+		if r := l.requests[id]; r != nil {
 			r.done = true
 			l.tell(scheduler.ClientGone{ID: id})
 			l.settle(r)
@@ -397,21 +396,14 @@
 	k.done = true
 	k.over.Store(true)
 	l.timers.cancel(k.overdue)
-	switch a.Code {
-	case proto.OK:
-		l.c.Stats.Served.Add(1)
-	case proto.Rejected:
-		l.c.Stats.Rejected.Add(1)
-	default:
-		l.c.Stats.Failed.Add(1)
-	}
+	l.shared.Stats.countAnswer(a.Code)
 	if a.Code != proto.OK {
-		l.c.log.Debug(codeWord(a.Code), "reason", a.Reason, "token", k.Token, "advice", a.RetryAfter)
+		l.shared.log.Debug(answerEvent(a.Code), "reason", a.Reason, "token", k.Token, "advice", a.RetryAfter)
 		if a.Done > 0 && k.Request.Write {
 			l.partial(k)
 		}
 	}
-	l.c.open.Add(-1)
+	l.shared.open.Add(-1)
 	k.Responder.Respond(a, payload)
 }
 
@@ -426,8 +418,8 @@
 			state = "unsure"
 		}
 		at := r.piece.Range
-		l.c.log.Warn("write in part", "token", k.Token, "data", k.DataVolume, "offset", at.Offset,
-			"length", at.Length, "state", state, "node", l.c.cfg.NodeName(r.server), "last", r.why)
+		l.shared.log.Warn("write in part", "token", k.Token, "data", k.DataVolume, "offset", at.Offset,
+			"length", at.Length, "state", state, "node", l.shared.cfg.NodeName(r.server), "last", r.why)
 	}
 }
 
@@ -449,7 +441,7 @@
 	case proto.Rejected:
 		verdict = extent.Rejected
 	}
-	ends, withdraw := l.plan.Resolve(r.id, verdict, payload)
+	ends, withdraw := l.planner.Resolve(r.id, verdict, payload)
 	if ends != nil {
 		tellPieces(&a, ends)
 		a.Unreadable = nil
@@ -461,7 +453,7 @@
 			payload = ends.Data[0]
 		} else if ends.Outcome == extent.Served {
 			payload = slices.Concat(ends.Data...)
-			l.c.Stats.Copied.Add(uint64(len(payload)))
+			l.shared.Stats.Copied.Add(uint64(len(payload)))
 		}
 		l.finish(k, a, payload)
 	}
@@ -471,9 +463,9 @@
 // settle forgets a request that has its end and no attempt out.
 func (l *loop) settle(r *request) {
 	if r.done && len(r.out) == 0 {
-		delete(l.reqs, r.id)
+		delete(l.requests, r.id)
 		if r.call.id != 0 {
-			l.plan.Forget(r.id)
+			l.planner.Forget(r.id)
 		}
 	}
 }
@@ -504,25 +496,21 @@
 // tells of volumes concerns that of the operation's lead.
 func (l *loop) ended(a *attempt, code scheduler.ResultCode, answer proto.Answer, payload []byte, lead bool) {
 	if a.over {
-		l.c.Stats.Late.Add(1)
+		l.shared.Stats.Late.Add(1)
 		return // its time-out came first, and was its one outcome
 	}
 	a.over = true
 	l.timers.cancel(a.timeout)
-	for _, e := range ends {
-		if e.code == code {
-			e.of(&l.c.Stats).Add(1)
-		}
-	}
+	l.shared.Stats.countAttempt(code)
 	r := a.req
 	r.out = slices.DeleteFunc(r.out, func(o *attempt) bool { return o == a })
-	r.why = reasonOf(code)
+	r.why = attemptReason(code)
 	if k := r.call; k.id != 0 {
-		l.plan.AttemptEnded(r.id, code.MayHaveRun())
+		l.planner.AttemptEnded(r.id, code.MayHaveRun())
 		if k.done && k.Request.Write && code.MayHaveRun() {
 			at := r.piece.Range
-			l.c.log.Info("piece of an answered write ended", "token", k.Token, "data", k.DataVolume,
-				"offset", at.Offset, "length", at.Length, "node", l.c.cfg.NodeName(a.server), "code", code)
+			l.shared.log.Info("piece of an answered write ended", "token", k.Token, "data", k.DataVolume,
+				"offset", at.Offset, "length", at.Length, "node", l.shared.cfg.NodeName(a.server), "code", code)
 		}
 	}
 	out := scheduler.AttemptResult{
@@ -554,10 +542,10 @@
 	}
 	l.ended(a, code, proto.Answer{}, nil, false)
 	if slices.ContainsFunc(a.op.members, func(o *attempt) bool { return !o.over }) {
-		l.edges.Upstream.CancelMember(a.op, slices.Index(a.op.members, a))
+		l.drivers.Upstream.CancelMember(a.op, slices.Index(a.op.members, a))
 		return
 	}
-	l.edges.Upstream.Cancel(a.op)
+	l.drivers.Upstream.Cancel(a.op)
 }
 
 func (l *loop) act(action scheduler.Action) {
@@ -565,17 +553,17 @@
 	case scheduler.Send:
 		l.send(x)
 	case scheduler.Reject:
-		if r := l.reqs[x.ID]; r != nil {
+		if r := l.requests[x.ID]; r != nil {
 			l.over(r, proto.Answer{Code: proto.Rejected, Reason: r.reason(), RetryAfter: x.RetryAfter}, nil)
 			l.settle(r)
 		}
 	case scheduler.Fail:
-		if r := l.reqs[x.ID]; r != nil {
+		if r := l.requests[x.ID]; r != nil {
 			l.over(r, proto.Answer{Code: proto.Failed, Reason: r.reason()}, nil)
 			l.settle(r)
 		}
 	case scheduler.Cancel:
-		if r := l.reqs[x.ID]; r != nil {
+		if r := l.requests[x.ID]; r != nil {
 			for _, a := range slices.Clone(r.out) {
 				if a.n == x.Attempt {
 					l.giveUp(a, scheduler.Cancelled)
@@ -585,21 +573,21 @@
 	case scheduler.SetTimer:
 		l.timers.set(l.now+x.After, func() { l.tell(scheduler.TimerFired{Token: x.Token}) })
 	case scheduler.CheckHealth:
-		l.edges.Upstream.CheckHealth(x.Server)
+		l.drivers.Upstream.CheckHealth(x.Server)
 	case scheduler.CloseIdle:
-		l.edges.Upstream.CloseIdle(x.Server)
+		l.drivers.Upstream.CloseIdle(x.Server)
 	case scheduler.SendToPeer:
-		if l.edges.Peers != nil {
-			if err := l.edges.Peers.Send(x.To, x.Body); err != nil {
-				l.c.log.Debug("message lost", "error", err)
+		if l.drivers.Peers != nil {
+			if err := l.drivers.Peers.Send(x.To, x.Body); err != nil {
+				l.shared.log.Debug("message lost", "error", err)
 			}
 		}
 	case scheduler.WriteLog:
-		l.c.log.Info("module", "text", x.Text)
+		l.shared.log.Info("module", "text", x.Text)
 	case scheduler.WatchEndpoints:
-		l.edges.Endpoints.Watch(x.On)
+		l.drivers.Endpoints.Watch(x.On)
 	case scheduler.FetchEndpoints:
-		l.edges.Endpoints.Fetch()
+		l.drivers.Endpoints.Fetch()
 	}
 }
 
@@ -613,17 +601,17 @@
 // send starts an attempt, for as long as it may take and never longer than the client waits. What leaves
 // with it as one operation follows at once, by With; depart then hands them to the pool.
 func (l *loop) send(x scheduler.Send) {
-	r := l.reqs[x.ID]
+	r := l.requests[x.ID]
 	if r == nil {
 		return
 	}
-	a := &attempt{req: r, n: r.sends, server: x.Server, boot: l.c.standings.of(x.Server).boot, at: l.now,
+	a := &attempt{req: r, n: r.sends, server: x.Server, boot: l.shared.standings.of(x.Server).boot, at: l.now,
 		before: x.StartBefore, deadline: r.expires}
 	r.sends++
 	r.server = x.Server
 	r.out = append(r.out, a)
 	if r.call.id != 0 {
-		l.plan.AttemptSent(r.id)
+		l.planner.AttemptSent(r.id)
 	}
 	if x.Timeout > 0 {
 		a.deadline = min(a.deadline, l.now+x.Timeout)
@@ -644,8 +632,8 @@
 	l.leaving = nil
 	for _, op := range leaving {
 		for _, live := range l.live(op) {
-			l.c.Stats.Attempts.Add(uint64(len(live.members)))
-			l.edges.Upstream.Send(live)
+			l.shared.Stats.Attempts.Add(uint64(len(live.members)))
+			l.drivers.Upstream.Send(live)
 		}
 	}
 	clear(leaving)
@@ -662,8 +650,8 @@
 		switch {
 		case a.over:
 		case a.req.done || a.deadline <= l.now:
-			l.c.Stats.Withheld.Add(1)
-			l.c.in.put(result{op: alone(a), code: scheduler.NotApplicable})
+			l.shared.Stats.Withheld.Add(1)
+			l.shared.in.put(result{op: alone(a), code: scheduler.NotApplicable})
 		default:
 			keep = append(keep, a)
 		}
@@ -675,9 +663,9 @@
 	var out []*Operation
 	keys := map[uint64]bool{}
 	for _, a := range keep {
-		if q := &a.req.call.Request; q.Key != 0 && l.set.Classes[q.Class].OrderedByKey {
+		if q := &a.req.call.Request; q.Key != 0 && l.settings.Classes[q.Class].OrderedByKey {
 			if keys[q.Key] {
-				l.c.in.put(result{op: alone(a), code: scheduler.ConnectFailed})
+				l.shared.in.put(result{op: alone(a), code: scheduler.ConnectFailed})
 				continue
 			}
 			keys[q.Key] = true
@@ -693,33 +681,17 @@
 // and is still on its way here, as it would wait for ever.
 func (l *loop) abandon() {
 	stopping := proto.Answer{Code: proto.Failed, Reason: ReasonStopping}
-	for _, r := range l.reqs {
+	for _, r := range l.requests {
 		l.finish(r.call, stopping, nil)
 	}
-	for by := l.c.Now() + handOver; ; time.Sleep(time.Millisecond) {
-		for _, item := range l.c.in.take(nil) {
+	for by := l.shared.Now() + handOver; ; time.Sleep(time.Millisecond) {
+		for _, item := range l.shared.in.take(nil) {
 			if k, ok := item.(*Call); ok {
 				l.finish(k, stopping, nil)
 			}
 		}
-		if l.c.open.Load() == 0 || l.c.Now() >= by {
+		if l.shared.open.Load() == 0 || l.shared.Now() >= by {
 			return
 		}
 	}
 }
-
-// count shows the planner's figures to readers of Stats.
-func (l *loop) count() {
-	if l.plan == nil {
-		return
-	}
-	s, to := l.plan.Stats, &l.c.Stats
-	for _, c := range []struct {
-		to   *atomic.Uint64
-		from uint64
-	}{{&to.Split, s.Split}, {&to.Pieces, s.Pieces}, {&to.Operations, s.Operations}, {&to.Merged, s.Merged},
-		{&to.Members, s.Members}, {&to.Saved, s.Saved}, {&to.Withdrawn, s.Withdrawn},
-		{&to.Partial, s.Partial}} {
-		c.to.Store(c.from)
-	}
-}
--- a/internal/daemon/operation.go
+++ b/internal/daemon/operation.go
@@ -39,5 +39,5 @@
 	for i, a := range o.members {
 		ids[i] = a.req.id
 	}
-	o.plan = l.plan.SealOperation(ids)
+	o.plan = l.planner.SealOperation(ids)
 }
--- a/internal/daemon/reasons.go
+++ b/internal/daemon/reasons.go
@@ -5,29 +5,44 @@
 	"landingpaddle/scheduler"
 )
 
-// Reasons of refusals and failures: the same words in answers and logs. docs/ops/running.md says what to do.
+// Reasons of rejections and failures: the same words in answers and logs. docs/ops/running.md says what to do
+// about each.
 const (
-	ReasonBadRequest      = "bad-request"  // a field is out of the site's bounds
-	ReasonBadRange        = "bad-range"    // the range is empty, overflows, or is over the site's bounds
-	ReasonOverload        = "overload"     // more requests are open than the instance takes
-	ReasonStopping        = "stopping"     // the instance stops
-	ReasonNotInTime       = "not-in-time"  // given up before any attempt: it could not be served in time
-	ReasonNodeOverloaded  = "node-full"    // the last attempt was turned away
-	ReasonNodeTimeout     = "node-timeout" // the last attempt got no answer in time
+	// ReasonBadRequest: a field is out of the site's bounds.
+	ReasonBadRequest = "bad-request"
+	// ReasonBadRange: the range is empty, overflows, or is out of the site's bounds.
+	ReasonBadRange = "bad-range"
+	// ReasonOverload: more calls are open than the instance takes.
+	ReasonOverload = "overload"
+	// ReasonStopping: the instance shuts down.
+	ReasonStopping = "stopping"
+	// ReasonNotInTime: ended before any attempt, as it could not be served in time.
+	ReasonNotInTime = "not-in-time"
+	// ReasonNodeOverloaded: the node took no more when the last attempt came.
+	ReasonNodeOverloaded = "node-full"
+	// ReasonNodeTimeout: the last attempt got no answer in time.
+	ReasonNodeTimeout = "node-timeout"
+	// ReasonNodeUnreachable: nothing of the last attempt was sent.
 	ReasonNodeUnreachable = "node-unreachable"
-	ReasonNodeReset       = "node-reset" // the connection broke while the last attempt was out
-	ReasonNodeError       = "node-error"
-	ReasonCancelled       = "cancelled"
-	ReasonNotApplicable   = "not-there" // the node does not hold the cell
-	ReasonClientGone      = "client-gone"
-	// the module gave no answer in time: a fault of ours, logged as an error
-	ReasonOverdue  = "overdue"
+	// ReasonNodeReset: the connection broke while the last attempt was in flight.
+	ReasonNodeReset = "node-reset"
+	// ReasonNodeError: the node failed the last attempt.
+	ReasonNodeError = "node-error"
+	// ReasonCancelled: the last attempt was cancelled.
+	ReasonCancelled = "cancelled"
+	// ReasonNotApplicable: the node does not hold the cell, or the last attempt made no sense any more.
+	ReasonNotApplicable = "not-there"
+	// ReasonClientGone: the client is gone or has cancelled.
+	ReasonClientGone = "client-gone"
+	// ReasonOverdue: the scheduler gave no answer in time, which is a fault of the program.
+	ReasonOverdue = "overdue"
+	// ReasonTooLarge: the answer is larger than the client's connection takes.
 	ReasonTooLarge = "answer-too-large"
 )
 
-// reasonOf is the word for an attempt's end.
-func reasonOf(c scheduler.ResultCode) string {
-	switch c {
+// attemptReason is the reason word for the end of an attempt.
+func attemptReason(code scheduler.ResultCode) string {
+	switch code {
 	case scheduler.Overloaded:
 		return ReasonNodeOverloaded
 	case scheduler.TimedOut:
@@ -46,12 +61,10 @@
 	return ReasonNotInTime
 }
 
-func codeWord(c proto.Code) string {
-	switch c {
-	case proto.OK:
-		return "served"
-	case proto.Rejected:
-		return "refused"
+// answerEvent is the log message of an answer other than success.
+func answerEvent(code proto.Code) string {
+	if code == proto.Rejected {
+		return "request rejected"
 	}
-	return "failed"
+	return "request failed"
 }
--- a/internal/daemon/sched.go
+++ b/internal/daemon/sched.go
@@ -172,7 +172,7 @@
 		ClockSkew:       site.Limits.ClockSkew,
 		Snapshot:        cfg.Snapshot,
 		StatisticsFile:  cfg.StatisticsFile,
-		Fingerprint:     i.facts(),
+		Fingerprint:     i.fingerprint(),
 		ShutdownTimeout: cfg.ShutdownTimeout,
 		Log:             cfg.Log.With("instance", cfg.Number),
 		Settings:        site.Scheduler(cfg.Number, cfg.Instances, cfg.Zone, cfg.PeerListen != ""),
@@ -250,7 +250,7 @@
 		l := newLoop(i.EventLoop, edges)
 		err := l.run(run)
 		if err == nil {
-			l.saveLearnt()
+			l.saveStatistics()
 			i.front.bye("stopping")
 			select { // answers on their way out are given a moment
 			case <-time.After(time.Second):
@@ -303,61 +303,3 @@
 		}
 	}
 }
-
-// Stats count what an instance did; all may be read at any time.
-type Stats struct {
-	Admitted, Served, Rejected, Failed, ClientGone               atomic.Uint64
-	Attempts, Batches, Late, Withheld, Overdue, SnapshotFailures atomic.Uint64
-
-	// Attempts that ended, by code.
-	OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled, NotApplicable atomic.Uint64
-
-	// Of ranged requests. Operations counts what was sent to nodes, an operation of several members once;
-	// Saved, what merging spared.
-	Split, Pieces, Operations, Merged, Members, Saved, Withdrawn, Partial, Copied atomic.Uint64
-}
-
-// ends are the codes by which attempts end, as they are counted and logged.
-var ends = []struct {
-	code scheduler.ResultCode
-	name string
-	of   func(*Stats) *atomic.Uint64
-}{
-	{scheduler.OK, "ok", func(s *Stats) *atomic.Uint64 { return &s.OK }},
-	{scheduler.Error, "error", func(s *Stats) *atomic.Uint64 { return &s.Error }},
-	{scheduler.Overloaded, "turned_away", func(s *Stats) *atomic.Uint64 { return &s.Overloaded }},
-	{scheduler.TimedOut, "timed_out", func(s *Stats) *atomic.Uint64 { return &s.TimedOut }},
-	{scheduler.ConnectFailed, "connect_failed", func(s *Stats) *atomic.Uint64 { return &s.ConnectFailed }},
-	{scheduler.Reset, "reset", func(s *Stats) *atomic.Uint64 { return &s.Reset }},
-	{scheduler.Cancelled, "cancelled", func(s *Stats) *atomic.Uint64 { return &s.Cancelled }},
-	{scheduler.NotApplicable, "moot", func(s *Stats) *atomic.Uint64 { return &s.NotApplicable }},
-}
-
-// LogValue lists the counters for the log, those of ranged requests only where there were some.
-func (s *Stats) LogValue() slog.Value {
-	var out []slog.Attr
-	add := func(name string, c *atomic.Uint64) { out = append(out, slog.Uint64(name, c.Load())) }
-	add("taken", &s.Admitted)
-	add("served", &s.Served)
-	add("refused", &s.Rejected)
-	add("failed", &s.Failed)
-	add("client_gone", &s.ClientGone)
-	add("sends", &s.Attempts)
-	add("late", &s.Late)
-	add("overdue", &s.Overdue)
-	for _, c := range ends {
-		add(c.name, c.of(s))
-	}
-	if s.Pieces.Load() > 0 {
-		add("split", &s.Split)
-		add("pieces", &s.Pieces)
-		add("operations", &s.Operations)
-		add("merged", &s.Merged)
-		add("members", &s.Members)
-		add("saved", &s.Saved)
-		add("withdrawn", &s.Withdrawn)
-		add("partial", &s.Partial)
-		add("copied", &s.Copied)
-	}
-	return slog.GroupValue(out...)
-}
