--- /dev/null
+++ b/internal/daemon/client_listener.go
@@ -0,0 +1,182 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"landingpaddle/internal/proto"
+)
+
+const (
+	clientIdleTimeout = 10 * time.Minute
+	// A client's connection carries as many streams as clientStreamFactor connections to nodes; the factor
+	// counts for minNodeStreams at least.
+	clientStreamFactor = 64
+	minNodeStreams     = 64
+)
+
+// clientListener is the frontend of the native protocol: it takes requests from clients, bounds them and
+// hands them to the loop. Each connection has a goroutine of its own.
+type clientListener struct {
+	instance *Instance
+
+	mu          sync.Mutex
+	connections map[*clientConnection]struct{}
+	closing     bool
+	drained     chan struct{} // closed when closing and no connection is left
+}
+
+// clientConnection is one client's connection.
+type clientConnection struct {
+	conn *proto.Conn
+
+	mu    sync.Mutex
+	calls map[uint64]*Call // open ones, by stream
+}
+
+func newClientListener(instance *Instance) *clientListener {
+	return &clientListener{
+		instance:    instance,
+		connections: map[*clientConnection]struct{}{},
+		drained:     make(chan struct{}),
+	}
+}
+
+// serve takes connections until ctx ends.
+func (l *clientListener) serve(ctx context.Context) error {
+	limits := l.instance.cfg.Site.Limits
+	streams := max(limits.Streams, minNodeStreams) * clientStreamFactor
+	config := proto.Config{
+		Hello:  l.instance.hello(),
+		Gate:   l.instance.cfg.Hooks.Gate,
+		Idle:   clientIdleTimeout,
+		Limits: proto.LimitsFor(int(limits.MaxPayload), streams),
+	}
+	return proto.Serve(ctx, l.instance.cfg.Listener, config, limits.ClientConnections, l.serveConnection)
+}
+
+// closeGracefully closes all connections after what is queued on them is written.
+func (l *clientListener) closeGracefully(reason string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closing = true
+	for connection := range l.connections {
+		connection.conn.CloseGracefully(reason)
+	}
+	l.signalIfDrained()
+}
+
+// signalIfDrained closes drained once. The caller holds the lock.
+func (l *clientListener) signalIfDrained() {
+	if l.closing && len(l.connections) == 0 && !isClosed(l.drained) {
+		close(l.drained)
+	}
+}
+
+func (l *clientListener) add(connection *clientConnection) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.connections[connection] = struct{}{}
+}
+
+func (l *clientListener) remove(connection *clientConnection) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.connections, connection)
+	l.signalIfDrained()
+}
+
+// serveConnection reads a connection until it ends, which ends the calls still open on it.
+func (l *clientListener) serveConnection(ctx context.Context, conn *proto.Conn) {
+	connection := &clientConnection{conn: conn, calls: map[uint64]*Call{}}
+	l.add(connection)
+	err := conn.Run(ctx, func(frame proto.Frame) error { return l.handleFrame(connection, frame) })
+	if err != nil && ctx.Err() == nil && !errors.Is(err, context.Canceled) {
+		l.instance.log.Warn("client connection ended", keyRole, conn.PeerHello().Role,
+			keyClient, conn.PeerHello().Number, keyError, err)
+	}
+	l.remove(connection)
+	for _, call := range connection.removeAll() {
+		l.instance.ClientGone(call)
+	}
+}
+
+// handleFrame takes a client's frame in. An error ends the connection.
+func (l *clientListener) handleFrame(connection *clientConnection, frame proto.Frame) error {
+	switch frame.Type {
+	case proto.TypeRequest:
+		return l.handleRequest(connection, frame)
+	case proto.TypeCancel:
+		if call := connection.get(frame.Stream); call != nil {
+			l.instance.ClientGone(call)
+		}
+		return nil
+	case proto.TypeHealthCheck:
+		healthy := proto.Answer{Code: proto.OK}
+		return connection.conn.Send(proto.TypeHealthCheckResult, frame.Stream, healthy, nil)
+	}
+	return fmt.Errorf("%w from a client: type %v", errUnexpectedFrame, frame.Type)
+}
+
+// handleRequest validates and admits a request, or rejects it at once.
+func (l *clientListener) handleRequest(connection *clientConnection, frame proto.Frame) error {
+	if err := connection.conn.OpenStream(frame.Stream); err != nil {
+		return err
+	}
+	request := &clientRequest{
+		listener:   l,
+		connection: connection,
+		stream:     frame.Stream,
+		payload:    frame.Payload,
+	}
+	receivedAt := l.instance.Now()
+	if err := frame.Decode(&request.header); err != nil {
+		return err
+	}
+	site := &l.instance.cfg.Site
+	if reason := request.validate(site); reason != "" {
+		return request.reject(reason, 0)
+	}
+	if reason := l.instance.Admit(site.Limits.MaxOpenRequests); reason != "" {
+		retryAfter := site.Limits.MaxRetryAfter
+		if !site.Limits.RetryAfter {
+			retryAfter = 0 // the site's rejections may not say when to come back
+		}
+		return request.reject(reason, retryAfter)
+	}
+	call := request.newCall(receivedAt)
+	connection.add(frame.Stream, call)
+	l.instance.Submit(call)
+	return nil
+}
+
+func (c *clientConnection) add(stream uint64, call *Call) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls[stream] = call
+}
+
+// get returns the open call of a stream; nil if there is none.
+func (c *clientConnection) get(stream uint64) *Call {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.calls[stream]
+}
+
+func (c *clientConnection) remove(stream uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.calls, stream)
+}
+
+// removeAll takes out all open calls of a connection that has ended.
+func (c *clientConnection) removeAll() map[uint64]*Call {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	open := c.calls
+	c.calls = nil
+	return open
+}
--- a/internal/daemon/edges.go
+++ b/internal/daemon/edges.go
@@ -10,42 +10,6 @@
 	"landingpaddle/scheduler"
 )
 
-// Edges are what the loop carries the module's actions out with. The native protocol is one implementation,
-// the platform's another. The loop calls them from its one goroutine; none of them may block.
-type Drivers struct {
-	Upstream  Upstream
-	Endpoints EndpointSource
-	Peers     PeerSender // nil: no messages between instances
-}
-
-// Caller waits for the answer of a call.
-type Responder interface {
-	// Answer gives the call its one final answer. The loop calls it once.
-	Respond(a proto.Answer, payload []byte)
-}
-
-// Nodes carries attempts out. Each operation sent gets one Ended, unless it was cancelled before.
-type Upstream interface {
-	Send(op *Operation)
-	// Cancel ends an operation that nobody waits for any more.
-	Cancel(op *Operation)
-	CancelMember(op *Operation, place int)
-	CheckHealth(s scheduler.Server) // answered by Probed
-	CloseIdle(s scheduler.Server)
-}
-
-// List watches and fetches the list of nodes. What it hears goes to Hear, what fails to ListFailed.
-type EndpointSource interface {
-	Watch(on bool)
-	Fetch()
-	FetchFull() // a change could not be followed: the whole list is needed
-}
-
-// Peers tells other instances.
-type PeerSender interface {
-	Send(to uint32, body []byte) error
-}
-
 // Call is one client's request on its way through the scheduler.
 type Call struct {
 	Responder  Responder
@@ -57,24 +21,24 @@
 	DataVolume uint64            // and the volume whose bytes are meant
 
 	// The rest is the loop's.
-	id      uint64     // of a ranged request, by which the planner knows it; 0: another
-	reqs    []*request // one, or those of its pieces
-	overdue *timer
-	done    bool        // has its answer
-	over    atomic.Bool // has it, or its client is gone: no attempt may begin any more
+	id       uint64     // of a ranged request, by which the planner knows it; 0: another
+	reqs     []*request // one, or those of its pieces
+	overdue  *timer
+	done     bool        // has its answer
+	unwanted atomic.Bool // has it, or its client is gone: no attempt may begin any more
 }
 
 // Admit counts one more call as open, unless the scheduler stops or most are open: then it returns the
 // reason. A call that was admitted must be handed on by Take.
 func (c *EventLoop) Admit(most int) (reason string) {
 	// Counted first, then looked whether the scheduler stops: the loop ends only when it sees none counted.
-	open := c.open.Add(1)
+	open := c.openCalls.Add(1)
 	switch {
 	case c.Stopping():
-		c.open.Add(-1)
+		c.openCalls.Add(-1)
 		return ReasonStopping
 	case open > int64(most):
-		c.open.Add(-1)
+		c.openCalls.Add(-1)
 		return ReasonOverload
 	}
 	c.Stats.Admitted.Add(1)
@@ -82,32 +46,32 @@
 }
 
 // Take hands an admitted call to the loop.
-func (c *EventLoop) Submit(k *Call) { c.in.put(k) }
+func (c *EventLoop) Submit(k *Call) { c.inbox.put(k) }
 
 // ClientGone tells that a call's client is gone or wants no answer any more.
 func (c *EventLoop) ClientGone(k *Call) {
-	k.over.Store(true) // at once: the loop may be a batch away, and an attempt about to begin
-	c.in.put(clientGone{k})
+	k.unwanted.Store(true) // at once: the loop may be a batch away, and an attempt about to begin
+	c.inbox.put(clientGone{k})
 }
 
 // Ended tells how an operation ended.
 func (c *EventLoop) OperationEnded(op *Operation, code scheduler.ResultCode, a proto.Answer, payload []byte) {
-	c.in.put(result{op, code, a, payload})
+	c.inbox.put(result{op, code, a, payload})
 }
 
 // Hear takes news of the list in.
-func (c *EventLoop) ReceiveUpdate(n endpoints.Update) { c.in.put(n) }
+func (c *EventLoop) ReceiveUpdate(n endpoints.Update) { c.inbox.put(n) }
 
 // ListFailed tells that a watch broke or a fetch failed.
-func (c *EventLoop) ReportListFailure(err error) { c.in.put(listFailed{err}) }
+func (c *EventLoop) ReportListFailure(err error) { c.inbox.put(listFailed{err}) }
 
 // Probed tells the result of a probe.
-func (c *EventLoop) ReportHealthCheck(p scheduler.HealthCheckResult) { c.in.put(p) }
+func (c *EventLoop) ReportHealthCheck(p scheduler.HealthCheckResult) { c.inbox.put(p) }
 
 // Heard takes a message of another instance in.
-func (c *EventLoop) ReceivePeerMessage(p scheduler.PeerMessage) { c.in.putPeer(p) }
+func (c *EventLoop) ReceivePeerMessage(p scheduler.PeerMessage) { c.inbox.putPeer(p) }
 
 // Beliefs hands what the module believes of the nodes to tell, on the loop's goroutine.
 func (c *EventLoop) InspectNodes(tell func([]scheduler.NodeState)) {
-	c.in.put(func(l *loop) { tell(l.scheduler.NodeStates()) })
+	c.inbox.put(func(l *loop) { tell(l.scheduler.NodeStates()) })
 }
--- a/internal/daemon/edges_test.go
+++ b/internal/daemon/edges_test.go
@@ -65,10 +65,10 @@
 	l.now += 5 * time.Second
 	l.timers.runDue(l.now)
 	if len(edges.got) != 1 || edges.got[0].Code != proto.Failed || edges.got[0].Reason != ReasonNodeTimeout ||
-		c.Stats.Overdue.Load() != 0 || c.Stats.TimedOut.Load() != 1 || edges.off != 1 || c.open.Load() != 0 {
+		c.Stats.Overdue.Load() != 0 || c.Stats.TimedOut.Load() != 1 || edges.off != 1 || c.openCalls.Load() != 0 {
 		t.Errorf("answers %+v, overdue %d, timed out %d, cancelled %d, open %d", edges.got,
 			c.Stats.Overdue.Load(),
-			c.Stats.TimedOut.Load(), edges.off, c.open.Load())
+			c.Stats.TimedOut.Load(), edges.off, c.openCalls.Load())
 	}
 	if b := l.scheduler.NodeStates(); len(b) != 1 || b[0].Server != server || b[0].InFlight != 0 ||
 		b[0].Status != scheduler.Ready {
@@ -126,8 +126,8 @@
 		}
 		l.abandon()
 		wg.Wait()
-		if len(edges.got) != 1 || edges.got[0].Reason != ReasonStopping || c.open.Load() != 0 {
-			t.Errorf("taken first %v: answers %+v, %d open", first, edges.got, c.open.Load())
+		if len(edges.got) != 1 || edges.got[0].Reason != ReasonStopping || c.openCalls.Load() != 0 {
+			t.Errorf("taken first %v: answers %+v, %d open", first, edges.got, c.openCalls.Load())
 		}
 		if why := c.Admit(1); why != ReasonStopping {
 			t.Errorf("after the stop: %q", why)
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -112,14 +112,7 @@
 
 // run gathers what happens into batches until the instance has stopped in order or ctx ends.
 func (l *loop) run(ctx context.Context) error {
-	kept := l.shared.cfg.InitialList
-	if l.shared.cfg.Snapshot.Path != "" {
-		k, err := l.shared.cfg.Snapshot.Load()
-		if err != nil {
-			l.shared.log.Warn("kept list left out", "error", err)
-		}
-		kept = k
-	}
+	kept := l.loadSnapshot()
 	l.now = l.shared.Now()
 	l.told = l.now
 	l.members(l.view.Restore(l.shared.clock(), kept))
@@ -134,9 +127,9 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	var stopBy <-chan time.Time
-	stop := l.shared.stop
+	stop := l.shared.stopping
 	for {
-		if stop == nil && len(l.requests) == 0 && l.shared.open.Load() == 0 {
+		if stop == nil && len(l.requests) == 0 && l.shared.openCalls.Load() == 0 {
 			return nil
 		}
 		if at, ok := l.timers.next(); ok {
@@ -154,7 +147,7 @@
 		case <-stopBy:
 			l.abandon()
 			return nil
-		case <-l.shared.in.wake:
+		case <-l.shared.inbox.wake:
 		case <-timer.C:
 		}
 		if wait := l.last + l.shared.cfg.BatchInterval - l.shared.Now(); wait > 0 {
@@ -171,7 +164,7 @@
 // time-outs that are due in the same batch: what was served was served.
 func (l *loop) batch() {
 	l.now = l.shared.Now()
-	items := l.shared.in.take(l.spare)
+	items := l.shared.inbox.take(l.spare)
 	for _, item := range items {
 		l.item(item)
 	}
@@ -183,7 +176,7 @@
 	if l.fresh {
 		// Carrying out told the module something (an attempt cancelled has its outcome at once): what it
 		// wants done about that must not wait for the next thing to happen.
-		l.shared.in.ring()
+		l.shared.inbox.ring()
 	}
 	l.publishPlannerStats()
 	if l.now-l.told >= tellEvery {
@@ -200,7 +193,7 @@
 
 // members tells the module, and whoever is about to write a first byte, of the nodes.
 func (l *loop) members(m scheduler.EndpointUpdate) {
-	l.shared.standings.told(m)
+	l.shared.notifiedEndpoints.told(m)
 	l.tell(m)
 }
 
@@ -257,7 +250,7 @@
 	switch verdict {
 	case endpoints.Gap:
 		l.shared.log.Info("list has a gap", "version", n.Version, "since", n.BaseVersion)
-		l.shared.held.Store(&[2]uint64{})
+		l.shared.listVersion.Store(&listVersion{})
 		l.drivers.Endpoints.FetchFull()
 	case endpoints.Applied:
 		l.members(m)
@@ -270,18 +263,14 @@
 			l.shared.log.Info("node listed", "node", l.shared.cfg.NodeName(e.Server), "status", e.Status.String(),
 				"cell", e.Cell)
 		}
-		select {
-		case <-l.shared.kept: // an older list that was not written yet
-		default:
-		}
-		l.shared.kept <- l.view.Snapshot()
+		l.queueSnapshot()
 	}
 }
 
 // holds tells the edges which version of the list is held.
 func (l *loop) holds() {
 	epoch, version := l.view.Version()
-	l.shared.held.Store(&[2]uint64{epoch, version})
+	l.shared.listVersion.Store(&listVersion{epoch, version})
 }
 
 // id hands out a number by which the module knows a request.
@@ -394,7 +383,7 @@
 		return
 	}
 	k.done = true
-	k.over.Store(true)
+	k.unwanted.Store(true)
 	l.timers.cancel(k.overdue)
 	l.shared.Stats.countAnswer(a.Code)
 	if a.Code != proto.OK {
@@ -403,7 +392,7 @@
 			l.partial(k)
 		}
 	}
-	l.shared.open.Add(-1)
+	l.shared.openCalls.Add(-1)
 	k.Responder.Respond(a, payload)
 }
 
@@ -605,7 +594,7 @@
 	if r == nil {
 		return
 	}
-	a := &attempt{req: r, n: r.sends, server: x.Server, boot: l.shared.standings.of(x.Server).boot, at: l.now,
+	a := &attempt{req: r, n: r.sends, server: x.Server, boot: l.shared.notifiedEndpoints.of(x.Server).boot, at: l.now,
 		before: x.StartBefore, deadline: r.expires}
 	r.sends++
 	r.server = x.Server
@@ -651,7 +640,7 @@
 		case a.over:
 		case a.req.done || a.deadline <= l.now:
 			l.shared.Stats.Withheld.Add(1)
-			l.shared.in.put(result{op: alone(a), code: scheduler.NotApplicable})
+			l.shared.inbox.put(result{op: alone(a), code: scheduler.NotApplicable})
 		default:
 			keep = append(keep, a)
 		}
@@ -665,7 +654,7 @@
 	for _, a := range keep {
 		if q := &a.req.call.Request; q.Key != 0 && l.settings.Classes[q.Class].OrderedByKey {
 			if keys[q.Key] {
-				l.shared.in.put(result{op: alone(a), code: scheduler.ConnectFailed})
+				l.shared.inbox.put(result{op: alone(a), code: scheduler.ConnectFailed})
 				continue
 			}
 			keys[q.Key] = true
@@ -685,12 +674,12 @@
 		l.finish(r.call, stopping, nil)
 	}
 	for by := l.shared.Now() + handOver; ; time.Sleep(time.Millisecond) {
-		for _, item := range l.shared.in.take(nil) {
+		for _, item := range l.shared.inbox.take(nil) {
 			if k, ok := item.(*Call); ok {
 				l.finish(k, stopping, nil)
 			}
 		}
-		if l.shared.open.Load() == 0 || l.shared.Now() >= by {
+		if l.shared.openCalls.Load() == 0 || l.shared.Now() >= by {
 			return
 		}
 	}
--- a/internal/daemon/pool.go
+++ b/internal/daemon/pool.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"sync"
 	"time"
@@ -13,6 +14,13 @@
 	"landingpaddle/scheduler"
 )
 
+// Protocol violations by the other end of a connection.
+var (
+	errUnexpectedFrame  = errors.New("unexpected frame")
+	errUnexpectedAnswer = errors.New("unexpected answer")
+	errUnknownCode      = errors.New("unknown result code")
+)
+
 // pool holds the connections to nodes. It belongs to the loop; connections report to its inbox.
 type pool struct {
 	ctx   context.Context
@@ -53,7 +61,7 @@
 	err    error
 }
 
-func newPool(ctx context.Context, g *errgroup.Group, i *Instance) *pool {
+func newUpstreamPool(ctx context.Context, g *errgroup.Group, i *Instance) *pool {
 	lim := i.cfg.Site.Limits
 	cfg := proto.Config{Hello: i.hello(), Gate: i.cfg.Hooks.Gate, Handshake: lim.ConnectTimeout,
 		Idle: lim.IdleTimeout, Silence: lim.SilenceTimeout}
@@ -61,7 +69,7 @@
 	return &pool{ctx: ctx, g: g, i: i, cfg: cfg, nodes: map[scheduler.Server]*nodeLink{}}
 }
 
-func addrText(s scheduler.Server) string { return registry.AddrPortOf(s).String() }
+func serverAddress(s scheduler.Server) string { return registry.AddrPortOf(s).String() }
 
 func (p *pool) link(s scheduler.Server) *nodeLink {
 	n := p.nodes[s]
@@ -89,7 +97,7 @@
 	lim := p.i.cfg.Site.Limits
 	if len(n.waiting) >= n.dialing*lim.Streams {
 		if len(n.conns)+n.dialing >= lim.NodeConnections {
-			p.i.in.put(result{op: op, code: scheduler.ConnectFailed})
+			p.i.inbox.put(result{op: op, code: scheduler.ConnectFailed})
 			return
 		}
 		p.dial(n)
@@ -103,13 +111,13 @@
 	p.g.Go(func() error {
 		ctx, cancel := context.WithTimeout(p.ctx, p.i.cfg.Site.Limits.ConnectTimeout)
 		defer cancel()
-		conn, err := proto.Dial(ctx, addrText(server), p.cfg)
+		conn, err := proto.Dial(ctx, serverAddress(server), p.cfg)
 		if err != nil {
 			p.did(dialed{server: server, err: err})
 			return nil
 		}
 		c := &nodeConn{server: server, conn: conn, ops: map[uint64]*Operation{}}
-		p.i.in.put(greeted{server, conn.PeerHello().StartedAt})
+		p.i.inbox.put(greeted{server, conn.PeerHello().StartedAt})
 		p.did(dialed{server: server, conn: c})
 		err = conn.Run(p.ctx, func(f proto.Frame) error { return p.frame(c, f) })
 		p.reset(c, err)
@@ -117,7 +125,7 @@
 	})
 }
 
-func (p *pool) did(x dialed) { p.i.in.put(func(l *loop) { p.dialed(l, x) }) }
+func (p *pool) did(x dialed) { p.i.inbox.put(func(l *loop) { p.dialed(l, x) }) }
 
 // dialed takes a new connection in: attempts that waited leave on it, or fail with it when it could not be
 // made.
@@ -125,7 +133,7 @@
 	n := p.link(x.server)
 	n.dialing--
 	if x.err != nil {
-		p.i.log.Info("node unreachable", "node", addrText(x.server), "error", x.err)
+		p.i.log.Info("node unreachable", "node", serverAddress(x.server), "error", x.err)
 		if n.dialing > 0 {
 			return
 		}
@@ -169,11 +177,11 @@
 		if err == nil {
 			return
 		}
-		p.i.log.Warn("request not sent", "node", addrText(op.server), "error", err)
+		p.i.log.Warn("request not sent", "node", serverAddress(op.server), "error", err)
 		c.conn.CloseStream(stream) // no answer will come that would end it
 	}
 	if c.take(stream) != nil || ended {
-		p.i.in.put(result{op: op, code: scheduler.ConnectFailed})
+		p.i.inbox.put(result{op: op, code: scheduler.ConnectFailed})
 	}
 }
 
@@ -211,14 +219,14 @@
 			return err
 		}
 		if !c.conn.CloseStream(f.Stream) {
-			return fmt.Errorf("an answer to stream %d, which is not in flight", f.Stream)
+			return fmt.Errorf("%w: stream %d is not in flight", errUnexpectedAnswer, f.Stream)
 		}
 		code, err := codeOf(answer.Code)
 		if err != nil {
 			return err
 		}
 		if op := c.take(f.Stream); op != nil {
-			p.i.in.put(result{op: op, code: code, answer: answer, payload: f.Payload})
+			p.i.inbox.put(result{op: op, code: code, answer: answer, payload: f.Payload})
 		}
 		return nil
 	case proto.TypeResponseStarted:
@@ -226,17 +234,17 @@
 		op := c.ops[f.Stream]
 		c.mu.Unlock()
 		if op != nil {
-			p.i.in.put(begun{op})
+			p.i.inbox.put(begun{op})
 		}
 		return nil
 	case proto.TypeDrain:
-		p.i.in.put(notice{c.server, c.conn.PeerHello().StartedAt})
+		p.i.inbox.put(notice{c.server, c.conn.PeerHello().StartedAt})
 		return nil
 	case proto.TypeHealthCheckResult:
 		c.conn.CloseStream(f.Stream)
 		return nil
 	}
-	return fmt.Errorf("a node sends no frame of type %v", f.Type)
+	return fmt.Errorf("%w from a node: type %v", errUnexpectedFrame, f.Type)
 }
 
 // reset gives each operation that was out on a connection its own outcome.
@@ -247,12 +255,12 @@
 	c.ops = nil
 	c.mu.Unlock()
 	if cause != nil && p.ctx.Err() == nil {
-		p.i.log.Info("node connection ended", "node", addrText(c.server), "out", len(out), "error", cause)
+		p.i.log.Info("node connection ended", "node", serverAddress(c.server), "out", len(out), "error", cause)
 	}
 	for _, op := range out {
-		p.i.in.put(result{op: op, code: scheduler.Reset})
+		p.i.inbox.put(result{op: op, code: scheduler.Reset})
 	}
-	p.i.in.put(func(*loop) { p.dropped(c) })
+	p.i.inbox.put(func(*loop) { p.dropped(c) })
 }
 
 func (p *pool) dropped(c *nodeConn) {
@@ -292,7 +300,7 @@
 		var load []float64
 		ctx, cancel := context.WithTimeout(p.ctx, p.i.cfg.Site.Limits.ConnectTimeout)
 		defer cancel()
-		if conn, err := proto.Dial(ctx, addrText(s), p.cfg); err == nil {
+		if conn, err := proto.Dial(ctx, serverAddress(s), p.cfg); err == nil {
 			code = scheduler.TimedOut
 			_ = conn.OpenStream(1)
 			_ = conn.Send(proto.TypeHealthCheck, 1, nil, nil)
@@ -308,7 +316,7 @@
 			})
 		}
 		if p.ctx.Err() == nil {
-			p.i.in.put(
+			p.i.inbox.put(
 				scheduler.HealthCheckResult{Server: s, Code: code, Latency: p.i.Now() - at, Load: load},
 			)
 		}
@@ -320,10 +328,10 @@
 // most urgent member; each member is given up on at its own.
 func (o *Operation) frame(now time.Duration) (req proto.Request, payload []byte, copied int) {
 	lead := o.members[0]
-	req = waiting(lead).req
+	req = clientRequestOf(lead).header
 	req.Attempt, req.Timeout, req.Members, req.Piece = uint16(lead.n), lead.deadline-now, nil, 0
 	if !o.ranged() {
-		return req, waiting(lead).payload, 0
+		return req, clientRequestOf(lead).payload, 0
 	}
 	req.Cell = int32(lead.req.piece.Cell)
 	req.Offset, req.Length, req.Units = o.plan.Range.Offset, uint32(o.plan.Range.Length), uint32(o.plan.Units)
@@ -336,7 +344,7 @@
 	}
 	for n, a := range o.members {
 		req.Timeout = min(req.Timeout, a.deadline-now)
-		q, at := &waiting(a).req, o.plan.Slice(o.plan.Members[n])
+		q, at := &clientRequestOf(a).header, o.plan.Slice(o.plan.Members[n])
 		req.Members = append(req.Members, proto.Member{Token: q.Token, Volume: q.Volume, Key: q.Key,
 			Plan: q.Plan, Units: uint32(max(1, a.req.piece.Units)), Offset: uint32(at.Offset),
 			Length: uint32(at.Length), Piece: uint16(a.req.piece.Nth), Try: q.Try, Client: q.Client})
@@ -349,11 +357,11 @@
 
 // bytes are what a piece of a write writes; nil for a read.
 func (a *attempt) bytes() []byte {
-	k, r := waiting(a), a.req.piece.Range
+	k, r := clientRequestOf(a), a.req.piece.Range
 	if k.payload == nil {
 		return nil
 	}
-	from := r.Offset - k.req.Offset
+	from := r.Offset - k.header.Offset
 	return k.payload[from : from+r.Length]
 }
 
@@ -363,5 +371,5 @@
 	case proto.OK, proto.Error, proto.Overloaded, proto.Cancelled, proto.NotApplicable:
 		return scheduler.ResultCode(c), nil
 	}
-	return 0, fmt.Errorf("code %d is none of a node's", c)
+	return 0, fmt.Errorf("%w from a node: %d", errUnknownCode, c)
 }
--- a/internal/daemon/sched_test.go
+++ b/internal/daemon/sched_test.go
@@ -547,7 +547,7 @@
 		c.once()
 	}
 	t.Logf("%d over the bound, %d served", overload, inst.Stats.Served.Load())
-	if open := inst.open.Load(); open != 0 {
+	if open := inst.openCalls.Load(); open != 0 {
 		t.Errorf("%d counted as open after all", open)
 	}
 }
@@ -633,7 +633,7 @@
 	for inst.Stats.ClientGone.Load() < 20 {
 		time.Sleep(time.Millisecond)
 	}
-	if open := inst.open.Load(); open != 0 {
+	if open := inst.openCalls.Load(); open != 0 {
 		t.Errorf("%d still open", open)
 	}
 }
@@ -691,7 +691,7 @@
 	full.Write = func(string, []byte) error { return syscall.ENOSPC }
 	r.list.SetDown(false)
 	r.start(func(cfg *Config) { cfg.Snapshot = full })
-	r.logged("kept list left out")
+	r.logged("endpoint snapshot ignored")
 	r.logged("no space left on device")
 	c = r.client()
 	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
--- a/internal/daemon/stands.go
+++ b/internal/daemon/stands.go
@@ -7,46 +7,46 @@
 	"landingpaddle/scheduler"
 )
 
-// standing is a node as the module was last told of it.
-type standing struct {
+// notifiedEndpoint is a node as the module was last told of it.
+type notifiedEndpoint struct {
 	status scheduler.Status
 	boot   time.Duration // of its process
 }
 
-// standings hold what the module was last told of each node, for edges on goroutines of their own to look at.
-type standings struct {
+// notifiedEndpoints hold what the module was last told of each node, for edges on goroutines of their own to look at.
+type notifiedEndpoints struct {
 	mu   sync.RWMutex
-	rows map[scheduler.Server]standing
+	rows map[scheduler.Server]notifiedEndpoint
 }
 
-func (s *standings) of(server scheduler.Server) standing {
+func (s *notifiedEndpoints) of(server scheduler.Server) notifiedEndpoint {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.rows[server]
 }
 
 // told takes over what the module is told.
-func (s *standings) told(m scheduler.EndpointUpdate) {
+func (s *notifiedEndpoints) told(m scheduler.EndpointUpdate) {
 	if m.Kind == scheduler.UpdateFailed {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rows == nil || m.Kind != scheduler.UpdateDelta {
-		s.rows = make(map[scheduler.Server]standing, len(m.Endpoints))
+		s.rows = make(map[scheduler.Server]notifiedEndpoint, len(m.Endpoints))
 	}
 	for _, e := range m.Endpoints {
 		if e.Status == scheduler.Gone {
 			delete(s.rows, e.Server)
 			continue
 		}
-		s.rows[e.Server] = standing{e.Status, e.StartedAt}
+		s.rows[e.Server] = notifiedEndpoint{e.Status, e.StartedAt}
 	}
 }
 
 // ready tells whether an attempt's node may still be sent to, and is the process that was meant.
-func (s *standings) ready(a *attempt) bool {
-	return s.of(a.server) == standing{scheduler.Ready, a.boot}
+func (s *notifiedEndpoints) ready(a *attempt) bool {
+	return s.of(a.server) == notifiedEndpoint{scheduler.Ready, a.boot}
 }
 
 // Stands tells whether what the decision to send an operation rested on still holds. Edges ask right before
@@ -56,13 +56,13 @@
 func (c *EventLoop) CheckPreconditions(op *Operation) scheduler.ResultCode {
 	awaited, late, now := false, false, c.Now()
 	for _, a := range op.members {
-		awaited = awaited || !a.req.call.over.Load()
+		awaited = awaited || !a.req.call.unwanted.Load()
 		late = late || a.before > 0 && now > a.before
 	}
 	switch {
 	case !awaited || op.Deadline() <= now:
 		return scheduler.NotApplicable
-	case late || !c.standings.ready(op.members[0]):
+	case late || !c.notifiedEndpoints.ready(op.members[0]):
 		return scheduler.ConnectFailed
 	}
 	return scheduler.OK
