--- /dev/null
+++ b/internal/daemon/attempt.go
@@ -0,0 +1,146 @@
+package daemon
+
+import (
+	"slices"
+	"time"
+
+	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
+)
+
+// attempt is one sending of one request.
+type attempt struct {
+	request       *request
+	operation     *Operation
+	number        int // among the request's; the first is 0
+	server        scheduler.Server
+	nodeStartedAt time.Duration // of the process that the scheduler decided to send to
+	startBefore   time.Duration // the first byte must be sent by then; 0: any time
+	startedAt     time.Duration
+	deadline      time.Duration
+	timeout       *timer
+	ended         bool
+}
+
+// startAttempt starts an attempt, for as long as it may take and never longer than the client waits. The
+// members of one operation follow each other at once, those after the first with it as Leader; dispatch then
+// hands the operation to the upstream.
+func (l *loop) startAttempt(send scheduler.Send) {
+	r := l.requests[send.ID]
+	if r == nil {
+		return
+	}
+	a := &attempt{
+		request:       r,
+		number:        r.attempts,
+		server:        send.Server,
+		nodeStartedAt: l.shared.notifiedEndpoints.get(send.Server).startedAt,
+		startBefore:   send.StartBefore,
+		startedAt:     l.now,
+		deadline:      r.expiresAt,
+	}
+	if send.Timeout > 0 {
+		a.deadline = min(a.deadline, l.now+send.Timeout)
+	}
+	r.attempts++
+	r.lastServer = send.Server
+	r.inFlight = append(r.inFlight, a)
+	if r.call.isRanged() {
+		l.planner.AttemptSent(r.id)
+	}
+	l.joinOperation(a, send.Leader)
+	a.timeout = l.timers.set(a.deadline, func() { l.abort(a, scheduler.TimedOut) })
+}
+
+// joinOperation puts an attempt into the operation that the request leader began just before; 0 or another
+// leader than that operation's begins a new one.
+func (l *loop) joinOperation(a *attempt, leader uint32) {
+	if last := len(l.undispatched) - 1; leader != 0 && last >= 0 {
+		if operation := l.undispatched[last]; operation.members[0].request.id == leader {
+			a.operation = operation
+			operation.members = append(operation.members, a)
+			return
+		}
+	}
+	a.operation = newOperation(a)
+	l.undispatched = append(l.undispatched, a.operation)
+}
+
+// abort ends an attempt on this side: its time is up or it was cancelled. An operation is cancelled at its
+// node once no member waits for it, and before that the one member: a write that was aborted here but stayed
+// in an operation at its node was once carried out after a later one of its key.
+func (l *loop) abort(a *attempt, code scheduler.ResultCode) {
+	if a.ended {
+		return
+	}
+	l.attemptEnded(a, attemptEnd{code: code})
+	members := a.operation.members
+	if slices.ContainsFunc(members, func(member *attempt) bool { return !member.ended }) {
+		l.drivers.Upstream.CancelMember(a.operation, slices.Index(members, a))
+		return
+	}
+	l.drivers.Upstream.Cancel(a.operation)
+}
+
+// attemptEnd is how an attempt ended.
+type attemptEnd struct {
+	code     scheduler.ResultCode
+	answer   proto.Answer // of the node to the whole operation
+	payload  []byte       // the attempt's part
+	isLeader bool         // the attempt led its operation: what the node reports of a volume concerns it
+}
+
+// attemptEnded takes in how an attempt ended. The first one of a request that was served answers the client
+// at once.
+func (l *loop) attemptEnded(a *attempt, end attemptEnd) {
+	if a.ended {
+		l.shared.Stats.Late.Add(1)
+		return // its time-out came first, and was its one result
+	}
+	a.ended = true
+	l.timers.cancel(a.timeout)
+	l.shared.Stats.countAttempt(end.code)
+	r := a.request
+	r.inFlight = slices.DeleteFunc(r.inFlight, func(other *attempt) bool { return other == a })
+	r.lastReason = attemptReason(end.code)
+	if r.call.isRanged() {
+		l.planner.AttemptEnded(r.id, end.code.MayHaveRun())
+		l.logLatePiece(a, end.code)
+	}
+	result := scheduler.AttemptResult{
+		ID:      r.id,
+		Attempt: a.number,
+		Server:  a.server,
+		Code:    end.code,
+		Latency: l.now - a.startedAt,
+		Load:    end.answer.Load,
+	}
+	if end.isLeader {
+		result.MeteredRate = int(end.answer.MeteredRate)
+		result.ElsewhereUnits = float64(end.answer.ElsewhereUnits)
+	}
+	if end.code == scheduler.OK {
+		l.resolve(r, clientAnswer(end.answer), end.payload)
+	}
+	result.RequestDone = r.done
+	l.notify(result)
+	l.release(r)
+}
+
+// clientAnswer is a node's answer as the client gets it: without what the node reports to the instance.
+func clientAnswer(answer proto.Answer) proto.Answer {
+	answer.Code, answer.MeteredRate, answer.ElsewhereUnits, answer.Load = proto.OK, 0, 0, nil
+	return answer
+}
+
+// logLatePiece logs a piece that may have been written after its call was answered.
+func (l *loop) logLatePiece(a *attempt, code scheduler.ResultCode) {
+	call := a.request.call
+	if !call.answered || !call.Request.Write || !code.MayHaveRun() {
+		return
+	}
+	piece := a.request.piece.Range
+	l.shared.log.Info("piece of an answered write ended", keyToken, call.Token,
+		keyDataVolume, call.DataVolume, keyOffset, piece.Offset, keyLength, piece.Length,
+		keyNode, l.shared.cfg.NodeName(a.server), keyCode, code)
+}
--- /dev/null
+++ b/internal/daemon/call.go
@@ -0,0 +1,162 @@
+package daemon
+
+import (
+	"sync/atomic"
+	"time"
+
+	"landingpaddle/extent"
+	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
+)
+
+// Call is one client's request on its way through the daemon. Whoever submits it fills the exported fields;
+// from then on the loop owns it.
+type Call struct {
+	Responder  Responder
+	Request    scheduler.Request // all but ID and ExpiresAt
+	ReceivedAt time.Duration     // when it was read, by the scheduler's clock
+	Wait       time.Duration     // how long its client waits from then on
+	Token      uint64            // by which logs name it
+	Range      *extent.Range     // bytes, of a ranged request; nil: another
+	DataVolume uint64            // the volume whose bytes a ranged request means
+
+	rangedID uint64     // by which the planner knows a ranged call; 0: another
+	requests []*request // one, or one for each piece of a ranged call
+	overdue  *timer
+	answered bool
+
+	// unwanted says that the call is answered or its client is gone: no attempt may begin any more. Drivers
+	// read it on any goroutine.
+	unwanted atomic.Bool
+}
+
+func (c *Call) isRanged() bool { return c.rangedID != 0 }
+
+// startCall hands a submitted call to the scheduler: as one request, or as one for each piece of its range.
+func (l *loop) startCall(call *Call) {
+	expiresAt := call.ReceivedAt + call.Wait - l.shared.cfg.ResponseMargin
+	call.overdue = l.timers.set(expiresAt+l.shared.cfg.AnswerSlack, func() { l.answerOverdue(call) })
+	event := call.Request
+	event.ExpiresAt = expiresAt
+	if call.Range != nil {
+		l.startRangedCall(call, event)
+		return
+	}
+	r := &request{call: call, id: l.nextRequestID(), expiresAt: expiresAt}
+	l.requests[r.id], call.requests = r, []*request{r}
+	event.ID = r.id
+	l.notify(event)
+}
+
+// startRangedCall splits a call into pieces and hands these to the scheduler.
+func (l *loop) startRangedCall(call *Call, event scheduler.Request) {
+	l.lastRangedID++
+	pieces, err := l.planner.Add(extent.Request{
+		ID:         l.lastRangedID,
+		DataVolume: call.DataVolume,
+		Range:      *call.Range,
+		Write:      event.Write,
+		Class:      event.Class,
+		Plan:       event.Plan,
+		Units:      int(event.Units),
+		ReceivedAt: call.ReceivedAt,
+		RetrySafe:  l.settings.Classes[event.Class].RetrySafe(),
+	}, l.nextRequestID)
+	if err != nil {
+		l.shared.log.Debug("range rejected", keyToken, call.Token, keyError, err)
+		l.finish(call, proto.Answer{Code: proto.Rejected, Reason: ReasonBadRange}, nil)
+		return
+	}
+	call.rangedID = l.lastRangedID
+	for i, piece := range pieces {
+		r := &request{call: call, piece: piece, id: piece.ID, expiresAt: event.ExpiresAt}
+		l.requests[r.id], call.requests = r, append(call.requests, r)
+		event.ID, event.Cell, event.Units = piece.ID, piece.Cell, float64(piece.Units)
+		event.Continuation = i > 0
+		l.notify(event)
+	}
+}
+
+// answerOverdue fails a call that the scheduler has not answered when its time is up, and logs that as the
+// fault that it is.
+func (l *loop) answerOverdue(call *Call) {
+	if !call.answered && l.notified {
+		// A loop that was not scheduled for long finds the end of an attempt and this timer in one batch.
+		// The scheduler has only just been notified and decides first.
+		l.decide()
+	}
+	if call.answered {
+		return
+	}
+	l.shared.Stats.Overdue.Add(1)
+	attempts := 0
+	for _, r := range call.requests {
+		attempts += r.attempts
+	}
+	l.shared.log.Error("call overdue", keyToken, call.Token, keyAttempts, attempts,
+		keyAge, l.now-call.ReceivedAt)
+	l.failCall(call, ReasonOverdue)
+}
+
+// endCallOfGoneClient ends a call that nobody waits for any more.
+func (l *loop) endCallOfGoneClient(call *Call) {
+	if call.answered || call.requests == nil {
+		return
+	}
+	l.shared.Stats.ClientGone.Add(1)
+	l.failCall(call, ReasonClientGone)
+}
+
+// failCall answers a call as failed and withdraws its requests from the scheduler.
+func (l *loop) failCall(call *Call, reason string) {
+	answer := proto.Answer{Code: proto.Failed, Reason: reason}
+	var withdrawn []uint32
+	if call.isRanged() {
+		var pieces *extent.Answer
+		if pieces, withdrawn = l.planner.Abandon(call.rangedID); pieces != nil {
+			setPieceCounts(&answer, pieces)
+		}
+	} else {
+		withdrawn = []uint32{call.requests[0].id}
+	}
+	l.finish(call, answer, nil)
+	l.withdraw(withdrawn)
+}
+
+// setPieceCounts puts into an answer what is known of a call's pieces.
+func setPieceCounts(answer *proto.Answer, pieces *extent.Answer) {
+	answer.Done = uint16(pieces.Done)
+	answer.Uncertain = uint16(pieces.Uncertain)
+	answer.Unsent = uint16(pieces.Unsent)
+}
+
+// finish gives a call its one final answer. A call that has one is left as it is.
+func (l *loop) finish(call *Call, answer proto.Answer, payload []byte) {
+	if call.answered {
+		return
+	}
+	call.answered = true
+	call.unwanted.Store(true)
+	l.timers.cancel(call.overdue)
+	l.shared.Stats.countAnswer(answer.Code)
+	if answer.Code != proto.OK {
+		l.logUnserved(call, answer)
+	}
+	l.shared.openCalls.Add(-1)
+	call.Responder.Respond(answer, payload)
+}
+
+// logUnserved logs an answer that is none of success, and of a failed write what is where: nobody else can
+// tell.
+func (l *loop) logUnserved(call *Call, answer proto.Answer) {
+	l.shared.log.Debug(answerEvent(answer.Code), keyReason, answer.Reason, keyToken, call.Token,
+		keyRetryAfter, answer.RetryAfter)
+	if answer.Done == 0 || !call.Request.Write {
+		return
+	}
+	for _, r := range call.requests {
+		l.shared.log.Warn("write partly done", keyToken, call.Token, keyDataVolume, call.DataVolume,
+			keyOffset, r.piece.Range.Offset, keyLength, r.piece.Range.Length, keyState, r.pieceState(),
+			keyNode, l.shared.cfg.NodeName(r.lastServer), keyLastReason, r.lastReason)
+	}
+}
--- a/internal/daemon/client_request.go
+++ b/internal/daemon/client_request.go
@@ -27,7 +27,7 @@
 }
 
 // clientRequestOf is the client's request that an attempt is made for.
-func clientRequestOf(a *attempt) *clientRequest { return a.req.call.Responder.(*clientRequest) }
+func clientRequestOf(a *attempt) *clientRequest { return a.request.call.Responder.(*clientRequest) }
 
 // validate checks what a client states against the bounds of its site, and notes whether the request
 // writes. It returns the reason of a rejection, or "". Whether a range can be split the planner checks.
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -6,50 +6,53 @@
 	"landingpaddle/scheduler"
 )
 
-// mostPeers bounds messages from other instances that wait for the loop; more are lost, as datagrams may be.
-const mostPeers = 1024
+// maxPeerMessages bounds the messages of other instances that wait for the loop. More are lost, as datagrams
+// may be.
+const maxPeerMessages = 1024
 
-// inbox leads to the loop. Requests in it are bounded by the front, outcomes by the attempts that are out,
-// news by the one connection that brings it, messages of peers here.
+// inbox is the queue of messages to the loop. Any goroutine may put into it, only the loop's takes. It needs
+// no bound of its own but that of peer messages: calls are bounded by Admit, results by the attempts in
+// flight, endpoint updates by the one connection that brings them.
 type inbox struct {
-	mu    sync.Mutex
-	items []any
-	peers int
-	wake  chan struct{}
+	mu           sync.Mutex
+	messages     []message
+	peerMessages int           // among messages
+	wake         chan struct{} // holds one value while there may be messages
 }
 
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
 
-func (b *inbox) put(item any) {
+func (b *inbox) put(m message) {
 	b.mu.Lock()
-	b.items = append(b.items, item)
+	b.messages = append(b.messages, m)
 	b.mu.Unlock()
-	b.ring()
+	b.signal()
 }
 
-func (b *inbox) putPeer(p scheduler.PeerMessage) {
+func (b *inbox) putPeerMessage(m scheduler.PeerMessage) {
 	b.mu.Lock()
-	if b.peers < mostPeers {
-		b.peers++
-		b.items = append(b.items, p)
+	if b.peerMessages < maxPeerMessages {
+		b.peerMessages++
+		b.messages = append(b.messages, peerMessageReceived{m})
 	}
 	b.mu.Unlock()
-	b.ring()
+	b.signal()
 }
 
-func (b *inbox) ring() {
+// signal wakes the loop, or makes its next wait end at once.
+func (b *inbox) signal() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take empties the box into what the caller has done with.
-func (b *inbox) take(spare []any) []any {
+// takeAll empties the inbox. It goes on with the slice spare, which the caller must not use any more.
+func (b *inbox) takeAll(spare []message) []message {
 	clear(spare)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	items := b.items
-	b.items, b.peers = spare[:0], 0
-	return items
+	taken := b.messages
+	b.messages, b.peerMessages = spare[:0], 0
+	return taken
 }
--- /dev/null
+++ b/internal/daemon/upstream_pool.go
@@ -0,0 +1,194 @@
+package daemon
+
+import (
+	"context"
+	"slices"
+
+	"golang.org/x/sync/errgroup"
+
+	"landingpaddle/internal/proto"
+	"landingpaddle/internal/registry"
+	"landingpaddle/scheduler"
+)
+
+// upstreamPool is the Upstream of the native protocol: the connections to nodes. The loop's goroutine owns
+// it; the goroutines of the connections report through the inbox.
+type upstreamPool struct {
+	ctx      context.Context // ends all connections
+	group    *errgroup.Group // of the connections' goroutines
+	instance *Instance
+	config   proto.Config
+	nodes    map[scheduler.Server]*upstreamNode
+}
+
+// upstreamNode holds the connections to one node.
+type upstreamNode struct {
+	server      scheduler.Server
+	connections []*upstreamConnection
+	dialing     int          // connections being made
+	waiting     []*Operation // for one of these
+}
+
+func newUpstreamPool(ctx context.Context, group *errgroup.Group, instance *Instance) *upstreamPool {
+	limits := instance.cfg.Site.Limits
+	return &upstreamPool{
+		ctx:      ctx,
+		group:    group,
+		instance: instance,
+		config: proto.Config{
+			Hello:     instance.hello(),
+			Gate:      instance.cfg.Hooks.Gate,
+			Handshake: limits.ConnectTimeout,
+			Idle:      limits.IdleTimeout,
+			Silence:   limits.SilenceTimeout,
+			Limits:    proto.LimitsFor(int(limits.MaxPayload), limits.Streams),
+		},
+		nodes: map[scheduler.Server]*upstreamNode{},
+	}
+}
+
+// serverAddress is the address of a node as text.
+func serverAddress(server scheduler.Server) string { return registry.AddrPortOf(server).String() }
+
+// node returns what the pool holds of a node, and begins to hold it.
+func (p *upstreamPool) node(server scheduler.Server) *upstreamNode {
+	node := p.nodes[server]
+	if node == nil {
+		node = &upstreamNode{server: server}
+		p.nodes[server] = node
+	}
+	return node
+}
+
+// Send writes an operation to the connection with the fewest requests in flight, or lets it wait for one
+// that is being made. Where all connections that may be made are full, the operation ends as ConnectFailed.
+func (p *upstreamPool) Send(operation *Operation) {
+	node := p.node(operation.server)
+	if connection := node.leastLoaded(); connection != nil {
+		p.write(connection, operation)
+		return
+	}
+	limits := p.instance.cfg.Site.Limits
+	if len(node.waiting) >= node.dialing*limits.Streams {
+		if len(node.connections)+node.dialing >= limits.NodeConnections {
+			p.instance.inbox.put(operationResult{operation: operation, code: scheduler.ConnectFailed})
+			return
+		}
+		p.dial(node)
+	}
+	node.waiting = append(node.waiting, operation)
+}
+
+// leastLoaded returns the connection with the fewest requests in flight; nil if all are full.
+func (n *upstreamNode) leastLoaded() *upstreamConnection {
+	var best *upstreamConnection
+	for _, connection := range n.connections {
+		inFlight := connection.conn.InFlight()
+		if inFlight < connection.conn.Streams() && (best == nil || inFlight < best.conn.InFlight()) {
+			best = connection
+		}
+	}
+	return best
+}
+
+// dial makes a connection and reads from it, on a goroutine of the group that ends with the connection.
+func (p *upstreamPool) dial(node *upstreamNode) {
+	node.dialing++
+	server := node.server
+	p.group.Go(func() error {
+		ctx, cancel := context.WithTimeout(p.ctx, p.instance.cfg.Site.Limits.ConnectTimeout)
+		defer cancel()
+		conn, err := proto.Dial(ctx, serverAddress(server), p.config)
+		if err != nil {
+			p.instance.inbox.put(dialFailed{p, server, err})
+			return nil
+		}
+		connection := &upstreamConnection{server: server, conn: conn, operations: map[uint64]*Operation{}}
+		p.instance.inbox.put(greetingReceived{connection.process()})
+		p.instance.inbox.put(connectionEstablished{p, connection})
+		err = conn.Run(p.ctx, func(frame proto.Frame) error { return p.handleFrame(connection, frame) })
+		p.connectionEnded(connection, err)
+		return nil
+	})
+}
+
+// dialFailed says that a connection could not be made.
+type dialFailed struct {
+	pool   *upstreamPool
+	server scheduler.Server
+	err    error
+}
+
+// apply fails what waited for a connection, unless another is still being made.
+func (m dialFailed) apply(l *loop) {
+	node := m.pool.node(m.server)
+	node.dialing--
+	m.pool.instance.log.Info("node unreachable", keyNode, serverAddress(m.server), keyError, m.err)
+	if node.dialing > 0 {
+		return
+	}
+	for _, operation := range node.waiting {
+		l.operationEnded(operationResult{operation: operation, code: scheduler.ConnectFailed})
+	}
+	node.waiting = nil
+	m.pool.removeUnused(node)
+}
+
+// connectionEstablished is a new connection.
+type connectionEstablished struct {
+	pool       *upstreamPool
+	connection *upstreamConnection
+}
+
+// apply sends the operations that waited for a connection, as far as they still make sense.
+func (m connectionEstablished) apply(l *loop) {
+	node := m.pool.node(m.connection.server)
+	node.dialing--
+	node.connections = append(node.connections, m.connection)
+	waiting := node.waiting
+	node.waiting = nil
+	for _, operation := range waiting {
+		for _, sendable := range l.sendable(operation) {
+			// A node that drains or was restarted while the connection came up is not what was decided on.
+			if code := l.shared.CheckPreconditions(sendable); code != scheduler.OK {
+				l.operationEnded(operationResult{operation: sendable, code: code})
+				continue
+			}
+			m.pool.Send(sendable)
+		}
+	}
+}
+
+// connectionClosed says that a connection has ended.
+type connectionClosed struct {
+	pool       *upstreamPool
+	connection *upstreamConnection
+}
+
+func (m connectionClosed) apply(*loop) {
+	node := m.pool.node(m.connection.server)
+	if i := slices.Index(node.connections, m.connection); i >= 0 {
+		node.connections = slices.Delete(node.connections, i, i+1)
+	}
+	m.pool.removeUnused(node)
+}
+
+// removeUnused forgets a node without connections, dials and waiting operations.
+func (p *upstreamPool) removeUnused(node *upstreamNode) {
+	if len(node.connections) == 0 && node.dialing == 0 && len(node.waiting) == 0 {
+		delete(p.nodes, node.server)
+	}
+}
+
+// CloseIdle closes the connections to a node on which nothing is in flight.
+func (p *upstreamPool) CloseIdle(server scheduler.Server) {
+	node := p.nodes[server]
+	if node == nil {
+		return
+	}
+	for _, connection := range node.connections {
+		if connection.conn.InFlight() == 0 {
+			connection.conn.CloseGracefully("not needed")
+		}
+	}
+}
--- /dev/null
+++ b/internal/daemon/upstream_request.go
@@ -0,0 +1,73 @@
+package daemon
+
+import (
+	"time"
+
+	"landingpaddle/internal/proto"
+)
+
+// upstreamRequest is an operation as its node gets it.
+type upstreamRequest struct {
+	header  proto.Request
+	payload []byte // of a write
+	copied  int    // bytes of the payload that were copied to merge writes
+}
+
+// encode makes the request of an operation. The node is told the time left of the most urgent member; each
+// member is ended on this side at its own deadline.
+func (o *Operation) encode(now time.Duration) upstreamRequest {
+	leader := o.members[0]
+	header := clientRequestOf(leader).header
+	header.Attempt, header.Timeout = uint16(leader.number), leader.deadline-now
+	header.Members, header.Piece = nil, 0
+	if !o.isRanged() {
+		return upstreamRequest{header: header, payload: clientRequestOf(leader).payload}
+	}
+	header.Cell = int32(leader.request.piece.Cell)
+	header.Offset, header.Length = o.extent.Range.Offset, uint32(o.extent.Range.Length)
+	header.Units = uint32(o.extent.Units)
+	header.Data, header.Write = o.extent.DataVolume, o.extent.Write
+	header.Piece = uint16(leader.request.piece.Nth)
+	if len(o.members) == 1 {
+		return upstreamRequest{header: header, payload: leader.pieceData()}
+	}
+	return o.encodeMembers(header, now)
+}
+
+// encodeMembers adds the members of a merged operation to its request, and the payload of a write.
+func (o *Operation) encodeMembers(header proto.Request, now time.Duration) upstreamRequest {
+	request := upstreamRequest{header: header}
+	if header.Write {
+		request.payload = make([]byte, o.extent.Range.Length)
+	}
+	for i, member := range o.members {
+		client, slice := &clientRequestOf(member).header, o.extent.Slice(o.extent.Members[i])
+		request.header.Timeout = min(request.header.Timeout, member.deadline-now)
+		request.header.Members = append(request.header.Members, proto.Member{
+			Token:  client.Token,
+			Volume: client.Volume,
+			Key:    client.Key,
+			Plan:   client.Plan,
+			Units:  uint32(max(1, member.request.piece.Units)),
+			Offset: uint32(slice.Offset),
+			Length: uint32(slice.Length),
+			Piece:  uint16(member.request.piece.Nth),
+			Try:    client.Try,
+			Client: client.Client,
+		})
+		if header.Write {
+			request.copied += copy(request.payload[slice.Offset:slice.End()], member.pieceData())
+		}
+	}
+	return request
+}
+
+// pieceData is the part of a write's payload that an attempt's piece covers; nil for a read.
+func (a *attempt) pieceData() []byte {
+	client, piece := clientRequestOf(a), a.request.piece.Range
+	if client.payload == nil {
+		return nil
+	}
+	from := piece.Offset - client.header.Offset
+	return client.payload[from : from+piece.Length]
+}
