--- /dev/null
+++ b/internal/daemon/main_test.go
@@ -0,0 +1,9 @@
+package daemon
+
+import (
+	"testing"
+
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- /dev/null
+++ b/internal/daemon/peers_test.go
@@ -0,0 +1,74 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/netip"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"landingpaddle/internal/peer"
+	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
+)
+
+// Invalid datagrams are dropped, valid ones reach the scheduler, and the instance works on.
+func TestInstance_DropsInvalidPeerMessages(t *testing.T) {
+	r := newTestEnvironment(t)
+	r.node(0, echo)
+	peers := map[uint32]netip.AddrPort{}
+	other, err := peer.Listen("127.0.0.1:0", 1, peers, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	peers[1] = other.Addr()
+	var heard atomic.Int64
+	inst := r.start(func(cfg *Config) {
+		cfg.Instances, cfg.PeerListen, cfg.Peers = 2, "127.0.0.1:0", peers
+		cfg.Hooks.Decider = func(_ scheduler.Settings, host Decider) Decider {
+			return peerCountingDecider{host,
+				&heard}
+		}
+	})
+	r.logged("node listed")
+	out, err := net.Dial("udp4", inst.PeerAddr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	good, _ := peer.Encode(1, []byte("from a peer"))
+	for i := range 200 {
+		fmt.Fprintf(out, "garbage %d", i)
+	}
+	if _, err := out.Write(good); err != nil {
+		t.Fatal(err)
+	}
+	c := r.client()
+	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
+		t.Errorf("got %+v", a)
+	}
+	for range 200 {
+		if heard.Load() == 1 {
+			break
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	if heard.Load() != 1 {
+		t.Errorf("%d messages reached the module, want 1", heard.Load())
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	_ = other.Run(ctx, func(scheduler.PeerMessage) {})
+}
+
+// Where the site allows no messages between instances, a configuration with peers is an error.
+func TestNew_RejectsPeersWhereNotAllowed(t *testing.T) {
+	site := changedSite()
+	_, err := New(Config{Site: site, Listener: newTestEnvironment(t).listen(), PeerListen: "127.0.0.1:0"})
+	if err == nil || !strings.Contains(fmt.Sprint(err), "peers") {
+		t.Errorf("got %v", err)
+	}
+}
--- a/internal/daemon/reasons_test.go
+++ b/internal/daemon/reasons_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Reason words reach clients and operators: they are part of the interface.
-func TestReasonWords(t *testing.T) {
+func TestReasons_KeepTheirWords(t *testing.T) {
 	for got, want := range map[string]string{
 		ReasonBadRequest:      "bad-request",
 		ReasonBadRange:        "bad-range",
--- a/internal/daemon/learnt_test.go
+++ b/internal/daemon/statistics_test.go
@@ -1,7 +1,6 @@
 package daemon
 
 import (
-	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
@@ -15,18 +14,9 @@
 	"landingpaddle/scheduler"
 )
 
-// after answers each request after a while.
-func after(d time.Duration) func(*proto.Conn, proto.Frame, proto.Request) error {
-	return func(c *proto.Conn, f proto.Frame, q proto.Request) error {
-		if f.Type == proto.TypeRequest {
-			time.AfterFunc(d, func() { _ = echo(c, f, q) })
-		}
-		return nil
-	}
-}
-
-// newShape is a site as deployments of the newer build have it: no peers, no advice, a budget, unsafe writes.
-func newShape() config.Site {
+// changedSite is testSite with other settings: no messages between instances, no Retry-After, a retry budget,
+// writes that are not idempotent.
+func changedSite() config.Site {
 	s := testSite()
 	s.Limits.PeerMessages, s.Limits.RetryAfter = false, false
 	s.Rules.RetryBudget = &config.RetryBudget{Floor: 3, Ratio: 0.15, Window: 5 * time.Second}
@@ -38,12 +28,14 @@
 	return s
 }
 
-// switchOver runs an instance under the old settings until it has learnt of a slow and a quick node, stops it
-// with requests out, and starts one under the new settings. spoil stands between the two lives.
-func switchOver(t *testing.T, spoil func(path string)) (*rig, *caller) {
-	r, path := newRig(t), filepath.Join(t.TempDir(), "learnt")
-	r.node(0, after(60*time.Millisecond))
-	r.node(1, after(5*time.Millisecond))
+// restartWithChangedSite runs an instance of testSite until it has statistics of a slow and a quick node, stops
+// it with requests in flight, and starts one of changedSite. Between the two it calls spoil with the path of the
+// saved statistics.
+func restartWithChangedSite(t *testing.T, spoil func(path string)) (*testEnvironment, *testClient) {
+	t.Helper()
+	r, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
+	r.node(0, echoAfter(60*time.Millisecond))
+	r.node(1, echoAfter(5*time.Millisecond))
 	old := r.start(func(cfg *Config) { cfg.StatisticsFile = path })
 	r.logged("cell=0")
 	r.logged("cell=1")
@@ -67,14 +59,14 @@
 	if spoil != nil {
 		spoil(path)
 	}
-	r.start(func(cfg *Config) { cfg.StatisticsFile, cfg.Site = path, newShape() })
+	r.start(func(cfg *Config) { cfg.StatisticsFile, cfg.Site = path, changedSite() })
 	return r, r.client()
 }
 
-// In the first seconds after the switch the instance knows which node is slow, serves reads and unsafe
-// writes, and stops in order; nothing of what a rule hangs on has come over.
-func TestTheFirstSecondsAfterASwitch(t *testing.T) {
-	r, c := switchOver(t, nil)
+// After a change of settings the instance has its statistics back, serves reads and writes that are not
+// idempotent, and stops gracefully.
+func TestStatistics_AreRestoredAfterSettingsChange(t *testing.T) {
+	r, c := restartWithChangedSite(t, nil)
 	r.logged("statistics saved")
 	r.logged("saved statistics restored")
 	if text := r.logs.String(); !strings.Contains(text, "nodes=2 saved_nodes=2 classes=1 all_classes=true") {
@@ -105,9 +97,9 @@
 	}
 }
 
-// A life in which nothing was asked leaves the figures of the one before as they are.
-func TestAnIdleLifeVoidsNothing(t *testing.T) {
-	r, path := newRig(t), filepath.Join(t.TempDir(), "learnt")
+// An incarnation without requests leaves the statistics of the one before as they are.
+func TestStatistics_IdleIncarnationKeepsThem(t *testing.T) {
+	r, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
 	r.node(0, echo)
 	for life := range 2 {
 		r.start(func(cfg *Config) { cfg.StatisticsFile = path })
@@ -126,8 +118,8 @@
 	}
 }
 
-// What cannot be believed is told in one line and treated as none; the instance serves all the same.
-func TestASwitchWithoutFiguresToBelieve(t *testing.T) {
+// Statistics that cannot be trusted are logged in one line and ignored; the instance serves all the same.
+func TestStatistics_IgnoresInvalidFiles(t *testing.T) {
 	write := func(magic string, change func(*checkpoint.Record)) func(string) {
 		return func(path string) {
 			var rec checkpoint.Record
@@ -171,7 +163,7 @@
 			func(r *checkpoint.Record) { r.MedianLatency = -1 })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, client := switchOver(t, c.spoil)
+			r, client := restartWithChangedSite(t, c.spoil)
 			r.logged(c.told)
 			for range 4 {
 				if a := client.wait(client.ask(nil)); a.Code != proto.OK {
@@ -188,39 +180,3 @@
 		})
 	}
 }
-
-// A site whose refusals may not say when to come back: the front's own do not either.
-func TestNoAdviceWhereNoneIsAllowed(t *testing.T) {
-	for _, allowed := range []bool{true, false} {
-		r := newRig(t)
-		r.node(0, after(200*time.Millisecond))
-		inst := r.start(
-			func(cfg *Config) { cfg.Site.Limits.RetryAfter, cfg.Site.Limits.MaxOpenRequests = allowed, 1 },
-		)
-		r.logged("node listed")
-		c := r.client()
-		c.ask(nil)
-		for inst.Stats.Attempts.Load() < 1 {
-			time.Sleep(time.Millisecond)
-		}
-		over := c.wait(c.ask(nil))
-		inst.Stop()
-		r.logged("instance stopping")
-		stopping := c.wait(c.ask(nil))
-		for reason, a := range map[string]proto.Answer{ReasonOverload: over, ReasonStopping: stopping} {
-			if a.Reason != reason || (a.RetryAfter > 0) != allowed {
-				t.Errorf("advice allowed %v: got %+v", allowed, a)
-			}
-		}
-		<-r.ended
-	}
-}
-
-// A site without messages between instances gets none, whoever asks for peers.
-func TestNoPeersWhereNoneAreAllowed(t *testing.T) {
-	site := newShape()
-	_, err := New(Config{Site: site, Listener: newRig(t).listen(), PeerListen: "127.0.0.1:0"})
-	if err == nil || !strings.Contains(fmt.Sprint(err), "peers") {
-		t.Errorf("got %v", err)
-	}
-}
--- a/internal/daemon/stored_test.go
+++ b/internal/daemon/stored_test.go
@@ -72,7 +72,7 @@
 		MedianLatency: 19 * time.Millisecond, RecentLatency: 23 * time.Millisecond}
 }
 
-func TestStoredFiguresReadAndWriteAsBefore(t *testing.T) {
+func TestStoredStatistics_ReadAndWriteAsBefore(t *testing.T) {
 	var got checkpoint.Record
 	if err := statefile.Read(storedFigures, statisticsMagic, &got); err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	sameBytes(t, storedFigures, storedRecord())
 }
 
-func TestFiguresOfAStoppedProcessReadAsBefore(t *testing.T) {
+func TestStoredStatistics_OfStoppedProcessReadAsBefore(t *testing.T) {
 	var got checkpoint.Record
 	if err := statefile.Read(stoppedLearnt, statisticsMagic, &got); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/timers_test.go
+++ b/internal/daemon/timers_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Timers are called in order of their time, those of one time in the order in which they were set,
-// cancelled ones never; and what is called or cancelled takes no more room.
-func TestTimers(t *testing.T) {
+// Timers fire in order of their time, those of one time in the order in which they were set, cancelled ones
+// never; and those that fired or were cancelled take no more room.
+func TestTimers_FireInOrderOfTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ts timers
 		var live []*timer
