--- a/internal/daemon/actions_test.go
+++ b/internal/daemon/actions_test.go
@@ -14,31 +14,33 @@
 
 // CheckHealth, CloseIdle, WriteLog, FetchEndpoints, SetTimer and Cancel are carried out.
 func TestEventLoop_CarriesOutEveryAction(t *testing.T) {
-	r := newTestEnvironment(t)
+	env := newTestEnvironment(t)
 	var called atomic.Int64
-	n := r.node(0, func(c *proto.Conn, f proto.Frame, q proto.Request) error {
-		switch f.Type {
+	node := env.node(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
+		switch frame.Type {
 		case proto.TypeHealthCheck:
-			return c.Send(
+			return conn.Send(
 				proto.TypeHealthCheckResult,
-				f.Stream,
+				frame.Stream,
 				proto.Answer{Code: proto.OK, Load: []float64{7}},
 				nil,
 			)
 		case proto.TypeCancel:
 			called.Add(1)
-			c.CloseStream(f.Stream)
-			return c.Send(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.Cancelled}, nil)
+			conn.CloseStream(frame.Stream)
+			return conn.Send(proto.TypeAnswer, frame.Stream, proto.Answer{Code: proto.Cancelled}, nil)
 		}
 		return nil
 	})
-	server, _ := registry.ServerFromAddrPort(n.ln.Addr().(*net.TCPAddr).AddrPort())
-	s := &scriptedDecider{server: server, seen: make(chan scheduler.Event, 64)}
-	r.start(func(cfg *Config) { cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return s } })
+	server, _ := registry.ServerFromAddrPort(node.listener.Addr().(*net.TCPAddr).AddrPort())
+	decider := &scriptedDecider{server: server, events: make(chan scheduler.Event, 64)}
+	env.start(func(cfg *Config) {
+		cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return decider }
+	})
 	got := map[string]int{}
 	for got["list"] < 1 { // a node that no list names is not sent to
 		select {
-		case ev := <-s.seen:
+		case ev := <-decider.events:
 			if x, ok := ev.(scheduler.EndpointUpdate); ok && x.Kind != scheduler.UpdateCached {
 				got["list"]++
 			}
@@ -46,11 +48,11 @@
 			t.Fatal("no list came")
 		}
 	}
-	c := r.client()
-	id := c.ask(nil)
+	client := env.client()
+	id := client.sendRequest(nil)
 	for got["probed 100 [7]"] < 1 || got["outcome 306"] < 1 || got["list"] < 2 { // pushed, and fetched
 		select {
-		case ev := <-s.seen:
+		case ev := <-decider.events:
 			switch x := ev.(type) {
 			case scheduler.HealthCheckResult:
 				got[fmt.Sprintf("probed %d %v", x.Code, x.Load)]++
@@ -65,8 +67,8 @@
 			t.Fatalf("only %v", got)
 		}
 	}
-	r.logged("hello operators")
-	if a := c.wait(id); a.Reason != ReasonCancelled || called.Load() != 1 {
-		t.Errorf("got %+v; the node was cancelled %d times", a, called.Load())
+	env.awaitLog("hello operators")
+	if answer := client.awaitAnswer(id); answer.Reason != ReasonCancelled || called.Load() != 1 {
+		t.Errorf("got %+v; the node was cancelled %d times", answer, called.Load())
 	}
 }
--- a/internal/daemon/deciders_test.go
+++ b/internal/daemon/deciders_test.go
@@ -10,11 +10,10 @@
 // immediateDecider sends every request at once to the node of its cell, and rejects it when that fails. It
 // counts the attempts that end with one result code.
 type immediateDecider struct {
-	nodes map[uint16]scheduler.Server
-	acts  []scheduler.Action
-	count *atomic.Int64
-	code  scheduler.ResultCode
-	allow time.Duration
+	nodes   map[uint16]scheduler.Server
+	actions []scheduler.Action
+	count   *atomic.Int64
+	code    scheduler.ResultCode
 }
 
 // countResults is a hook that counts the attempts that end with a code.
@@ -24,28 +23,28 @@
 	}
 }
 
-func (s *immediateDecider) Handle(_ time.Duration, ev scheduler.Event) {
-	switch x := ev.(type) {
+func (d *immediateDecider) Handle(_ time.Duration, event scheduler.Event) {
+	switch event := event.(type) {
 	case scheduler.EndpointUpdate:
-		for _, e := range x.Endpoints {
-			s.nodes[e.Cell] = e.Server
+		for _, endpoint := range event.Endpoints {
+			d.nodes[endpoint.Cell] = endpoint.Server
 		}
 	case scheduler.Request:
-		s.acts = append(s.acts, scheduler.Send{ID: x.ID, Server: s.nodes[uint16(x.Cell)], Timeout: s.allow})
+		d.actions = append(d.actions, scheduler.Send{ID: event.ID, Server: d.nodes[uint16(event.Cell)]})
 	case scheduler.AttemptResult:
-		if x.Code == s.code {
-			s.count.Add(1)
+		if event.Code == d.code {
+			d.count.Add(1)
 		}
-		if !x.RequestDone {
-			s.acts = append(s.acts, scheduler.Reject{ID: x.ID})
+		if !event.RequestDone {
+			d.actions = append(d.actions, scheduler.Reject{ID: event.ID})
 		}
 	}
 }
 
-func (s *immediateDecider) Decide(time.Duration) []scheduler.Action {
-	acts := s.acts
-	s.acts = nil
-	return acts
+func (d *immediateDecider) Decide(time.Duration) []scheduler.Action {
+	actions := d.actions
+	d.actions = nil
+	return actions
 }
 
 // silentDecider decides nothing.
@@ -58,44 +57,47 @@
 // peerCountingDecider counts the messages of other instances.
 type peerCountingDecider struct {
 	Decider
-	n *atomic.Int64
+	count *atomic.Int64
 }
 
-func (p peerCountingDecider) Handle(now time.Duration, ev scheduler.Event) {
-	if _, ok := ev.(scheduler.PeerMessage); ok {
-		p.n.Add(1)
+func (p peerCountingDecider) Handle(now time.Duration, event scheduler.Event) {
+	if _, ok := event.(scheduler.PeerMessage); ok {
+		p.count.Add(1)
 	}
-	p.Decider.Handle(now, ev)
+	p.Decider.Handle(now, event)
 }
 
 // scriptedDecider answers a request with one action of each kind, and cancels its attempt.
 type scriptedDecider struct {
-	server scheduler.Server
-	seen   chan scheduler.Event
-	acts   []scheduler.Action
+	server  scheduler.Server
+	events  chan scheduler.Event
+	actions []scheduler.Action
 }
 
-func (s *scriptedDecider) Handle(_ time.Duration, ev scheduler.Event) {
+func (d *scriptedDecider) Handle(_ time.Duration, event scheduler.Event) {
 	select {
-	case s.seen <- ev:
+	case d.events <- event:
 	default:
 	}
-	switch x := ev.(type) {
+	switch event := event.(type) {
 	case scheduler.Request:
-		s.acts = append(s.acts, scheduler.Send{ID: x.ID, Server: s.server},
-			scheduler.CheckHealth{Server: s.server},
-			scheduler.WriteLog{Text: "hello operators"}, scheduler.FetchEndpoints{},
-			scheduler.SetTimer{Token: 5,
-				After: 100 * time.Millisecond}, scheduler.CloseIdle{Server: s.server})
+		d.actions = append(d.actions,
+			scheduler.Send{ID: event.ID, Server: d.server},
+			scheduler.CheckHealth{Server: d.server},
+			scheduler.WriteLog{Text: "hello operators"},
+			scheduler.FetchEndpoints{},
+			scheduler.SetTimer{Token: 5, After: 100 * time.Millisecond},
+			scheduler.CloseIdle{Server: d.server},
+		)
 	case scheduler.TimerFired:
-		s.acts = append(s.acts, scheduler.Cancel{ID: 1, Attempt: 0})
+		d.actions = append(d.actions, scheduler.Cancel{ID: 1, Attempt: 0})
 	case scheduler.AttemptResult:
-		s.acts = append(s.acts, scheduler.Fail{ID: x.ID})
+		d.actions = append(d.actions, scheduler.Fail{ID: event.ID})
 	}
 }
 
-func (s *scriptedDecider) Decide(time.Duration) []scheduler.Action {
-	acts := s.acts
-	s.acts = nil
-	return acts
+func (d *scriptedDecider) Decide(time.Duration) []scheduler.Action {
+	actions := d.actions
+	d.actions = nil
+	return actions
 }
--- a/internal/daemon/endpoint_list_test.go
+++ b/internal/daemon/endpoint_list_test.go
@@ -12,35 +12,35 @@
 // A node announces on its connection that it drains while requests are in flight. Nothing new reaches it
 // after the grace, though the list still has it as ready.
 func TestEventLoop_SendsNothingAfterDrainNotice(t *testing.T) {
-	r := newTestEnvironment(t)
-	n := r.node(0, echo)
-	r.start(nil)
-	r.logged("node listed")
-	c := r.client()
+	env := newTestEnvironment(t)
+	node := env.node(0, echo)
+	env.start(nil)
+	env.awaitLog("node listed")
+	client := env.client()
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for !stop.Load() {
-			c.ask(func(q *proto.Request) { q.Timeout = 300 * time.Millisecond })
+			client.sendRequest(func(q *proto.Request) { q.Timeout = 300 * time.Millisecond })
 			time.Sleep(time.Millisecond)
 		}
 	})
-	conn := <-n.conns
+	conn := <-node.connections
 	time.Sleep(50 * time.Millisecond)
 	if err := conn.Send(proto.TypeDrain, 0, nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	r.logged("node draining")
+	env.awaitLog("node draining")
 	time.Sleep(100 * time.Millisecond)
-	before := n.got.Load()
+	before := node.requestCount.Load()
 	time.Sleep(200 * time.Millisecond)
 	stop.Store(true)
 	wg.Wait()
-	if after := n.got.Load(); after != before {
+	if after := node.requestCount.Load(); after != before {
 		t.Errorf("%d requests reached the node after its notice", after-before)
 	}
-	for s := uint64(1); s <= c.next; s++ {
-		c.wait(s)
+	for stream := uint64(1); stream <= client.lastStream; stream++ {
+		client.awaitAnswer(stream)
 	}
-	c.once()
+	client.expectOneAnswerEach()
 }
--- a/internal/daemon/environment_test.go
+++ b/internal/daemon/environment_test.go
@@ -21,8 +21,8 @@
 
 // testSite has a class of reads and one of writes that are idempotent and ordered by key.
 func testSite() config.Site {
-	s := config.DefaultSite()
-	s.Classes = []config.Class{
+	site := config.DefaultSite()
+	site.Classes = []config.Class{
 		{Name: "read", LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
 		{
 			Name:             "write",
@@ -35,9 +35,9 @@
 			Writes:           true,
 			PriorityWeight:   1,
 		}}
-	s.Plans = []config.Plan{{Name: "p", Rate: 100, Weight: 1, PriorityWeight: 1}}
-	s.Rules.OrderingPause = 50 * time.Millisecond
-	return s
+	site.Plans = []config.Plan{{Name: "p", Rate: 100, Weight: 1, PriorityWeight: 1}}
+	site.Rules.OrderingPause = 50 * time.Millisecond
+	return site
 }
 
 // frameHandler is what a fake node does at each frame of each connection; the request is that of a request
@@ -46,182 +46,193 @@
 
 // fakeNode is a node whose behaviour each test writes itself.
 type fakeNode struct {
-	ln    net.Listener
-	got   atomic.Int64
-	conns chan *proto.Conn
+	listener     net.Listener
+	requestCount atomic.Int64
+	connections  chan *proto.Conn
 }
 
 // testEnvironment is an instance with a registry and fake nodes.
 type testEnvironment struct {
-	t      *testing.T
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	list   *registry.Server
-	lists  string
-	logs   *syncBuffer
-	inst   *Instance
-	ended  chan error
+	t            *testing.T
+	ctx          context.Context
+	cancel       context.CancelFunc
+	goroutines   sync.WaitGroup
+	registry     *registry.Server
+	registryAddr string
+	logs         *syncBuffer
+	instance     *Instance
+	ended        chan error
 }
 
 // syncBuffer is a buffer that several goroutines may use.
 type syncBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 func (s *syncBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.Write(p)
+	return s.buffer.Write(p)
 }
 
 func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.String()
+	return s.buffer.String()
 }
 
 func newTestEnvironment(t *testing.T) *testEnvironment {
 	t.Helper()
-	r := &testEnvironment{t: t, logs: &syncBuffer{}, ended: make(chan error, 1)}
-	r.ctx, r.cancel = context.WithCancel(context.Background())
-	ln := r.listen()
-	r.lists = ln.Addr().String()
-	r.list = registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
-	r.wg.Go(func() { _ = r.list.Serve(r.ctx, ln) })
-	t.Cleanup(func() { r.cancel(); r.wg.Wait() })
-	return r
-}
-
-func (r *testEnvironment) listen() net.Listener {
-	r.t.Helper()
+	env := &testEnvironment{t: t, logs: &syncBuffer{}, ended: make(chan error, 1)}
+	env.ctx, env.cancel = context.WithCancel(context.Background())
+	ln := env.listen()
+	env.registryAddr = ln.Addr().String()
+	env.registry = registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
+	env.goroutines.Go(func() { _ = env.registry.Serve(env.ctx, ln) })
+	t.Cleanup(func() { env.cancel(); env.goroutines.Wait() })
+	return env
+}
+
+func (e *testEnvironment) listen() net.Listener {
+	e.t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		r.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 	return ln
 }
 
 // node runs a fake node and lists it under a cell.
-func (r *testEnvironment) node(cell uint16, serve frameHandler) *fakeNode {
-	return r.nodeOf(proto.Config{}, cell, serve)
+func (e *testEnvironment) node(cell uint16, serve frameHandler) *fakeNode {
+	return e.nodeWithConfig(proto.Config{}, cell, serve)
 }
 
-func (r *testEnvironment) nodeOf(cfg proto.Config, cell uint16,
+func (e *testEnvironment) nodeWithConfig(cfg proto.Config, cell uint16,
 	serve frameHandler) *fakeNode {
-	n := &fakeNode{ln: r.listen(), conns: make(chan *proto.Conn, 64)}
-	r.serve(n, cfg, serve)
-	r.list.Put(n.entry(cell, scheduler.Ready))
-	return n
+	node := &fakeNode{listener: e.listen(), connections: make(chan *proto.Conn, 64)}
+	e.serve(node, cfg, serve)
+	e.registry.Put(node.endpoint(cell, scheduler.Ready))
+	return node
 }
 
 // serve lets a fake node take connections.
-func (r *testEnvironment) serve(n *fakeNode, cfg proto.Config,
+func (e *testEnvironment) serve(node *fakeNode, cfg proto.Config,
 	serve frameHandler) {
-	r.wg.Go(func() {
-		_ = proto.Serve(r.ctx, n.ln, cfg, 64, func(ctx context.Context, c *proto.Conn) {
+	e.goroutines.Go(func() {
+		_ = proto.Serve(e.ctx, node.listener, cfg, 64, func(ctx context.Context, conn *proto.Conn) {
 			select {
-			case n.conns <- c:
+			case node.connections <- conn:
 			default:
 			}
-			_ = c.Run(ctx, func(f proto.Frame) error {
-				var q proto.Request
-				if f.Type == proto.TypeRequest {
-					n.got.Add(1)
-					if err := errors.Join(f.Decode(&q), c.OpenStream(f.Stream)); err != nil {
+			_ = conn.Run(ctx, func(frame proto.Frame) error {
+				var request proto.Request
+				if frame.Type == proto.TypeRequest {
+					node.requestCount.Add(1)
+					if err := errors.Join(frame.Decode(&request), conn.OpenStream(frame.Stream)); err != nil {
 						return err
 					}
 				}
-				return serve(c, f, q)
+				return serve(conn, frame, request)
 			})
 		})
 	})
 }
 
-func (n *fakeNode) entry(cell uint16, s scheduler.Status) endpoints.Endpoint {
-	server, _ := registry.ServerFromAddrPort(n.ln.Addr().(*net.TCPAddr).AddrPort())
-	return endpoints.Endpoint{Server: server, Status: s, Cell: cell, NominalCapacity: 1}
+func (n *fakeNode) endpoint(cell uint16, status scheduler.Status) endpoints.Endpoint {
+	server, _ := registry.ServerFromAddrPort(n.listener.Addr().(*net.TCPAddr).AddrPort())
+	return endpoints.Endpoint{Server: server, Status: status, Cell: cell, NominalCapacity: 1}
 }
 
 // echo answers each request at once.
-func echo(c *proto.Conn, f proto.Frame, _ proto.Request) error {
-	if f.Type != proto.TypeRequest {
+func echo(conn *proto.Conn, frame proto.Frame, _ proto.Request) error {
+	if frame.Type != proto.TypeRequest {
 		return nil
 	}
-	c.CloseStream(f.Stream)
-	return c.Send(proto.TypeAnswer, f.Stream, proto.Answer{Code: proto.OK}, []byte("data"))
+	conn.CloseStream(frame.Stream)
+	return conn.Send(proto.TypeAnswer, frame.Stream, proto.Answer{Code: proto.OK}, []byte("data"))
 }
 
 // ignoreRequest answers nothing.
 func ignoreRequest(*proto.Conn, proto.Frame, proto.Request) error { return nil }
 
 // start runs the instance.
-func (r *testEnvironment) start(change func(*Config)) *Instance {
-	r.t.Helper()
-	cfg := Config{Number: 0, Instances: 1, Seed: 1, Site: testSite(), Listener: r.listen(), Registry: r.lists,
+func (e *testEnvironment) start(change func(*Config)) *Instance {
+	e.t.Helper()
+	cfg := Config{
+		Instances:       1,
+		Seed:            1,
+		Site:            testSite(),
+		Listener:        e.listen(),
+		Registry:        e.registryAddr,
 		ShutdownTimeout: 5 * time.Second,
-		Log:             slog.New(slog.NewTextHandler(r.logs, &slog.HandlerOptions{Level: slog.LevelDebug}))}
+		Log:             slog.New(slog.NewTextHandler(e.logs, &slog.HandlerOptions{Level: slog.LevelDebug})),
+	}
 	if change != nil {
 		change(&cfg)
 	}
 	inst, err := New(cfg)
 	if err != nil {
-		r.t.Fatal(err)
+		e.t.Fatal(err)
 	}
-	r.inst = inst
-	r.wg.Go(func() { r.ended <- inst.Run(r.ctx) })
+	e.instance = inst
+	e.goroutines.Go(func() { e.ended <- inst.Run(e.ctx) })
 	return inst
 }
 
-// logged waits until the instance has logged a text.
-func (r *testEnvironment) logged(text string) {
-	r.t.Helper()
+// awaitLog waits until the instance has logged a text.
+func (e *testEnvironment) awaitLog(text string) {
+	e.t.Helper()
 	for range 500 {
-		if strings.Contains(r.logs.String(), text) {
+		if strings.Contains(e.logs.String(), text) {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.t.Fatalf("never logged: %s\n%s", text, r.logs.String())
+	e.t.Fatalf("never logged: %s\n%s", text, e.logs.String())
 }
 
 // client connects a client to the instance.
-func (r *testEnvironment) client() *testClient {
-	r.t.Helper()
-	conn, err := proto.Dial(r.ctx, r.inst.Addr().String(), proto.Config{Limits: proto.Limits{Header: 4096,
+func (e *testEnvironment) client() *testClient {
+	e.t.Helper()
+	conn, err := proto.Dial(e.ctx, e.instance.Addr().String(), proto.Config{Limits: proto.Limits{Header: 4096,
 		Payload: 8 << 20, Streams: 1 << 16, Backlog: 256 << 20}})
 	if err != nil {
-		r.t.Fatal(err)
+		e.t.Fatal(err)
+	}
+	client := &testClient{
+		t:        e.t,
+		conn:     conn,
+		answers:  map[uint64][]proto.Answer{},
+		payloads: map[uint64][]byte{},
+		ended:    make(chan struct{}),
 	}
-	c := &testClient{t: r.t, conn: conn, answers: map[uint64][]proto.Answer{}, bodies: map[uint64][]byte{},
-		ended: make(chan struct{})}
-	r.wg.Go(func() {
-		defer close(c.ended)
-		_ = conn.Run(r.ctx, func(f proto.Frame) error {
-			if f.Type != proto.TypeAnswer {
+	e.goroutines.Go(func() {
+		defer close(client.ended)
+		_ = conn.Run(e.ctx, func(frame proto.Frame) error {
+			if frame.Type != proto.TypeAnswer {
 				return nil
 			}
-			var a proto.Answer
-			if err := f.Decode(&a); err != nil {
+			var answer proto.Answer
+			if err := frame.Decode(&answer); err != nil {
 				return err
 			}
-			conn.CloseStream(f.Stream)
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			c.answers[f.Stream] = append(c.answers[f.Stream], a)
-			c.bodies[f.Stream] = f.Payload
+			conn.CloseStream(frame.Stream)
+			client.mu.Lock()
+			defer client.mu.Unlock()
+			client.answers[frame.Stream] = append(client.answers[frame.Stream], answer)
+			client.payloads[frame.Stream] = frame.Payload
 			return nil
 		})
 	})
-	return c
+	return client
 }
 
 // echoAfter answers each request after a while.
 func echoAfter(d time.Duration) frameHandler {
-	return func(c *proto.Conn, f proto.Frame, q proto.Request) error {
-		if f.Type == proto.TypeRequest {
-			time.AfterFunc(d, func() { _ = echo(c, f, q) })
+	return func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
+		if frame.Type == proto.TypeRequest {
+			time.AfterFunc(d, func() { _ = echo(conn, frame, request) })
 		}
 		return nil
 	}
--- a/internal/daemon/merging_failures_test.go
+++ b/internal/daemon/merging_failures_test.go
@@ -10,66 +10,70 @@
 
 // A byte of a merged read cannot be served. Only those who need it see that.
 func TestMerging_UnreadableByteFailsOnlyItsReaders(t *testing.T) {
-	x := newRangedEnvironment(t, nil)
-	v, d := x.volumeAt(0, 0), x.disks[0]
-	d.first = func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool {
+	env := newRangedEnvironment(t, nil)
+	volume, disk := env.volumeAt(0, 0), env.disks[0]
+	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 		const broken = 4500
-		if !q.Ranged || broken < q.Offset || broken >= q.Offset+uint64(q.Length) {
+		if !request.Ranged || broken < request.Offset || broken >= request.Offset+uint64(request.Length) {
 			return false
 		}
-		_ = d.do(c, f, q, []proto.UnreadableRange{{Offset: broken - q.Offset, Length: 1}})
+		unreadable := []proto.UnreadableRange{{Offset: broken - request.Offset, Length: 1}}
+		_ = disk.carryOut(conn, frame, request, unreadable)
 		return true
 	}
 	var ids []uint64
 	for i := range uint64(4) {
-		ids = append(ids, x.read(v, i*2000, 2000, nil))
+		ids = append(ids, env.read(volume, i*2000, 2000, nil))
 	}
 	for i, id := range ids {
 		if i != 2 {
-			x.got(id, v, uint64(i)*2000, 2000)
-		} else if a := x.c.wait(id); a.Code == proto.OK || a.Reason != ReasonNodeError {
-			t.Errorf("who needs the bad byte got %+v", a)
+			env.expectRead(id, volume, uint64(i)*2000, 2000)
+			continue
+		}
+		answer := env.defaultClient.awaitAnswer(id)
+		if answer.Code == proto.OK || answer.Reason != ReasonNodeError {
+			t.Errorf("who needs the bad byte got %+v", answer)
 		}
 	}
-	ops := d.ranged()
+	ops := disk.ranged()
 	if len(ops[0].Members) != 4 {
 		t.Errorf("not merged: %+v", ops[0])
 	}
-	for _, q := range ops[1:] {
-		if q.Offset != 4000 || len(q.Members) != 0 {
-			t.Errorf("repeated with others: %+v", q)
+	for _, request := range ops[1:] {
+		if request.Offset != 4000 || len(request.Members) != 0 {
+			t.Errorf("repeated with others: %+v", request)
 		}
 	}
-	x.c.once()
+	env.defaultClient.expectOneAnswerEach()
 }
 
 // The connection breaks with a merged read in flight, or its answer is no frame. Each member is retried
 // alone and served.
 func TestMerging_RetriesMembersOfLostReadAlone(t *testing.T) {
-	for name, lose := range map[string]func(c *proto.Conn){
-		"reset":   func(c *proto.Conn) { c.Close(nil) },
-		"corrupt": func(c *proto.Conn) { c.Raw(bytes.Repeat([]byte("this is no frame "), 10)) },
+	for name, lose := range map[string]func(conn *proto.Conn){
+		"reset":   func(conn *proto.Conn) { conn.Close(nil) },
+		"corrupt": func(conn *proto.Conn) { conn.Raw(bytes.Repeat([]byte("this is no frame "), 10)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newRangedEnvironment(t, nil)
-			v, d := x.volumeAt(0, 0), x.disks[0]
-			d.first = func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool {
-				if len(q.Members) > 0 {
-					lose(c)
+			env := newRangedEnvironment(t, nil)
+			volume, disk := env.volumeAt(0, 0), env.disks[0]
+			disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
+				if len(request.Members) > 0 {
+					lose(conn)
 				}
-				return len(q.Members) > 0
+				return len(request.Members) > 0
 			}
 			var ids []uint64
 			for i := range uint64(4) {
-				ids = append(ids, x.read(v, i*1000, 1000, nil))
+				ids = append(ids, env.read(volume, i*1000, 1000, nil))
 			}
 			for i, id := range ids {
-				x.got(id, v, uint64(i)*1000, 1000)
+				env.expectRead(id, volume, uint64(i)*1000, 1000)
 			}
-			if ops := d.ranged(); len(ops) != 5 || len(ops[0].Members) != 4 {
+			if ops := disk.ranged(); len(ops) != 5 || len(ops[0].Members) != 4 {
 				t.Errorf("%d operations, the first of %d members", len(ops), len(ops[0].Members))
 			}
-			x.c.once()
+			env.defaultClient.expectOneAnswerEach()
 		})
 	}
 }
@@ -77,80 +81,80 @@
 // The node drains as a merged read reaches it and rejects it. Each member goes alone to the node that holds
 // the cell next, and the drained one gets nothing more.
 func TestMerging_RetriesMembersAloneAfterDrain(t *testing.T) {
-	x := newRangedEnvironment(t, nil)
-	v, d := x.volumeAt(0, 0), x.disks[0]
+	env := newRangedEnvironment(t, nil)
+	volume, disk := env.volumeAt(0, 0), env.disks[0]
 	next := &fakeDisk{bytes: map[uint64][]byte{}}
-	d.first = func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool {
-		if !q.Ranged {
+	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
+		if !request.Ranged {
 			return false
 		}
-		_ = c.Send(proto.TypeDrain, 0, nil, nil)
-		next.fakeNode = x.node(0, next.serve)
-		return sendAnswer(c, f, proto.Answer{Code: proto.Overloaded})
+		_ = conn.Send(proto.TypeDrain, 0, nil, nil)
+		next.fakeNode = env.node(0, next.serve)
+		return sendAnswer(conn, frame, proto.Answer{Code: proto.Overloaded})
 	}
 	var ids []uint64
 	for i := range uint64(4) {
-		ids = append(ids, x.read(v, i*1000, 1000, nil))
+		ids = append(ids, env.read(volume, i*1000, 1000, nil))
 	}
 	for i, id := range ids {
-		x.got(id, v, uint64(i)*1000, 1000)
+		env.expectRead(id, volume, uint64(i)*1000, 1000)
 	}
-	if old, now := d.ranged(), next.ranged(); len(old) != 1 || len(old[0].Members) != 4 || len(now) != 4 {
+	if old, now := disk.ranged(), next.ranged(); len(old) != 1 || len(old[0].Members) != 4 || len(now) != 4 {
 		t.Errorf("%d operations at the drained node, %d at the next", len(old), len(now))
 	}
-	x.c.once()
+	env.defaultClient.expectOneAnswerEach()
 }
 
 // Members are cancelled while they wait, while in flight, and after their answer. Each ends alone, the
 // others are served, and the node is not cancelled while one of them waits.
 func TestMerging_ServesOthersWhenMembersAreCancelled(t *testing.T) {
-	x := newRangedEnvironment(t, nil)
-	v, d := x.volumeAt(0, 0), x.disks[0]
+	env := newRangedEnvironment(t, nil)
+	volume, disk := env.volumeAt(0, 0), env.disks[0]
 	out := make(chan func(), 8)
-	d.first = func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool {
-		if q.Ranged {
-			out <- func() { _ = d.do(c, f, q, nil) }
+	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
+		if request.Ranged {
+			out <- func() { _ = disk.carryOut(conn, frame, request, nil) }
 		}
-		return q.Ranged
+		return request.Ranged
 	}
-	cancel := func(id uint64) { _ = x.c.conn.Send(proto.TypeCancel, id, nil, nil) }
+	cancel := func(id uint64) { _ = env.defaultClient.conn.Send(proto.TypeCancel, id, nil, nil) }
 	var ids []uint64
 	for i := range uint64(5) {
-		ids = append(ids, x.read(v, i*1000, 1000, nil))
+		ids = append(ids, env.read(volume, i*1000, 1000, nil))
 	}
 	cancel(ids[4]) // held
 	serve := <-out
 	cancel(ids[1]) // out
 	cancel(ids[0]) // out, and the lead
-	for x.inst.Stats.ClientGone.Load() < 3 {
+	for env.instance.Stats.ClientGone.Load() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	serve()
 	for _, i := range []int{2, 3} {
-		x.got(ids[i], v, uint64(i)*1000, 1000)
+		env.expectRead(ids[i], volume, uint64(i)*1000, 1000)
 	}
 	cancel(ids[2]) // answered
-	if a := x.c.wait(ids[0]); a.Reason != ReasonClientGone {
-		t.Errorf("the lead that left got %+v", a)
+	if answer := env.defaultClient.awaitAnswer(ids[0]); answer.Reason != ReasonClientGone {
+		t.Errorf("the lead that left got %+v", answer)
 	}
-	if ops := d.ranged(); len(ops) != 1 || len(ops[0].Members) != 4 {
+	if ops := disk.ranged(); len(ops) != 1 || len(ops[0].Members) != 4 {
 		t.Errorf("%d operations, %d members", len(ops), len(ops[0].Members))
 	}
-	x.c.wait(x.c.ask(nil)) // the cancel of what was answered is past
-	x.c.once()
+	env.defaultClient.call(nil) // the cancel of what was answered is past
+	env.defaultClient.expectOneAnswerEach()
 }
 
 // A node answers a merged read with too few bytes and unreadable ranges beyond the operation.
 func TestMerging_RetriesAfterInvalidAnswer(t *testing.T) {
-	x := newRangedEnvironment(t, nil)
-	v, d := x.volumeAt(0, 0), x.disks[0]
-	d.first = func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool {
-		return len(q.Members) > 0 && sendAnswer(c, f, proto.Answer{Code: proto.OK,
+	env := newRangedEnvironment(t, nil)
+	volume, disk := env.volumeAt(0, 0), env.disks[0]
+	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
+		return len(request.Members) > 0 && sendAnswer(conn, frame, proto.Answer{Code: proto.OK,
 			Unreadable: []proto.UnreadableRange{{Offset: 1 << 63, Length: 1 << 63}}})
 	}
-	ids := []uint64{x.read(v, 0, 1000, nil), x.read(v, 1000, 1000, nil)}
+	ids := []uint64{env.read(volume, 0, 1000, nil), env.read(volume, 1000, 1000, nil)}
 	for i, id := range ids {
-		x.got(id, v, uint64(i)*1000, 1000)
+		env.expectRead(id, volume, uint64(i)*1000, 1000)
 	}
-	x.c.once()
+	env.defaultClient.expectOneAnswerEach()
 }
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -17,8 +17,8 @@
 
 // Invalid datagrams are dropped, valid ones reach the scheduler, and the instance works on.
 func TestInstance_DropsInvalidPeerMessages(t *testing.T) {
-	r := newTestEnvironment(t)
-	r.node(0, echo)
+	env := newTestEnvironment(t)
+	env.node(0, echo)
 	peers := map[uint32]netip.AddrPort{}
 	other, err := peer.Listen("127.0.0.1:0", 1, peers, nil)
 	if err != nil {
@@ -26,14 +26,14 @@
 	}
 	peers[1] = other.Addr()
 	var heard atomic.Int64
-	inst := r.start(func(cfg *Config) {
+	inst := env.start(func(cfg *Config) {
 		cfg.Instances, cfg.PeerListen, cfg.Peers = 2, "127.0.0.1:0", peers
 		cfg.Hooks.Decider = func(_ scheduler.Settings, host Decider) Decider {
 			return peerCountingDecider{host,
 				&heard}
 		}
 	})
-	r.logged("node listed")
+	env.awaitLog("node listed")
 	out, err := net.Dial("udp4", inst.PeerAddr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -46,9 +46,9 @@
 	if _, err := out.Write(good); err != nil {
 		t.Fatal(err)
 	}
-	c := r.client()
-	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
-		t.Errorf("got %+v", a)
+	client := env.client()
+	if answer := client.call(nil); answer.Code != proto.OK {
+		t.Errorf("got %+v", answer)
 	}
 	for range 200 {
 		if heard.Load() == 1 {
--- a/internal/daemon/preconditions_test.go
+++ b/internal/daemon/preconditions_test.go
@@ -11,21 +11,23 @@
 // The connection that a request waits for greets with a newer start than the list has. That is another
 // process than the one decided on, and cold: the request is not sent before the scheduler has decided anew.
 func TestUpstreamPool_SendsNothingToRestartedNodeUntilDecidedAnew(t *testing.T) {
-	r := newTestEnvironment(t)
-	boot := time.Now().Add(-2 * time.Minute).UnixNano()
-	n := &fakeNode{ln: r.listen(), conns: make(chan *proto.Conn, 64)}
-	r.serve(n, proto.Config{Hello: proto.Hello{Role: "node", StartedAt: boot + int64(time.Minute)}}, echo)
-	e := n.entry(0, scheduler.Ready)
-	e.StartedAt = boot
-	r.list.Put(e)
-	r.start(nil)
-	r.logged("node=" + n.ln.Addr().String())
-	c := r.client()
-	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
-		t.Errorf("got %+v", a)
+	env := newTestEnvironment(t)
+	startedAt := time.Now().Add(-2 * time.Minute).UnixNano()
+	node := &fakeNode{listener: env.listen(), connections: make(chan *proto.Conn, 64)}
+	hello := proto.Hello{Role: "node", StartedAt: startedAt + int64(time.Minute)}
+	env.serve(node, proto.Config{Hello: hello}, echo)
+	endpoint := node.endpoint(0, scheduler.Ready)
+	endpoint.StartedAt = startedAt
+	env.registry.Put(endpoint)
+	env.start(nil)
+	env.awaitLog("node=" + node.listener.Addr().String())
+	client := env.client()
+	if answer := client.call(nil); answer.Code != proto.OK {
+		t.Errorf("got %+v", answer)
 	}
-	if s := &r.inst.Stats; n.got.Load() != 1 || s.ConnectFailed.Load() != 1 || s.Attempts.Load() != 2 {
-		t.Errorf("%d requests came, %d attempts were not made, %d decided on; want 1, 1 and 2", n.got.Load(),
-			s.ConnectFailed.Load(), s.Attempts.Load())
+	stats := &env.instance.Stats
+	if node.requestCount.Load() != 1 || stats.ConnectFailed.Load() != 1 || stats.Attempts.Load() != 2 {
+		t.Errorf("%d requests came, %d attempts were not made, %d decided on; want 1, 1 and 2",
+			node.requestCount.Load(), stats.ConnectFailed.Load(), stats.Attempts.Load())
 	}
 }
--- a/internal/daemon/ranged_call_test.go
+++ b/internal/daemon/ranged_call_test.go
@@ -8,35 +8,37 @@
 
 // A read across the edge of an extent goes to two nodes, and its bytes come back as one.
 func TestRangedCall_ReadsAcrossExtents(t *testing.T) {
-	x := newRangedEnvironment(t, nil)
-	v := x.volumeAt(0, 0)
-	x.got(x.read(v, 16<<10-100, 300, nil), v, 16<<10-100, 300)
-	if a, b := x.disks[0].ranged(), x.disks[1].ranged(); len(a) != 1 || len(b) != 1 || a[0].Length != 100 ||
-		b[0].Offset != 16<<10 || a[0].Piece != 0 || b[0].Piece != 1 {
-		t.Errorf("the nodes saw %+v and %+v", a, b)
+	env := newRangedEnvironment(t, nil)
+	volume := env.volumeAt(0, 0)
+	env.expectRead(env.read(volume, 16<<10-100, 300, nil), volume, 16<<10-100, 300)
+	first, second := env.disks[0].ranged(), env.disks[1].ranged()
+	if len(first) != 1 || len(second) != 1 || first[0].Length != 100 || second[0].Offset != 16<<10 ||
+		first[0].Piece != 0 || second[0].Piece != 1 {
+		t.Errorf("the nodes saw %+v and %+v", first, second)
 	}
-	x.c.once()
+	env.defaultClient.expectOneAnswerEach()
 }
 
 // Invalid ranges are rejected at once with a reason, and nothing reaches a node.
 func TestRangedCall_RejectsInvalidRanges(t *testing.T) {
-	x := newRangedEnvironment(t, nil)
-	v := x.volumeAt(0, 0)
+	env := newRangedEnvironment(t, nil)
+	volume := env.volumeAt(0, 0)
 	for name, id := range map[string]uint64{
-		"empty":          x.read(v, 10, 0, nil),
-		"overflow":       x.read(v, 1<<64-5, 10, nil),
-		"too many":       x.read(v, 0, 80<<10, nil),
-		"over payload":   x.read(v, 0, 9<<20, nil),
-		"short payload":  x.write(v, 0, 10, 1, func(q *proto.Request) { q.Length = 11 }),
-		"payload on get": x.write(v, 0, 10, 1, func(q *proto.Request) { q.Write, q.Class = false, 0 }),
+		"empty":          env.read(volume, 10, 0, nil),
+		"overflow":       env.read(volume, 1<<64-5, 10, nil),
+		"too many":       env.read(volume, 0, 80<<10, nil),
+		"over payload":   env.read(volume, 0, 9<<20, nil),
+		"short payload":  env.write(volume, 0, 10, 1, func(q *proto.Request) { q.Length = 11 }),
+		"payload on get": env.write(volume, 0, 10, 1, func(q *proto.Request) { q.Write, q.Class = false, 0 }),
 	} {
-		if a := x.c.wait(id); a.Code != proto.Rejected || a.Reason != ReasonBadRange {
-			t.Errorf("%s: %+v", name, a)
+		answer := env.defaultClient.awaitAnswer(id)
+		if answer.Code != proto.Rejected || answer.Reason != ReasonBadRange {
+			t.Errorf("%s: %+v", name, answer)
 		}
 	}
-	x.got(x.read(v, 1, 1, nil), v, 1, 1)
-	if n := len(x.disks[0].ranged()) + len(x.disks[1].ranged()); n != 1 {
+	env.expectRead(env.read(volume, 1, 1, nil), volume, 1, 1)
+	if n := len(env.disks[0].ranged()) + len(env.disks[1].ranged()); n != 1 {
 		t.Errorf("%d operations reached nodes", n)
 	}
-	x.c.once()
+	env.defaultClient.expectOneAnswerEach()
 }
--- a/internal/daemon/ranged_environment_test.go
+++ b/internal/daemon/ranged_environment_test.go
@@ -15,84 +15,89 @@
 // fakeDisk is a fake node that holds bytes and records every operation in order of arrival.
 type fakeDisk struct {
 	*fakeNode
-	mu    sync.Mutex
-	bytes map[uint64][]byte // by volume
-	ops   []proto.Request
-	calls [][]uint16 // members cancelled, by operation calls
-	// first sees an operation before the disk carries it out, and reports whether it has handled it; nil: none.
-	first func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool
+	mu         sync.Mutex
+	bytes      map[uint64][]byte // by volume
+	operations []proto.Request
+	cancelled  [][]uint16 // members, by cancel frame
+	// intercept sees an operation before the disk carries it out, and reports whether it has handled it.
+	// It may be nil.
+	intercept func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool
 }
 
 const fakeDiskSize = 1 << 16
 
 func contentByte(volume uint64, at int) byte { return byte(uint64(at)*31 + uint64(at>>8)*7 + volume) }
 
-func (d *fakeDisk) volume(v uint64) []byte {
-	if d.bytes[v] == nil {
-		d.bytes[v] = make([]byte, fakeDiskSize)
-		for i := range d.bytes[v] {
-			d.bytes[v][i] = contentByte(v, i)
+func (d *fakeDisk) volume(volume uint64) []byte {
+	if d.bytes[volume] == nil {
+		d.bytes[volume] = make([]byte, fakeDiskSize)
+		for i := range d.bytes[volume] {
+			d.bytes[volume][i] = contentByte(volume, i)
 		}
 	}
-	return d.bytes[v]
+	return d.bytes[volume]
 }
 
-func (d *fakeDisk) serve(c *proto.Conn, f proto.Frame, q proto.Request) error {
-	if f.Type == proto.TypeCancel {
+func (d *fakeDisk) serve(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
+	if frame.Type == proto.TypeCancel {
 		var call proto.Cancel
-		if len(f.Header) > 0 {
-			if err := f.Decode(&call); err != nil {
+		if len(frame.Header) > 0 {
+			if err := frame.Decode(&call); err != nil {
 				return err
 			}
 		}
 		d.mu.Lock()
-		d.calls = append(d.calls, call.Members)
+		d.cancelled = append(d.cancelled, call.Members)
 		d.mu.Unlock()
 	}
-	if f.Type != proto.TypeRequest {
+	if frame.Type != proto.TypeRequest {
 		return nil
 	}
 	d.mu.Lock()
-	d.ops = append(d.ops, q)
-	n := len(d.ops)
+	d.operations = append(d.operations, request)
+	n := len(d.operations)
 	d.mu.Unlock()
-	if d.first != nil && d.first(n, c, f, q) {
+	if d.intercept != nil && d.intercept(n, conn, frame, request) {
 		return nil
 	}
-	return d.do(c, f, q, nil)
+	return d.carryOut(conn, frame, request, nil)
 }
 
-// do carries an operation out and answers it.
-func (d *fakeDisk) do(c *proto.Conn, f proto.Frame, q proto.Request, bad []proto.UnreadableRange) error {
-	a := proto.Answer{Code: proto.OK, Unreadable: bad}
+// carryOut carries an operation out and answers it.
+func (d *fakeDisk) carryOut(conn *proto.Conn, frame proto.Frame, request proto.Request,
+	unreadable []proto.UnreadableRange) error {
+	answer := proto.Answer{Code: proto.OK, Unreadable: unreadable}
 	d.mu.Lock()
 	var data []byte
-	if q.Ranged {
-		at := d.volume(q.DataVolume())[q.Offset : q.Offset+uint64(q.Length)]
-		if q.Write {
-			copy(at, f.Payload)
+	if request.Ranged {
+		at := d.volume(request.DataVolume())[request.Offset : request.Offset+uint64(request.Length)]
+		if request.Write {
+			copy(at, frame.Payload)
 		} else {
 			data = slices.Clone(at)
 		}
 	}
 	d.mu.Unlock()
-	c.CloseStream(f.Stream)
-	_ = c.Send(proto.TypeAnswer, f.Stream, a, data) // a connection that is gone is a test's own doing
+	conn.CloseStream(frame.Stream)
+	// The error is that of a connection that the test itself has closed.
+	_ = conn.Send(proto.TypeAnswer, frame.Stream, answer, data)
 	return nil
 }
 
-func sendAnswer(c *proto.Conn, f proto.Frame, a proto.Answer) bool {
-	c.CloseStream(f.Stream)
-	_ = c.Send(proto.TypeAnswer, f.Stream, a, nil)
+// sendAnswer answers a request without data; it returns true as intercept does.
+func sendAnswer(conn *proto.Conn, frame proto.Frame, answer proto.Answer) bool {
+	conn.CloseStream(frame.Stream)
+	_ = conn.Send(proto.TypeAnswer, frame.Stream, answer, nil)
 	return true
 }
 
+// ranged returns the ranged operations that have arrived.
 func (d *fakeDisk) ranged() (out []proto.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, q := range d.ops {
-		if q.Ranged {
-			out = append(out, q)
+	for _, request := range d.operations {
+		if request.Ranged {
+			out = append(out, request)
 		}
 	}
 	return out
@@ -102,20 +107,20 @@
 // batches of a fifth of a second, so that what a test asks at once waits at once.
 type rangedEnvironment struct {
 	*testEnvironment
-	c     *testClient
-	disks []*fakeDisk
+	defaultClient *testClient
+	disks         []*fakeDisk
 }
 
 func newRangedEnvironment(t *testing.T, change func(*Config)) *rangedEnvironment {
 	t.Helper()
 	t.Parallel()
-	x := &rangedEnvironment{testEnvironment: newTestEnvironment(t)}
+	env := &rangedEnvironment{testEnvironment: newTestEnvironment(t)}
 	for cell := range uint16(2) {
-		d := &fakeDisk{bytes: map[uint64][]byte{}}
-		d.fakeNode = x.node(cell, d.serve)
-		x.disks = append(x.disks, d)
+		disk := &fakeDisk{bytes: map[uint64][]byte{}}
+		disk.fakeNode = env.node(cell, disk.serve)
+		env.disks = append(env.disks, disk)
 	}
-	x.start(func(cfg *Config) {
+	env.start(func(cfg *Config) {
 		cfg.Site.Extents = &config.Extents{
 			Size:         16 << 10,
 			MaxOperation: 16 << 10,
@@ -135,39 +140,39 @@
 			change(cfg)
 		}
 	})
-	for range x.disks {
-		x.logged("node listed")
+	for range env.disks {
+		env.awaitLog("node listed")
 	}
-	x.c = x.client()
-	x.warm()
-	return x
+	env.defaultClient = env.client()
+	env.warm()
+	return env
 }
 
 // warm makes the connections and leaves the loop at the start of a batch interval.
-func (x *rangedEnvironment) warm() {
-	x.t.Helper()
+func (e *rangedEnvironment) warm() {
+	e.t.Helper()
 	for cell := range int32(2) {
-		if a := x.c.wait(x.c.ask(func(q *proto.Request) { q.Cell = cell })); a.Code != proto.OK {
-			x.t.Fatalf("warming: %+v", a)
+		if answer := e.defaultClient.call(func(q *proto.Request) { q.Cell = cell }); answer.Code != proto.OK {
+			e.t.Fatalf("warming: %+v", answer)
 		}
 	}
 }
 
 // volumeAt is a volume whose first extent lies in a cell, the nth of them.
-func (x *rangedEnvironment) volumeAt(cell, nth int) uint64 {
-	set := x.inst.cfg.Site.Extents.Planner()
-	for v := uint64(100); ; v++ {
-		if set.Cell(v, 0) == cell {
+func (e *rangedEnvironment) volumeAt(cell, nth int) uint64 {
+	set := e.instance.cfg.Site.Extents.Planner()
+	for volume := uint64(100); ; volume++ {
+		if set.Cell(volume, 0) == cell {
 			if nth--; nth < 0 {
-				return v
+				return volume
 			}
 		}
 	}
 }
 
 // read asks for bytes of a volume.
-func (x *rangedEnvironment) read(volume, offset uint64, length uint32, change func(*proto.Request)) uint64 {
-	return x.c.ask(func(q *proto.Request) {
+func (e *rangedEnvironment) read(volume, offset uint64, length uint32, change func(*proto.Request)) uint64 {
+	return e.defaultClient.sendRequest(func(q *proto.Request) {
 		q.Volume, q.Ranged, q.Offset, q.Length = volume, true, offset, length
 		if change != nil {
 			change(q)
@@ -176,9 +181,9 @@
 }
 
 // write sends bytes of one value.
-func (x *rangedEnvironment) write(volume, offset uint64, length int, b byte,
+func (e *rangedEnvironment) write(volume, offset uint64, length int, b byte,
 	change func(*proto.Request)) uint64 {
-	return x.c.send(bytes.Repeat([]byte{b}, length), func(q *proto.Request) {
+	return e.defaultClient.sendPayload(bytes.Repeat([]byte{b}, length), func(q *proto.Request) {
 		q.Volume, q.Ranged, q.Offset, q.Length = volume, true, offset, uint32(length)
 		q.Write, q.Class = true, 1
 		if change != nil {
@@ -187,22 +192,22 @@
 	})
 }
 
-// got checks that a read was served with the bytes that its volume holds there.
-func (x *rangedEnvironment) got(stream, volume, offset uint64, length int) {
-	x.t.Helper()
-	if a := x.c.wait(stream); a.Code != proto.OK {
-		x.t.Errorf("read %d: %+v", stream, a)
+// expectRead checks that a read was served with the bytes that its volume holds there.
+func (e *rangedEnvironment) expectRead(stream, volume, offset uint64, length int) {
+	e.t.Helper()
+	if answer := e.defaultClient.awaitAnswer(stream); answer.Code != proto.OK {
+		e.t.Errorf("read %d: %+v", stream, answer)
 		return
 	}
-	x.c.mu.Lock()
-	defer x.c.mu.Unlock()
-	body := x.c.bodies[stream]
+	e.defaultClient.mu.Lock()
+	defer e.defaultClient.mu.Unlock()
+	body := e.defaultClient.payloads[stream]
 	if len(body) != length {
-		x.t.Errorf("read %d: %d bytes of %d", stream, len(body), length)
+		e.t.Errorf("read %d: %d bytes of %d", stream, len(body), length)
 	}
 	for i, b := range body {
 		if b != contentByte(volume, int(offset)+i) {
-			x.t.Errorf("read %d: byte %d is wrong", stream, i)
+			e.t.Errorf("read %d: byte %d is wrong", stream, i)
 			return
 		}
 	}
--- a/internal/daemon/snapshot_test.go
+++ b/internal/daemon/snapshot_test.go
@@ -15,11 +15,11 @@
 // The endpoint snapshot is used after a restart while the registry is down. A damaged one is ignored and
 // logged. A full disk costs nothing but the snapshot.
 func TestInstance_RestoresEndpointSnapshot(t *testing.T) {
-	r := newTestEnvironment(t)
-	r.node(0, echo)
+	env := newTestEnvironment(t)
+	env.node(0, echo)
 	file := registry.SnapshotFile{Path: filepath.Join(t.TempDir(), "list")}
-	inst := r.start(func(cfg *Config) { cfg.Snapshot = file })
-	r.logged("node listed")
+	inst := env.start(func(cfg *Config) { cfg.Snapshot = file })
+	env.awaitLog("node listed")
 	for range 200 {
 		if k, err := file.Load(); err == nil && len(k.Endpoints) == 1 {
 			break
@@ -27,28 +27,28 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	inst.Stop()
-	<-r.ended
-	r.list.SetDown(true)
-	r.start(func(cfg *Config) { cfg.Snapshot, cfg.Site.PollEndpoints = file, true })
-	c := r.client()
-	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
-		t.Errorf("with the kept list alone: %+v", a)
+	<-env.ended
+	env.registry.SetDown(true)
+	env.start(func(cfg *Config) { cfg.Snapshot, cfg.Site.PollEndpoints = file, true })
+	client := env.client()
+	if answer := client.call(nil); answer.Code != proto.OK {
+		t.Errorf("with the kept list alone: %+v", answer)
 	}
-	r.inst.Stop()
-	<-r.ended
+	env.instance.Stop()
+	<-env.ended
 
 	if err := os.WriteFile(file.Path, []byte("damaged"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	full := file
 	full.Write = func(string, []byte) error { return syscall.ENOSPC }
-	r.list.SetDown(false)
-	r.start(func(cfg *Config) { cfg.Snapshot = full })
-	r.logged("endpoint snapshot ignored")
-	r.logged("no space left on device")
-	c = r.client()
-	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
-		t.Errorf("with a full disk: %+v", a)
+	env.registry.SetDown(false)
+	env.start(func(cfg *Config) { cfg.Snapshot = full })
+	env.awaitLog("endpoint snapshot ignored")
+	env.awaitLog("no space left on device")
+	client = env.client()
+	if answer := client.call(nil); answer.Code != proto.OK {
+		t.Errorf("with a full disk: %+v", answer)
 	}
 }
 
--- a/internal/daemon/statistics_test.go
+++ b/internal/daemon/statistics_test.go
@@ -17,98 +17,105 @@
 // changedSite is testSite with other settings: no messages between instances, no Retry-After, a retry budget,
 // writes that are not idempotent.
 func changedSite() config.Site {
-	s := testSite()
-	s.Limits.PeerMessages, s.Limits.RetryAfter = false, false
-	s.Rules.RetryBudget = &config.RetryBudget{Floor: 3, Ratio: 0.15, Window: 5 * time.Second}
-	s.Rules.DrainGrace = 250 * time.Millisecond
-	s.ShareWeight, s.SpareWeight = 0.35, 0.08
-	s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight = 3, 2
-	s.Classes[1] = config.Class{Name: "write", LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second,
-		Idempotency: config.Idempotency(scheduler.NotIdempotent), Writes: true, PriorityWeight: 2}
-	return s
+	site := testSite()
+	site.Limits.PeerMessages, site.Limits.RetryAfter = false, false
+	site.Rules.RetryBudget = &config.RetryBudget{Floor: 3, Ratio: 0.15, Window: 5 * time.Second}
+	site.Rules.DrainGrace = 250 * time.Millisecond
+	site.ShareWeight, site.SpareWeight = 0.35, 0.08
+	site.Classes[0].PriorityWeight, site.Classes[1].PriorityWeight = 3, 2
+	site.Classes[1] = config.Class{
+		Name:             "write",
+		LatencyObjective: 2 * time.Second,
+		Deadline:         4 * time.Second,
+		Idempotency:      config.Idempotency(scheduler.NotIdempotent),
+		Writes:           true,
+		PriorityWeight:   2,
+	}
+	return site
 }
 
-// restartWithChangedSite runs an instance of testSite until it has statistics of a slow and a quick node, stops
-// it with requests in flight, and starts one of changedSite. Between the two it calls spoil with the path of the
-// saved statistics.
+// restartWithChangedSite runs an instance of testSite until it has statistics of a slow and a quick node,
+// stops it with requests in flight, and starts one of changedSite. Between the two it calls spoil with the
+// path of the saved statistics.
 func restartWithChangedSite(t *testing.T, spoil func(path string)) (*testEnvironment, *testClient) {
 	t.Helper()
-	r, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
-	r.node(0, echoAfter(60*time.Millisecond))
-	r.node(1, echoAfter(5*time.Millisecond))
-	old := r.start(func(cfg *Config) { cfg.StatisticsFile = path })
-	r.logged("cell=0")
-	r.logged("cell=1")
-	c := r.client()
+	env, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
+	env.node(0, echoAfter(60*time.Millisecond))
+	env.node(1, echoAfter(5*time.Millisecond))
+	old := env.start(func(cfg *Config) { cfg.StatisticsFile = path })
+	env.awaitLog("cell=0")
+	env.awaitLog("cell=1")
+	client := env.client()
 	for i := range 24 {
-		c.wait(c.ask(func(q *proto.Request) { q.Cell, q.Volume = int32(i%2), uint64(i%2) }))
+		client.call(func(q *proto.Request) { q.Cell, q.Volume = int32(i%2), uint64(i%2) })
 	}
 	before := old.Stats.Attempts.Load()
 	for range 4 {
-		c.ask(nil)
+		client.sendRequest(nil)
 	}
 	for old.Stats.Attempts.Load() < before+4 {
 		time.Sleep(time.Millisecond)
 	}
 	old.Stop()
-	if err := <-r.ended; err != nil {
+	if err := <-env.ended; err != nil {
 		t.Fatal(err)
 	}
-	<-c.ended
-	c.once() // each request taken before the switch has its one answer
+	<-client.ended
+	client.expectOneAnswerEach() // each request taken before the switch has its one answer
 	if spoil != nil {
 		spoil(path)
 	}
-	r.start(func(cfg *Config) { cfg.StatisticsFile, cfg.Site = path, changedSite() })
-	return r, r.client()
+	env.start(func(cfg *Config) { cfg.StatisticsFile, cfg.Site = path, changedSite() })
+	return env, env.client()
 }
 
 // After a change of settings the instance has its statistics back, serves reads and writes that are not
 // idempotent, and stops gracefully.
 func TestStatistics_AreRestoredAfterSettingsChange(t *testing.T) {
-	r, c := restartWithChangedSite(t, nil)
-	r.logged("statistics saved")
-	r.logged("saved statistics restored")
-	if text := r.logs.String(); !strings.Contains(text, "nodes=2 saved_nodes=2 classes=1 all_classes=true") {
+	env, client := restartWithChangedSite(t, nil)
+	env.awaitLog("statistics saved")
+	env.awaitLog("saved statistics restored")
+	text := env.logs.String()
+	if !strings.Contains(text, "nodes=2 saved_nodes=2 classes=1 all_classes=true") {
 		t.Errorf("not told what came over:\n%s", text)
 	}
 	for i := range 20 {
 		class := uint16(i % 2)
-		a := c.wait(c.ask(func(q *proto.Request) { q.Class, q.Cell = class, int32(i/2%2) }))
-		if a.Code != proto.OK {
-			t.Errorf("request %d got %+v", i, a)
+		answer := client.call(func(q *proto.Request) { q.Class, q.Cell = class, int32(i/2%2) })
+		if answer.Code != proto.OK {
+			t.Errorf("request %d got %+v", i, answer)
 		}
 	}
-	c.once()
+	client.expectOneAnswerEach()
 	for range 3 { // what is out when it stops has its answer too
-		c.ask(nil)
+		client.sendRequest(nil)
 	}
-	for r.inst.Stats.Admitted.Load() < 23 {
+	for env.instance.Stats.Admitted.Load() < 23 {
 		time.Sleep(time.Millisecond)
 	}
-	r.inst.Stop()
-	if err := <-r.ended; err != nil {
+	env.instance.Stop()
+	if err := <-env.ended; err != nil {
 		t.Error(err)
 	}
-	<-c.ended
-	c.once()
-	if n := r.inst.Stats.Overdue.Load(); n != 0 {
+	<-client.ended
+	client.expectOneAnswerEach()
+	if n := env.instance.Stats.Overdue.Load(); n != 0 {
 		t.Errorf("%d answers were overdue", n)
 	}
 }
 
 // An incarnation without requests leaves the statistics of the one before as they are.
 func TestStatistics_IdleIncarnationKeepsThem(t *testing.T) {
-	r, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
-	r.node(0, echo)
+	env, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
+	env.node(0, echo)
 	for life := range 2 {
-		r.start(func(cfg *Config) { cfg.StatisticsFile = path })
-		r.logged("node listed")
-		if c := r.client(); life == 0 {
-			c.wait(c.ask(nil))
+		env.start(func(cfg *Config) { cfg.StatisticsFile = path })
+		env.awaitLog("node listed")
+		if client := env.client(); life == 0 {
+			client.call(nil)
 		}
-		r.inst.Stop()
-		if err := <-r.ended; err != nil {
+		env.instance.Stop()
+		if err := <-env.ended; err != nil {
 			t.Fatal(err)
 		}
 		var rec checkpoint.Record
@@ -163,18 +170,18 @@
 			func(r *checkpoint.Record) { r.MedianLatency = -1 })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, client := restartWithChangedSite(t, c.spoil)
-			r.logged(c.told)
+			env, client := restartWithChangedSite(t, c.spoil)
+			env.awaitLog(c.told)
 			for range 4 {
-				if a := client.wait(client.ask(nil)); a.Code != proto.OK {
-					t.Errorf("got %+v", a)
+				if answer := client.call(nil); answer.Code != proto.OK {
+					t.Errorf("got %+v", answer)
 				}
 			}
-			client.once()
-			if strings.Contains(r.logs.String(), "saved statistics restored") {
+			client.expectOneAnswerEach()
+			if strings.Contains(env.logs.String(), "saved statistics restored") {
 				t.Error("figures were taken over all the same")
 			}
-			if n := strings.Count(r.logs.String(), "saved statistics ignored"); c.name != "none" && n != 1 {
+			if n := strings.Count(env.logs.String(), "saved statistics ignored"); c.name != "none" && n != 1 {
 				t.Errorf("told in %d lines", n)
 			}
 		})
--- a/internal/daemon/stored_test.go
+++ b/internal/daemon/stored_test.go
@@ -96,9 +96,9 @@
 	if !reflect.DeepEqual(got.Fingerprint, facts) {
 		t.Errorf("facts of the site are %+v", got.Fingerprint)
 	}
-	empty := func(n checkpoint.NodeRecord) bool {
-		return n.Server.Addr != [4]byte{127, 0, 0, 1} || n.Server.Port == 0 || n.StartedAt == 0 ||
-			n.Statistics.Latency == 0 || n.Statistics.Deviation == 0
+	empty := func(node checkpoint.NodeRecord) bool {
+		return node.Server.Addr != [4]byte{127, 0, 0, 1} || node.Server.Port == 0 || node.StartedAt == 0 ||
+			node.Statistics.Latency == 0 || node.Statistics.Deviation == 0
 	}
 	if len(got.Nodes) != 2 || slices.ContainsFunc(got.Nodes, empty) {
 		t.Errorf("nodes are %+v", got.Nodes)
@@ -118,13 +118,13 @@
 }
 
 // sameBytes checks that a record is written as the file that it was read from.
-func sameBytes(t *testing.T, path string, r checkpoint.Record) {
+func sameBytes(t *testing.T, path string, record checkpoint.Record) {
 	t.Helper()
 	want, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := statefile.Encode(statisticsMagic, r)
+	data, err := statefile.Encode(statisticsMagic, record)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/stub_drivers_test.go
+++ b/internal/daemon/stub_drivers_test.go
@@ -7,25 +7,27 @@
 
 // stubDrivers are drivers and a responder that record what they are asked for and do nothing.
 type stubDrivers struct {
-	sent []*Operation
-	off  int
-	got  []proto.Answer
+	sent      []*Operation
+	cancelled int
+	answers   []proto.Answer
 }
 
-func (e *stubDrivers) Send(op *Operation) { e.sent = append(e.sent, op) }
+func (d *stubDrivers) Send(operation *Operation) { d.sent = append(d.sent, operation) }
 
-func (e *stubDrivers) Cancel(*Operation) { e.off++ }
+func (d *stubDrivers) Cancel(*Operation) { d.cancelled++ }
 
-func (e *stubDrivers) CancelMember(*Operation, int) {}
+func (d *stubDrivers) CancelMember(*Operation, int) {}
 
-func (e *stubDrivers) CheckHealth(scheduler.Server) {}
+func (d *stubDrivers) CheckHealth(scheduler.Server) {}
 
-func (e *stubDrivers) CloseIdle(scheduler.Server) {}
+func (d *stubDrivers) CloseIdle(scheduler.Server) {}
 
-func (e *stubDrivers) Watch(bool) {}
+func (d *stubDrivers) Watch(bool) {}
 
-func (e *stubDrivers) Fetch() {}
+func (d *stubDrivers) Fetch() {}
 
-func (e *stubDrivers) FetchFull() {}
+func (d *stubDrivers) FetchFull() {}
 
-func (e *stubDrivers) Respond(a proto.Answer, payload []byte) { e.got = append(e.got, a) }
+func (d *stubDrivers) Respond(answer proto.Answer, payload []byte) {
+	d.answers = append(d.answers, answer)
+}
--- a/internal/daemon/test_client_test.go
+++ b/internal/daemon/test_client_test.go
@@ -11,36 +11,49 @@
 
 // testClient sends requests and collects all answers to them.
 type testClient struct {
-	t       *testing.T
-	conn    *proto.Conn
-	mu      sync.Mutex
-	answers map[uint64][]proto.Answer
-	bodies  map[uint64][]byte
-	ended   chan struct{}
-	next    uint64
+	t          *testing.T
+	conn       *proto.Conn
+	mu         sync.Mutex
+	answers    map[uint64][]proto.Answer
+	payloads   map[uint64][]byte
+	ended      chan struct{}
+	lastStream uint64
 }
 
-func (c *testClient) ask(change func(*proto.Request)) uint64 { return c.send(nil, change) }
+// sendRequest sends a request without payload and returns its stream.
+func (c *testClient) sendRequest(change func(*proto.Request)) uint64 {
+	return c.sendPayload(nil, change)
+}
 
-func (c *testClient) send(payload []byte, change func(*proto.Request)) uint64 {
+// sendPayload sends a request with a payload and returns its stream.
+func (c *testClient) sendPayload(payload []byte, change func(*proto.Request)) uint64 {
 	c.t.Helper()
-	c.next++
-	q := proto.Request{Token: c.next, Volume: 1, Units: 1, Timeout: 4 * time.Second, VolumeInstances: 1}
+	c.lastStream++
+	request := proto.Request{
+		Token:           c.lastStream,
+		Volume:          1,
+		Units:           1,
+		Timeout:         4 * time.Second,
+		VolumeInstances: 1,
+	}
 	if change != nil {
-		change(&q)
+		change(&request)
 	}
-	err := errors.Join(c.conn.OpenStream(c.next), c.conn.Send(proto.TypeRequest, c.next, q, payload))
+	err := errors.Join(
+		c.conn.OpenStream(c.lastStream),
+		c.conn.Send(proto.TypeRequest, c.lastStream, request, payload),
+	)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return c.next
+	return c.lastStream
 }
 
-// wait returns the answer to a request once there is one.
-func (c *testClient) wait(stream uint64) proto.Answer {
+// awaitAnswer returns the answer to a request once there is one.
+func (c *testClient) awaitAnswer(stream uint64) proto.Answer {
 	c.t.Helper()
 	for range 1000 {
-		if a := c.all(stream); len(a) > 0 {
+		if a := c.answersTo(stream); len(a) > 0 {
 			return a[0]
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -49,20 +62,32 @@
 	return proto.Answer{}
 }
 
-func (c *testClient) all(stream uint64) []proto.Answer {
+// answersTo returns all answers to a request so far.
+func (c *testClient) answersTo(stream uint64) []proto.Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answers[stream]
 }
 
-// once checks that all requests have exactly one final answer.
-func (c *testClient) once() {
+// expectOneAnswerEach checks that all requests have exactly one final answer.
+func (c *testClient) expectOneAnswerEach() {
 	c.t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for s := uint64(1); s <= c.next; s++ {
-		if n := len(c.answers[s]); n != 1 {
-			c.t.Errorf("request %d has %d final answers", s, n)
+	for stream := uint64(1); stream <= c.lastStream; stream++ {
+		if n := len(c.answers[stream]); n != 1 {
+			c.t.Errorf("request %d has %d final answers", stream, n)
 		}
 	}
 }
+
+// call sends a request and returns its answer.
+func (c *testClient) call(change func(*proto.Request)) proto.Answer {
+	c.t.Helper()
+	return c.awaitAnswer(c.sendRequest(change))
+}
+
+// withKey is a change of a request that sets its key.
+func withKey(key uint64) func(*proto.Request) {
+	return func(q *proto.Request) { q.Key = key }
+}
--- a/internal/daemon/upstream_pool_test.go
+++ b/internal/daemon/upstream_pool_test.go
@@ -14,110 +14,117 @@
 // A connection that breaks with 30 attempts in flight gives each its own result, and each request one
 // answer.
 func TestUpstreamPool_ReportsResetForEachAttemptInFlight(t *testing.T) {
-	r := newTestEnvironment(t)
-	var n *fakeNode
+	env := newTestEnvironment(t)
+	var node *fakeNode
 	var broken atomic.Bool
-	n = r.node(0, func(c *proto.Conn, f proto.Frame, q proto.Request) error {
-		if n.got.Load() >= 30 && broken.CompareAndSwap(false, true) {
-			c.Close(nil)
+	node = env.node(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
+		if node.requestCount.Load() >= 30 && broken.CompareAndSwap(false, true) {
+			conn.Close(nil)
 			return nil
 		}
 		if broken.Load() {
-			return echo(c, f, q)
+			return echo(conn, frame, request)
 		}
 		return nil
 	})
 	var outcomes atomic.Int64
-	r.start(func(cfg *Config) { cfg.Hooks.Decider = countResults(&outcomes, scheduler.Reset) })
-	r.logged("node listed")
-	c := r.client()
+	env.start(func(cfg *Config) { cfg.Hooks.Decider = countResults(&outcomes, scheduler.Reset) })
+	env.awaitLog("node listed")
+	client := env.client()
 	for range 30 {
-		c.ask(nil)
+		client.sendRequest(nil)
 	}
-	for s := uint64(1); s <= 30; s++ {
-		if a := c.wait(s); a.Code != proto.OK && a.Code != proto.Rejected {
-			t.Errorf("request %d: %+v", s, a)
+	for stream := uint64(1); stream <= 30; stream++ {
+		if answer := client.awaitAnswer(stream); answer.Code != proto.OK && answer.Code != proto.Rejected {
+			t.Errorf("request %d: %+v", stream, answer)
 		}
 	}
 	if outcomes.Load() != 30 {
 		t.Errorf("%d outcomes of a reset, want 30", outcomes.Load())
 	}
-	c.once()
+	client.expectOneAnswerEach()
 }
 
 // Requests larger than a node takes are not sent and use no stream of its connection: a stream that was
 // opened for one and never ended would be lost for good.
 func TestUpstreamPool_OversizedRequestsTakeNoStreams(t *testing.T) {
-	r := newTestEnvironment(t)
-	r.nodeOf(proto.Config{Limits: proto.Limits{Header: 4096, Payload: 10, Streams: 4, Backlog: 1 << 20}}, 0,
-		echo)
-	r.start(func(cfg *Config) { cfg.Site.Limits.NodeConnections = 1 })
-	r.logged("node listed")
-	c := r.client()
+	env := newTestEnvironment(t)
+	limits := proto.Limits{Header: 4096, Payload: 10, Streams: 4, Backlog: 1 << 20}
+	env.nodeWithConfig(proto.Config{Limits: limits}, 0, echo)
+	env.start(func(cfg *Config) { cfg.Site.Limits.NodeConnections = 1 })
+	env.awaitLog("node listed")
+	client := env.client()
 	for range 8 {
-		c.next++
-		q := proto.Request{Token: c.next, Volume: 1, Units: 1, Timeout: 300 * time.Millisecond, Write: true}
+		client.lastStream++
+		request := proto.Request{
+			Token:   client.lastStream,
+			Volume:  1,
+			Units:   1,
+			Timeout: 300 * time.Millisecond,
+			Write:   true,
+		}
 		err := errors.Join(
-			c.conn.OpenStream(c.next),
-			c.conn.Send(proto.TypeRequest, c.next, q, make([]byte, 100)),
+			client.conn.OpenStream(client.lastStream),
+			client.conn.Send(proto.TypeRequest, client.lastStream, request, make([]byte, 100)),
 		)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a := c.wait(c.next); a.Code != proto.Rejected {
-			t.Fatalf("an oversized request got %+v", a)
+		if answer := client.awaitAnswer(client.lastStream); answer.Code != proto.Rejected {
+			t.Fatalf("an oversized request got %+v", answer)
 		}
 	}
 	time.Sleep(time.Second) // the module leaves a node alone for a while that seems out of reach
-	if a := c.wait(c.ask(nil)); a.Code != proto.OK {
-		t.Errorf("after that a small one got %+v", a)
+	if answer := client.call(nil); answer.Code != proto.OK {
+		t.Errorf("after that a small one got %+v", answer)
 	}
-	c.once()
+	client.expectOneAnswerEach()
 }
 
 // A node accepts requests and never answers. Every request is answered before its client's time is up, and
 // no more are in flight on a connection than was agreed.
 func TestUpstreamPool_KeepsStreamLimitOfSilentNode(t *testing.T) {
-	r := newTestEnvironment(t)
-	n := r.node(0, ignoreRequest)
-	r.start(func(cfg *Config) { cfg.Site.Limits.Streams, cfg.Site.Limits.NodeConnections = 8, 2 })
-	r.logged("node listed")
-	c := r.client()
+	env := newTestEnvironment(t)
+	node := env.node(0, ignoreRequest)
+	env.start(func(cfg *Config) { cfg.Site.Limits.Streams, cfg.Site.Limits.NodeConnections = 8, 2 })
+	env.awaitLog("node listed")
+	client := env.client()
 	start := time.Now()
 	for range 100 {
-		c.ask(func(q *proto.Request) { q.Timeout = 500 * time.Millisecond })
+		client.sendRequest(func(q *proto.Request) { q.Timeout = 500 * time.Millisecond })
 	}
-	for s := uint64(1); s <= 100; s++ {
-		c.wait(s)
+	for stream := uint64(1); stream <= 100; stream++ {
+		client.awaitAnswer(stream)
 	}
 	if took := time.Since(start); took > 2*time.Second {
 		t.Errorf("answered after %v, wait was 500 ms", took)
 	}
-	if got := n.got.Load(); got > 16 {
+	if got := node.requestCount.Load(); got > 16 {
 		t.Errorf("%d in flight on 2 connections of 8", got)
 	}
-	c.once()
+	client.expectOneAnswerEach()
 }
 
 // A node that never greets, and a port where nobody listens: the requests are known not to have run, so
 // they are rejected.
 func TestUpstreamPool_RejectsRequestsToUnreachableNodes(t *testing.T) {
-	r := newTestEnvironment(t)
-	mute := r.listen() // accepts by the system's backlog, greets never
-	dead := r.listen()
+	env := newTestEnvironment(t)
+	mute := env.listen() // accepts by the system's backlog, greets never
+	dead := env.listen()
 	dead.Close()
 	t.Cleanup(func() { mute.Close() })
 	for cell, ln := range []net.Listener{mute, dead} {
-		r.list.Put((&fakeNode{ln: ln}).entry(uint16(cell), scheduler.Ready))
+		env.registry.Put((&fakeNode{listener: ln}).endpoint(uint16(cell), scheduler.Ready))
 	}
-	r.start(nil)
-	r.logged("cell=1")
-	c := r.client()
+	env.start(nil)
+	env.awaitLog("cell=1")
+	client := env.client()
 	for cell := range int32(2) {
-		a := c.wait(c.ask(func(q *proto.Request) { q.Cell, q.Class = cell, 1; q.Key = uint64(cell) + 1 }))
-		if a.Code != proto.Rejected || a.Reason != ReasonNodeUnreachable && a.Reason != ReasonNotInTime {
-			t.Errorf("cell %d: %+v", cell, a)
+		answer := client.call(func(q *proto.Request) { q.Cell, q.Class = cell, 1; q.Key = uint64(cell) + 1 })
+		if answer.Code != proto.Rejected ||
+			answer.Reason != ReasonNodeUnreachable && answer.Reason != ReasonNotInTime {
+			t.Errorf("cell %d: %+v", cell, answer)
 		}
 	}
-	c.once()
+	client.expectOneAnswerEach()
 }
