--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -146,8 +146,8 @@
 	call.Responder.Respond(answer, payload)
 }
 
-// logUnserved logs an answer that is none of success, and of a failed write what is where: nobody else can
-// tell.
+// logUnserved logs a rejection or failure, and of a failed write what is where: nobody
+// else can tell.
 func (l *loop) logUnserved(call *Call, answer proto.Answer) {
 	l.shared.log.Debug(answerEvent(answer.Code), keyReason, answer.Reason, keyToken, call.Token,
 		keyRetryAfter, answer.RetryAfter)
--- a/internal/daemon/client_listener_test.go
+++ b/internal/daemon/client_listener_test.go
@@ -33,7 +33,7 @@
 func TestClientListener_AnswersEachRequestOfBurstOnce(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, echo)
-	inst := env.start(func(cfg *Config) { cfg.Site.Limits.MaxOpenRequests = 2000 })
+	instance := env.start(func(cfg *Config) { cfg.Site.Limits.MaxOpenRequests = 2000 })
 	env.awaitLog("node listed")
 	callers := []*testClient{env.client(), env.client()} // one connection has 8,192 in flight at most
 	for range 5000 {
@@ -46,14 +46,14 @@
 		for stream := uint64(1); stream <= 5000; stream++ {
 			if answer := client.awaitAnswer(stream); answer.Reason == ReasonOverload {
 				if overload++; answer.RetryAfter <= 0 {
-					t.Fatal("refused without advice")
+					t.Fatal("rejected without RetryAfter")
 				}
 			}
 		}
 		client.expectOneAnswerEach()
 	}
-	t.Logf("%d over the bound, %d served", overload, inst.Stats.Served.Load())
-	if open := inst.openCalls.Load(); open != 0 {
+	t.Logf("%d over the bound, %d served", overload, instance.Stats.Served.Load())
+	if open := instance.openCalls.Load(); open != 0 {
 		t.Errorf("%d counted as open after all", open)
 	}
 }
@@ -62,21 +62,21 @@
 func TestClientListener_EndsCallsOfClosedConnection(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, ignoreRequest)
-	inst := env.start(nil)
+	instance := env.start(nil)
 	env.awaitLog("node listed")
 	client := env.client()
 	for range 20 {
 		client.sendRequest(nil)
 	}
-	for inst.Stats.Admitted.Load() < 20 {
+	for instance.Stats.Admitted.Load() < 20 {
 		time.Sleep(time.Millisecond)
 	}
 	client.conn.Close(nil)
 	<-client.ended
-	for inst.Stats.ClientGone.Load() < 20 {
+	for instance.Stats.ClientGone.Load() < 20 {
 		time.Sleep(time.Millisecond)
 	}
-	if open := inst.openCalls.Load(); open != 0 {
+	if open := instance.openCalls.Load(); open != 0 {
 		t.Errorf("%d still open", open)
 	}
 }
@@ -86,22 +86,22 @@
 	for _, allowed := range []bool{true, false} {
 		env := newTestEnvironment(t)
 		env.node(0, echoAfter(200*time.Millisecond))
-		inst := env.start(
+		instance := env.start(
 			func(cfg *Config) { cfg.Site.Limits.RetryAfter, cfg.Site.Limits.MaxOpenRequests = allowed, 1 },
 		)
 		env.awaitLog("node listed")
 		client := env.client()
 		client.sendRequest(nil)
-		for inst.Stats.Attempts.Load() < 1 {
+		for instance.Stats.Attempts.Load() < 1 {
 			time.Sleep(time.Millisecond)
 		}
 		over := client.call(nil)
-		inst.Stop()
+		instance.Stop()
 		env.awaitLog("instance stopping")
 		stopping := client.call(nil)
 		for reason, answer := range map[string]proto.Answer{ReasonOverload: over, ReasonStopping: stopping} {
 			if answer.Reason != reason || (answer.RetryAfter > 0) != allowed {
-				t.Errorf("advice allowed %v: got %+v", allowed, answer)
+				t.Errorf("RetryAfter allowed %v: got %+v", allowed, answer)
 			}
 		}
 		<-env.ended
--- a/internal/daemon/counters.go
+++ b/internal/daemon/counters.go
@@ -21,9 +21,9 @@
 	// Attempts that ended, by result code.
 	OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled, NotApplicable atomic.Uint64
 
-	// Ranged calls: those split, their pieces, operations sent to nodes (one of several members counts
-	// once), those merged and their members, operations saved by merging, requests withdrawn, calls
-	// answered with part of their pieces done, bytes copied.
+	// Ranged calls: calls split, pieces of all, operations sent to nodes (retries included), those merged of
+	// two or more pieces, the pieces in these, operations saved by merging, pieces withdrawn unsent, writes
+	// that failed with some of their pieces done, bytes copied.
 	Split, Pieces, Operations, Merged, Members, Saved, Withdrawn, Partial, Copied atomic.Uint64
 }
 
--- a/internal/daemon/environment_test.go
+++ b/internal/daemon/environment_test.go
@@ -171,13 +171,13 @@
 	if change != nil {
 		change(&cfg)
 	}
-	inst, err := New(cfg)
+	instance, err := New(cfg)
 	if err != nil {
 		e.t.Fatal(err)
 	}
-	e.instance = inst
-	e.goroutines.Go(func() { e.ended <- inst.Run(e.ctx) })
-	return inst
+	e.instance = instance
+	e.goroutines.Go(func() { e.ended <- instance.Run(e.ctx) })
+	return instance
 }
 
 // awaitLog waits until the instance has logged a text.
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -29,7 +29,7 @@
 		return nil
 	})
 	var n atomic.Int64
-	inst := env.start(func(cfg *Config) { cfg.Hooks.Decider = countResults(&n, scheduler.TimedOut) })
+	instance := env.start(func(cfg *Config) { cfg.Hooks.Decider = countResults(&n, scheduler.TimedOut) })
 	env.awaitLog("node listed")
 	client := env.client()
 	for range 300 {
@@ -44,7 +44,7 @@
 	}
 	time.Sleep(50 * time.Millisecond)
 	client.expectOneAnswerEach()
-	stats := &inst.Stats
+	stats := &instance.Stats
 	if stats.Served.Load()+stats.Rejected.Load() != 300 || stats.Overdue.Load() != 0 {
 		t.Errorf("served %d, rejected %d, overdue %d", stats.Served.Load(), stats.Rejected.Load(),
 			stats.Overdue.Load())
@@ -56,12 +56,12 @@
 func TestEventLoop_FailsAndLogsOverdueCall(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, echo)
-	inst := env.start(func(cfg *Config) {
+	instance := env.start(func(cfg *Config) {
 		cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return silentDecider{} }
 	})
 	client := env.client()
 	answer := client.call(func(q *proto.Request) { q.Timeout = 100 * time.Millisecond })
-	if answer.Code != proto.Failed || answer.Reason != ReasonOverdue || inst.Stats.Overdue.Load() != 1 {
+	if answer.Code != proto.Failed || answer.Reason != ReasonOverdue || instance.Stats.Overdue.Load() != 1 {
 		t.Errorf("got %+v", answer)
 	}
 	env.awaitLog("overdue")
--- a/internal/daemon/merging_failures_test.go
+++ b/internal/daemon/merging_failures_test.go
@@ -122,7 +122,7 @@
 	for i := range uint64(5) {
 		ids = append(ids, env.read(volume, i*1000, 1000, nil))
 	}
-	cancel(ids[4]) // held
+	cancel(ids[4]) // not sent yet
 	serve := <-out
 	cancel(ids[1]) // out
 	cancel(ids[0]) // out, and the lead
--- a/internal/daemon/merging_test.go
+++ b/internal/daemon/merging_test.go
@@ -53,22 +53,22 @@
 		}
 		return request.Ranged
 	}
-	patient := env.read(volume, 0, 1000, nil)
+	long := env.read(volume, 0, 1000, nil)
 	short := env.read(volume, 1000, 1000, func(q *proto.Request) { q.Timeout = 700 * time.Millisecond })
 	start := time.Now()
 	answer := env.defaultClient.awaitAnswer(short)
 	if answer.Code == proto.OK || time.Since(start) > 1500*time.Millisecond {
-		t.Errorf("the hasty one got %+v after %v", answer, time.Since(start))
+		t.Errorf("the request with the short time-out got %+v after %v", answer, time.Since(start))
 	}
-	if len(env.defaultClient.answersTo(patient)) != 0 {
-		t.Error("the patient one was answered with it")
+	if len(env.defaultClient.answersTo(long)) != 0 {
+		t.Error("the other request was answered with it")
 	}
 	(<-late)()
-	env.expectRead(patient, volume, 0, 1000)
+	env.expectRead(long, volume, 0, 1000)
 	if ops := disk.ranged(); len(ops[0].Members) != 2 || ops[0].Timeout > 700*time.Millisecond {
 		t.Errorf("the node saw %+v", ops[0])
 	}
-	for env.instance.Stats.Late.Load() == 0 { // the hasty one's part came after its client's time
+	for env.instance.Stats.Late.Load() == 0 { // the part of the short one came after its client's time
 		time.Sleep(time.Millisecond)
 	}
 	env.defaultClient.expectOneAnswerEach()
@@ -82,7 +82,7 @@
 		time.AfterFunc(60*time.Millisecond, func() { _ = disk.carryOut(conn, frame, request, nil) })
 		return true
 	}
-	for range 24 { // until the module knows what a read takes here
+	for range 24 { // until the scheduler knows how long a read takes here
 		env.defaultClient.awaitAnswer(env.read(volume, 0, 10, nil))
 	}
 	var ids []uint64
@@ -101,7 +101,7 @@
 	for _, request := range disk.ranged()[24:] {
 		for _, member := range request.Members {
 			if member.Offset/10%2 != 0 && request.Offset/10%2 == 0 {
-				t.Errorf("a hasty one left with others: %+v", request)
+				t.Errorf("a request with a short time-out was merged: %+v", request)
 			}
 		}
 	}
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -26,7 +26,7 @@
 	}
 	peers[1] = other.Addr()
 	var heard atomic.Int64
-	inst := env.start(func(cfg *Config) {
+	instance := env.start(func(cfg *Config) {
 		cfg.Instances, cfg.PeerListen, cfg.Peers = 2, "127.0.0.1:0", peers
 		cfg.Hooks.Decider = func(_ scheduler.Settings, host Decider) Decider {
 			return peerCountingDecider{host,
@@ -34,7 +34,7 @@
 		}
 	})
 	env.awaitLog("node listed")
-	out, err := net.Dial("udp4", inst.PeerAddr().String())
+	out, err := net.Dial("udp4", instance.PeerAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if heard.Load() != 1 {
-		t.Errorf("%d messages reached the module, want 1", heard.Load())
+		t.Errorf("%d messages reached the scheduler, want 1", heard.Load())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/daemon/ranged_write_test.go
+++ b/internal/daemon/ranged_write_test.go
@@ -92,32 +92,32 @@
 func TestMerging_CancelsTimedOutMemberBeforeNextWriteOfKey(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
-	calls := -1
+	cancelsBefore := -1
 	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 		if request.Ranged && len(request.Members) == 0 {
 			disk.mu.Lock()
-			calls = len(disk.cancelled)
+			cancelsBefore = len(disk.cancelled)
 			disk.mu.Unlock()
 		}
 		return len(request.Members) > 0
 	}
-	patient := env.write(volume, 0, 1000, 1, func(q *proto.Request) { q.Key, q.Timeout = 8, 2*time.Second })
-	hasty := env.write(volume, 1000, 1000, 2, func(q *proto.Request) {
+	long := env.write(volume, 0, 1000, 1, func(q *proto.Request) { q.Key, q.Timeout = 8, 2*time.Second })
+	short := env.write(volume, 1000, 1000, 2, func(q *proto.Request) {
 		q.Key, q.Timeout = 7, 700*time.Millisecond
 	})
-	if answer := env.defaultClient.awaitAnswer(hasty); answer.Code == proto.OK {
-		t.Errorf("the hasty one got %+v", answer)
+	if answer := env.defaultClient.awaitAnswer(short); answer.Code == proto.OK {
+		t.Errorf("the request with the short time-out got %+v", answer)
 	}
 	answer := env.defaultClient.awaitAnswer(env.write(volume, 1000, 1000, 3, withKey(7)))
 	if answer.Code != proto.OK {
 		t.Errorf("the next of its key got %+v", answer)
 	}
-	env.defaultClient.awaitAnswer(patient)
+	env.defaultClient.awaitAnswer(long)
 	if len(disk.ranged()) < 2 || len(disk.ranged()[0].Members) != 2 {
 		t.Fatalf("the node saw %+v", disk.ranged())
 	}
-	if disk.mu.Lock(); calls < 1 || fmt.Sprint(disk.cancelled[0]) != "[1]" {
-		t.Errorf("%d calls before the next write, of %v", calls, disk.cancelled)
+	if disk.mu.Lock(); cancelsBefore < 1 || fmt.Sprint(disk.cancelled[0]) != "[1]" {
+		t.Errorf("%d cancels before the next write, of %v", cancelsBefore, disk.cancelled)
 	}
 	disk.mu.Unlock()
 	env.defaultClient.expectOneAnswerEach()
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -21,16 +21,16 @@
 		}
 		return nil
 	})
-	inst := env.start(nil)
+	instance := env.start(nil)
 	env.awaitLog("node listed")
 	client := env.client()
 	for range 5 {
 		client.sendRequest(nil)
 	}
-	for inst.Stats.Attempts.Load() < 5 {
+	for instance.Stats.Attempts.Load() < 5 {
 		time.Sleep(time.Millisecond)
 	}
-	inst.Stop()
+	instance.Stop()
 	env.awaitLog("instance stopping")
 	if answer := client.call(nil); answer.Reason != ReasonStopping || answer.RetryAfter <= 0 {
 		t.Errorf("a new request got %+v", answer)
@@ -45,7 +45,7 @@
 	}
 	for stream := uint64(1); stream <= 5; stream++ {
 		if answer := client.awaitAnswer(stream); answer.Code != proto.OK {
-			t.Errorf("held request %d got %+v", stream, answer)
+			t.Errorf("open request %d got %+v", stream, answer)
 		}
 	}
 	<-client.ended
@@ -56,11 +56,11 @@
 func TestInstance_KillEndsAtOnce(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, ignoreRequest)
-	inst := env.start(nil)
+	instance := env.start(nil)
 	env.awaitLog("node listed")
 	client := env.client()
 	client.sendRequest(nil)
-	for inst.Stats.Attempts.Load() < 1 {
+	for instance.Stats.Attempts.Load() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	start := time.Now()
--- a/internal/daemon/snapshot_test.go
+++ b/internal/daemon/snapshot_test.go
@@ -18,7 +18,7 @@
 	env := newTestEnvironment(t)
 	env.node(0, echo)
 	file := registry.SnapshotFile{Path: filepath.Join(t.TempDir(), "list")}
-	inst := env.start(func(cfg *Config) { cfg.Snapshot = file })
+	instance := env.start(func(cfg *Config) { cfg.Snapshot = file })
 	env.awaitLog("node listed")
 	for range 200 {
 		if k, err := file.Load(); err == nil && len(k.Endpoints) == 1 {
@@ -26,7 +26,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	inst.Stop()
+	instance.Stop()
 	<-env.ended
 	env.registry.SetDown(true)
 	env.start(func(cfg *Config) { cfg.Snapshot, cfg.Site.PollEndpoints = file, true })
--- a/internal/daemon/statistics_test.go
+++ b/internal/daemon/statistics_test.go
@@ -77,7 +77,7 @@
 	env.awaitLog("saved statistics restored")
 	text := env.logs.String()
 	if !strings.Contains(text, "nodes=2 saved_nodes=2 classes=1 all_classes=true") {
-		t.Errorf("not told what came over:\n%s", text)
+		t.Errorf("not logged what was restored:\n%s", text)
 	}
 	for i := range 20 {
 		class := uint16(i % 2)
@@ -108,10 +108,10 @@
 func TestStatistics_IdleIncarnationKeepsThem(t *testing.T) {
 	env, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
 	env.node(0, echo)
-	for life := range 2 {
+	for incarnation := range 2 {
 		env.start(func(cfg *Config) { cfg.StatisticsFile = path })
 		env.awaitLog("node listed")
-		if client := env.client(); life == 0 {
+		if client := env.client(); incarnation == 0 {
 			client.call(nil)
 		}
 		env.instance.Stop()
@@ -120,7 +120,7 @@
 		}
 		var rec checkpoint.Record
 		if err := statefile.Read(path, statisticsMagic, &rec); err != nil || len(rec.Nodes) != 1 {
-			t.Errorf("life %d: %d nodes, %v", life, len(rec.Nodes), err)
+			t.Errorf("incarnation %d: %d nodes, %v", incarnation, len(rec.Nodes), err)
 		}
 	}
 }
@@ -146,8 +146,8 @@
 	}
 	same := func(*checkpoint.Record) {}
 	for _, c := range []struct {
-		name, told string
-		spoil      func(string)
+		name, logged string
+		spoil        func(string)
 	}{
 		{"none", "no saved statistics", func(p string) { _ = os.Remove(p) }},
 		{"damaged", "checksum does not match", func(p string) {
@@ -171,7 +171,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			env, client := restartWithChangedSite(t, c.spoil)
-			env.awaitLog(c.told)
+			env.awaitLog(c.logged)
 			for range 4 {
 				if answer := client.call(nil); answer.Code != proto.OK {
 					t.Errorf("got %+v", answer)
@@ -182,7 +182,7 @@
 				t.Error("figures were taken over all the same")
 			}
 			if n := strings.Count(env.logs.String(), "saved statistics ignored"); c.name != "none" && n != 1 {
-				t.Errorf("told in %d lines", n)
+				t.Errorf("logged in %d lines", n)
 			}
 		})
 	}
