--- /dev/null
+++ b/internal/daemon/client_listener_test.go
@@ -0,0 +1,109 @@
+package daemon
+
+import (
+	"testing"
+	"time"
+
+	"landingpaddle/internal/proto"
+)
+
+// A valid request is served with its data, one out of the site's bounds is rejected.
+func TestClientListener_ServesValidAndRejectsInvalidRequests(t *testing.T) {
+	env := newTestEnvironment(t)
+	env.node(0, echo)
+	env.start(nil)
+	env.awaitLog("node listed")
+	client := env.client()
+	if answer := client.call(nil); answer.Code != proto.OK || string(client.payloads[1]) != "data" {
+		t.Errorf("got %+v, %q", answer, client.payloads[1])
+	}
+	for _, bad := range []func(*proto.Request){
+		func(q *proto.Request) { q.Class = 9 }, func(q *proto.Request) { q.Plan = 9 },
+		func(q *proto.Request) { q.Units = 0 }, func(q *proto.Request) { q.Units = 1000 },
+		func(q *proto.Request) { q.Timeout = 0 }, func(q *proto.Request) { q.Timeout = 100 * time.Hour },
+		func(q *proto.Request) { q.Cell = -2 }, func(q *proto.Request) { q.Cell = 1 << 20 }} {
+		if answer := client.call(bad); answer.Code != proto.Rejected || answer.Reason != ReasonBadRequest {
+			t.Errorf("a bad request got %+v", answer)
+		}
+	}
+	client.expectOneAnswerEach()
+}
+
+// Ten thousand requests in one burst have one answer each, and those over the bound are told when to retry.
+func TestClientListener_AnswersEachRequestOfBurstOnce(t *testing.T) {
+	env := newTestEnvironment(t)
+	env.node(0, echo)
+	instance := env.start(func(cfg *Config) { cfg.Site.Limits.MaxOpenRequests = 2000 })
+	env.awaitLog("node listed")
+	callers := []*testClient{env.client(), env.client()} // one connection has 8,192 in flight at most
+	for range 5000 {
+		for _, client := range callers {
+			client.sendRequest(nil)
+		}
+	}
+	overload := 0
+	for _, client := range callers {
+		for stream := uint64(1); stream <= 5000; stream++ {
+			if answer := client.awaitAnswer(stream); answer.Reason == ReasonOverload {
+				if overload++; answer.RetryAfter <= 0 {
+					t.Fatal("rejected without RetryAfter")
+				}
+			}
+		}
+		client.expectOneAnswerEach()
+	}
+	t.Logf("%d over the bound, %d served", overload, instance.Stats.Served.Load())
+	if open := instance.openCalls.Load(); open != 0 {
+		t.Errorf("%d counted as open after all", open)
+	}
+}
+
+// A client that closes its connection ends its calls.
+func TestClientListener_EndsCallsOfClosedConnection(t *testing.T) {
+	env := newTestEnvironment(t)
+	env.node(0, ignoreRequest)
+	instance := env.start(nil)
+	env.awaitLog("node listed")
+	client := env.client()
+	for range 20 {
+		client.sendRequest(nil)
+	}
+	for instance.Stats.Admitted.Load() < 20 {
+		time.Sleep(time.Millisecond)
+	}
+	client.conn.Close(nil)
+	<-client.ended
+	for instance.Stats.ClientGone.Load() < 20 {
+		time.Sleep(time.Millisecond)
+	}
+	if open := instance.openCalls.Load(); open != 0 {
+		t.Errorf("%d still open", open)
+	}
+}
+
+// Where the site's rejections may not say when to retry, those of the listener do not either.
+func TestClientListener_RetryAfterOnlyWhereAllowed(t *testing.T) {
+	for _, allowed := range []bool{true, false} {
+		env := newTestEnvironment(t)
+		env.node(0, echoAfter(200*time.Millisecond))
+		instance := env.start(
+			func(cfg *Config) { cfg.Site.Limits.RetryAfter, cfg.Site.Limits.MaxOpenRequests = allowed, 1 },
+		)
+		env.awaitLog("node listed")
+		client := env.client()
+		client.sendRequest(nil)
+		for instance.Stats.Attempts.Load() < 1 {
+			time.Sleep(time.Millisecond)
+		}
+		over := client.call(nil)
+		instance.Stop()
+		env.awaitLog("instance stopping")
+		stopping := client.call(nil)
+		for reason, answer := range map[string]proto.Answer{ReasonOverload: over, ReasonStopping: stopping} {
+			if answer.Reason != reason || (answer.RetryAfter > 0) != allowed {
+				t.Errorf("RetryAfter allowed %v: got %+v", allowed, answer)
+			}
+		}
+		<-env.ended
+	}
+}
--- /dev/null
+++ b/internal/daemon/deciders_test.go
@@ -0,0 +1,103 @@
+package daemon
+
+import (
+	"sync/atomic"
+	"time"
+
+	"landingpaddle/scheduler"
+)
+
+// immediateDecider sends every request at once to the node of its cell, and rejects it when that fails. It
+// counts the attempts that end with one result code.
+type immediateDecider struct {
+	nodes   map[uint16]scheduler.Server
+	actions []scheduler.Action
+	count   *atomic.Int64
+	code    scheduler.ResultCode
+}
+
+// countResults is a hook that counts the attempts that end with a code.
+func countResults(n *atomic.Int64, code scheduler.ResultCode) func(scheduler.Settings, Decider) Decider {
+	return func(scheduler.Settings, Decider) Decider {
+		return &immediateDecider{nodes: map[uint16]scheduler.Server{}, count: n, code: code}
+	}
+}
+
+func (d *immediateDecider) Handle(_ time.Duration, event scheduler.Event) {
+	switch event := event.(type) {
+	case scheduler.EndpointUpdate:
+		for _, endpoint := range event.Endpoints {
+			d.nodes[endpoint.Cell] = endpoint.Server
+		}
+	case scheduler.Request:
+		d.actions = append(d.actions, scheduler.Send{ID: event.ID, Server: d.nodes[uint16(event.Cell)]})
+	case scheduler.AttemptResult:
+		if event.Code == d.code {
+			d.count.Add(1)
+		}
+		if !event.RequestDone {
+			d.actions = append(d.actions, scheduler.Reject{ID: event.ID})
+		}
+	}
+}
+
+func (d *immediateDecider) Decide(time.Duration) []scheduler.Action {
+	actions := d.actions
+	d.actions = nil
+	return actions
+}
+
+// silentDecider decides nothing.
+type silentDecider struct{}
+
+func (silentDecider) Handle(time.Duration, scheduler.Event) {}
+
+func (silentDecider) Decide(time.Duration) []scheduler.Action { return nil }
+
+// peerCountingDecider counts the messages of other instances.
+type peerCountingDecider struct {
+	Decider
+	count *atomic.Int64
+}
+
+func (p peerCountingDecider) Handle(now time.Duration, event scheduler.Event) {
+	if _, ok := event.(scheduler.PeerMessage); ok {
+		p.count.Add(1)
+	}
+	p.Decider.Handle(now, event)
+}
+
+// scriptedDecider answers a request with one action of each kind, and cancels its attempt.
+type scriptedDecider struct {
+	server  scheduler.Server
+	events  chan scheduler.Event
+	actions []scheduler.Action
+}
+
+func (d *scriptedDecider) Handle(_ time.Duration, event scheduler.Event) {
+	select {
+	case d.events <- event:
+	default:
+	}
+	switch event := event.(type) {
+	case scheduler.Request:
+		d.actions = append(d.actions,
+			scheduler.Send{ID: event.ID, Server: d.server},
+			scheduler.CheckHealth{Server: d.server},
+			scheduler.WriteLog{Text: "hello operators"},
+			scheduler.FetchEndpoints{},
+			scheduler.SetTimer{Token: 5, After: 100 * time.Millisecond},
+			scheduler.CloseIdle{Server: d.server},
+		)
+	case scheduler.TimerFired:
+		d.actions = append(d.actions, scheduler.Cancel{ID: 1, Attempt: 0})
+	case scheduler.AttemptResult:
+		d.actions = append(d.actions, scheduler.Fail{ID: event.ID})
+	}
+}
+
+func (d *scriptedDecider) Decide(time.Duration) []scheduler.Action {
+	actions := d.actions
+	d.actions = nil
+	return actions
+}
--- /dev/null
+++ b/internal/daemon/shutdown_test.go
@@ -0,0 +1,144 @@
+package daemon
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
+)
+
+// A graceful shutdown answers all open calls, rejects new ones, and ends.
+func TestInstance_AnswersOpenCallsBeforeStopping(t *testing.T) {
+	env := newTestEnvironment(t)
+	env.node(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
+		if frame.Type == proto.TypeRequest {
+			time.AfterFunc(200*time.Millisecond, func() {
+				conn.CloseStream(frame.Stream)
+				_ = conn.Send(proto.TypeAnswer, frame.Stream, proto.Answer{Code: proto.OK}, nil)
+			})
+		}
+		return nil
+	})
+	instance := env.start(nil)
+	env.awaitLog("node listed")
+	client := env.client()
+	for range 5 {
+		client.sendRequest(nil)
+	}
+	for instance.Stats.Attempts.Load() < 5 {
+		time.Sleep(time.Millisecond)
+	}
+	instance.Stop()
+	env.awaitLog("instance stopping")
+	if answer := client.call(nil); answer.Reason != ReasonStopping || answer.RetryAfter <= 0 {
+		t.Errorf("a new request got %+v", answer)
+	}
+	select {
+	case err := <-env.ended:
+		if err != nil {
+			t.Errorf("ended with %v", err)
+		}
+	case <-time.After(5 * time.Second):
+		t.Fatal("does not end")
+	}
+	for stream := uint64(1); stream <= 5; stream++ {
+		if answer := client.awaitAnswer(stream); answer.Code != proto.OK {
+			t.Errorf("open request %d got %+v", stream, answer)
+		}
+	}
+	<-client.ended
+	client.expectOneAnswerEach()
+}
+
+// A kill ends at once: connections close, open calls get no answer, no goroutine stays.
+func TestInstance_KillEndsAtOnce(t *testing.T) {
+	env := newTestEnvironment(t)
+	env.node(0, ignoreRequest)
+	instance := env.start(nil)
+	env.awaitLog("node listed")
+	client := env.client()
+	client.sendRequest(nil)
+	for instance.Stats.Attempts.Load() < 1 {
+		time.Sleep(time.Millisecond)
+	}
+	start := time.Now()
+	env.cancel()
+	<-env.ended
+	<-client.ended
+	if took := time.Since(start); took > 2*time.Second || len(client.answersTo(1)) != 0 {
+		t.Errorf("ended after %v with %v", took, client.answersTo(1))
+	}
+}
+
+// A call that was admitted before the stop and is submitted only when the shutdown timeout is over is
+// answered all the same, in either order of the two.
+func TestEventLoop_AnswersCallsSubmittedAfterShutdownTimeout(t *testing.T) {
+	for _, first := range []bool{true, false} {
+		drivers := &stubDrivers{}
+		eventLoop := NewEventLoop(EventLoopConfig{Settings: scheduler.Settings{Instances: 1,
+			Classes: []scheduler.Class{{LatencyObjective: time.Second, Deadline: time.Second}},
+			Plans:   []scheduler.Plan{{Weight: 1}}}})
+		l := newLoop(eventLoop, Drivers{Upstream: drivers, Endpoints: drivers})
+		l.now = eventLoop.Now()
+		if why := eventLoop.Admit(1); why != "" {
+			t.Fatal(why)
+		}
+		eventLoop.Stop()
+		call := &Call{
+			Responder:  drivers,
+			ReceivedAt: l.now,
+			Wait:       time.Second,
+			Request:    scheduler.Request{Units: 1, VolumeInstances: 1},
+		}
+		var wg sync.WaitGroup
+		if first {
+			eventLoop.Submit(call)
+		} else {
+			wg.Go(func() {
+				time.Sleep(maxHandOver / 10)
+				eventLoop.Submit(call)
+			})
+		}
+		l.failOpenCalls()
+		wg.Wait()
+		if len(drivers.answers) != 1 || drivers.answers[0].Reason != ReasonStopping ||
+			eventLoop.openCalls.Load() != 0 {
+			t.Errorf("taken first %v: answers %+v, %d open", first, drivers.answers,
+				eventLoop.openCalls.Load())
+		}
+		if why := eventLoop.Admit(1); why != ReasonStopping {
+			t.Errorf("after the stop: %q", why)
+		}
+	}
+}
+
+// A graceful shutdown with merged operations in flight and other calls waiting answers all of them.
+func TestInstance_AnswersMergedCallsBeforeStopping(t *testing.T) {
+	env := newRangedEnvironment(t, nil)
+	volume, disk := env.volumeAt(0, 0), env.disks[0]
+	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
+		time.AfterFunc(300*time.Millisecond, func() { _ = disk.carryOut(conn, frame, request, nil) })
+		return true
+	}
+	var ids []uint64
+	for i := range uint64(12) {
+		ids = append(ids, env.read(volume, i*1000, 1000, nil))
+	}
+	for env.instance.Stats.Merged.Load() == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	env.instance.Stop()
+	env.awaitLog("instance stopping")
+	if err := <-env.ended; err != nil {
+		t.Error(err)
+	}
+	<-env.defaultClient.ended
+	env.awaitLog("all.admitted=14 all.served=14")
+	env.awaitLog("all.saved=11")
+	for i, id := range ids {
+		env.expectRead(id, volume, uint64(i)*1000, 1000)
+	}
+	env.defaultClient.expectOneAnswerEach()
+}
--- /dev/null
+++ b/internal/daemon/stub_drivers_test.go
@@ -0,0 +1,33 @@
+package daemon
+
+import (
+	"landingpaddle/internal/proto"
+	"landingpaddle/scheduler"
+)
+
+// stubDrivers are drivers and a responder that record what they are asked for and do nothing.
+type stubDrivers struct {
+	sent      []*Operation
+	cancelled int
+	answers   []proto.Answer
+}
+
+func (d *stubDrivers) Send(operation *Operation) { d.sent = append(d.sent, operation) }
+
+func (d *stubDrivers) Cancel(*Operation) { d.cancelled++ }
+
+func (d *stubDrivers) CancelMember(*Operation, int) {}
+
+func (d *stubDrivers) CheckHealth(scheduler.Server) {}
+
+func (d *stubDrivers) CloseIdle(scheduler.Server) {}
+
+func (d *stubDrivers) Watch(bool) {}
+
+func (d *stubDrivers) Fetch() {}
+
+func (d *stubDrivers) FetchFull() {}
+
+func (d *stubDrivers) Respond(answer proto.Answer, payload []byte) {
+	d.answers = append(d.answers, answer)
+}
--- a/internal/daemon/timers_test.go
+++ b/internal/daemon/timers_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Timers are called in order of their time, those of one time in the order in which they were set,
-// cancelled ones never; and what is called or cancelled takes no more room.
-func TestTimers(t *testing.T) {
+// Timers fire in order of their time, those of one time in the order in which they were set, cancelled ones
+// never; and those that fired or were cancelled take no more room.
+func TestTimers_FireInOrderOfTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ts timers
 		var live []*timer
@@ -37,11 +37,11 @@
 				}
 			case 3:
 				now += time.Duration(rapid.IntRange(0, 10).Draw(t, "pass"))
-				ts.run(now)
+				ts.runDue(now)
 				var rest []*timer
 				for _, row := range live {
-					if called[row] != (row.at <= now) {
-						t.Fatal(fmt.Sprintf("due at %v, called %v at %v", row.at, called[row], now))
+					if called[row] != (row.dueAt <= now) {
+						t.Fatal(fmt.Sprintf("due at %v, called %v at %v", row.dueAt, called[row], now))
 					}
 					if !called[row] {
 						rest = append(rest, row)
@@ -49,8 +49,8 @@
 				}
 				live = rest
 			}
-			if len(ts.rows) != len(live) {
-				t.Fatalf("%d timers held, %d live", len(ts.rows), len(live))
+			if len(ts.pending) != len(live) {
+				t.Fatalf("%d timers held, %d live", len(ts.pending), len(live))
 			}
 		}
 	})
