--- a/internal/daemon/actions_test.go
+++ b/internal/daemon/actions_test.go
@@ -68,7 +68,11 @@
 		}
 	}
 	env.awaitLog("hello operators")
-	if answer := client.awaitAnswer(id); answer.Reason != ReasonCancelled || called.Load() != 1 {
+	answer := client.awaitAnswer(id)
+	for by := time.Now().Add(5 * time.Second); called.Load() == 0 && time.Now().Before(by); {
+		time.Sleep(time.Millisecond) // the cancel frame may still be on its way to the node
+	}
+	if answer.Reason != ReasonCancelled || called.Load() != 1 {
 		t.Errorf("got %+v; the node was cancelled %d times", answer, called.Load())
 	}
 }
