--- a/internal/platform/book.go
+++ b/internal/platform/book.go
@@ -33,22 +33,24 @@
 
 // bookKeep is how long a disk server that is gone can still be dialled: attempts decided on before the news
 // may be on their way to it.
-const bookKeep = time.Minute
+const goneRetention = time.Minute
 
 // book knows under which address each disk server is reached from here. A disk server is its instanceId,
 // alike at every scheduler; its address may differ from one to the next.
-type book struct {
-	mu    sync.Mutex
-	pages map[scheduler.Server]page
+type addressTable struct {
+	mu      sync.Mutex
+	entries map[scheduler.Server]addressEntry
 }
 
-type page struct {
-	id, addr string
-	cell     uint16
-	goneAt   time.Time // zero: it is listed
+type addressEntry struct {
+	id, address string
+	cell        uint16
+	goneAt      time.Time // zero: it is listed
 }
 
-func newBook() *book { return &book{pages: map[scheduler.Server]page{}} }
+func newAddressTable() *addressTable {
+	return &addressTable{entries: map[scheduler.Server]addressEntry{}}
+}
 
 // serverOf is the module's name for a disk server: its id's hash, the same wherever it is worked out.
 func serverOf(id string) (s scheduler.Server) {
@@ -63,15 +65,15 @@
 	return s
 }
 
-func (b *book) find(s scheduler.Server) (page, bool) {
+func (b *addressTable) find(s scheduler.Server) (addressEntry, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p, ok := b.pages[s]
+	p, ok := b.entries[s]
 	return p, ok
 }
 
 // name is how logs call a disk server.
-func (b *book) name(s scheduler.Server) string {
+func (b *addressTable) nodeName(s scheduler.Server) string {
 	if p, ok := b.find(s); ok {
 		return p.id
 	}
@@ -80,45 +82,45 @@
 
 // news turns a list into the roster's form and notes the addresses. An entry that cannot be understood is an
 // error for the whole list: half a list would look like servers that are gone.
-func (b *book) news(l List, since uint64, site *wire.Site) (endpoints.Update, error) {
+func (b *addressTable) applyList(l List, since uint64, site *wire.Site) (endpoints.Update, error) {
 	n := endpoints.Update{Version: l.Generation, BaseVersion: since, Full: l.Reset}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range l.Instances {
-		e, err := entry(&l.Instances[i], site)
+		e, err := parseEndpoint(&l.Instances[i], site)
 		if err != nil {
 			return n, fmt.Errorf("instances, item %d: %w", i, err)
 		}
-		if p, ok := b.pages[e.Server]; ok && p.id != l.Instances[i].ID {
+		if p, ok := b.entries[e.Server]; ok && p.id != l.Instances[i].ID {
 			return n, fmt.Errorf("instances %q and %q have one hash", p.id, l.Instances[i].ID)
 		}
 		n.Endpoints = append(n.Endpoints, e)
 	}
 	now, listed := time.Now(), map[scheduler.Server]bool{}
 	for i, e := range n.Endpoints {
-		p := page{id: l.Instances[i].ID, addr: l.Instances[i].HostPort, cell: e.Cell}
+		p := addressEntry{id: l.Instances[i].ID, address: l.Instances[i].HostPort, cell: e.Cell}
 		if e.Status == scheduler.Gone {
-			if was, ok := b.pages[e.Server]; ok {
+			if was, ok := b.entries[e.Server]; ok {
 				p = was
 			}
 			p.goneAt = now
 		}
-		b.pages[e.Server] = p
+		b.entries[e.Server] = p
 		listed[e.Server] = true
 	}
-	for s, p := range b.pages {
+	for s, p := range b.entries {
 		switch {
 		case l.Reset && !listed[s] && p.goneAt.IsZero():
 			p.goneAt = now
-			b.pages[s] = p
-		case !p.goneAt.IsZero() && now.Sub(p.goneAt) > bookKeep:
-			delete(b.pages, s)
+			b.entries[s] = p
+		case !p.goneAt.IsZero() && now.Sub(p.goneAt) > goneRetention:
+			delete(b.entries, s)
 		}
 	}
 	return n, nil
 }
 
-func entry(l *ListedServer, site *wire.Site) (endpoints.Endpoint, error) {
+func parseEndpoint(l *ListedServer, site *wire.Site) (endpoints.Endpoint, error) {
 	e := endpoints.Endpoint{Server: serverOf(l.ID), Cell: uint16(l.Cell), Zone: site.Zone(l.Zone),
 		MachineType: site.MachineType(l.MachineType), NominalCapacity: l.Weight}
 	switch l.Lifecycle {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -43,11 +43,11 @@
 const (
 	defaultMemoryMB = 64
 	defaultSockets  = 256
-	leastSockets    = 32
+	minSockets      = 32
 )
 
 // file is the configuration as it stands in its file. Keys that are not here are ignored.
-type file struct {
+type configFile struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
 	Discovery  string          `json:"discovery"`
@@ -74,15 +74,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
 	}
-	c, err := parse(doc, env)
+	c, err := parseConfig(doc, env)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
 }
 
-func parse(doc []byte, env LookupEnv) (*Config, error) {
-	var f file
+func parseConfig(doc []byte, env LookupEnv) (*Config, error) {
+	var f configFile
 	if err := json.Unmarshal(doc, &f); err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 			return nil, fmt.Errorf("key %q is %q: %w", "seed", f.Seed, err)
 		}
 	}
-	if err := c.limits(); err != nil {
+	if err := c.applyLimitDefaults(); err != nil {
 		return nil, err
 	}
 	if len(f.Settings) == 0 {
@@ -130,18 +130,18 @@
 		set := &c.Site.Settings
 		set.PollEndpoints, set.PollTimeout, set.PushGrace = true, 0, set.DrainGrace
 	}
-	return c, c.peers(f)
+	return c, c.parsePeers(f)
 }
 
 // limits checks what the machine is said to have; what is not said is taken to be little.
-func (c *Config) limits() error {
+func (c *Config) applyLimitDefaults() error {
 	l := &c.Limits
 	switch {
 	case l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0:
 		return fmt.Errorf("key %q: a limit is negative", "limits")
-	case l.Sockets > 0 && l.Sockets < leastSockets:
+	case l.Sockets > 0 && l.Sockets < minSockets:
 		return fmt.Errorf("key %q: %d sockets are too few, %d are needed", "limits.sockets", l.Sockets,
-			leastSockets)
+			minSockets)
 	}
 	if l.MemoryMB == 0 {
 		l.MemoryMB = defaultMemoryMB
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func (c *Config) peers(f file) error {
+func (c *Config) parsePeers(f configFile) error {
 	if !c.Site.Settings.PeerMessages || f.PeerListen == "" {
 		c.Site.Settings.PeerMessages = false
 		return nil
--- a/internal/platform/crossings_lists_test.go
+++ b/internal/platform/crossings_lists_test.go
@@ -16,53 +16,53 @@
 // toldWithin is after how long what a watch misses counts as told, and toldAfterReload what a new discovery
 // has.
 const (
-	toldWithin      = 6 * time.Second
-	toldAfterReload = 4 * time.Second
+	notifiedWithin      = 6 * time.Second
+	notifiedAfterReload = 4 * time.Second
 )
 
 // rawLists is a discovery written byte by byte: script answers the n-th call, and the connection ends with
 // it.
-type rawLists struct {
-	ln  net.Listener
-	wg  sync.WaitGroup
-	mu  sync.Mutex
-	at  []time.Time // of calls
-	end chan struct{}
+type scriptedDiscovery struct {
+	listener  net.Listener
+	wg        sync.WaitGroup
+	mu        sync.Mutex
+	callTimes []time.Time // of calls
+	ended     chan struct{}
 }
 
-func newRawLists(t *testing.T,
-	script func(n int, target string, w net.Conn, ended <-chan struct{})) *rawLists {
+func newScriptedDiscovery(t *testing.T,
+	script func(n int, target string, connection net.Conn, ended <-chan struct{})) *scriptedDiscovery {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &rawLists{ln: ln, end: make(chan struct{})}
-	l.wg.Go(func() {
+	discovery := &scriptedDiscovery{listener: ln, ended: make(chan struct{})}
+	discovery.wg.Go(func() {
 		for n := 0; ; n++ {
 			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			l.mu.Lock()
-			l.at = append(l.at, time.Now())
-			l.mu.Unlock()
-			l.wg.Go(func() {
+			discovery.mu.Lock()
+			discovery.callTimes = append(discovery.callTimes, time.Now())
+			discovery.mu.Unlock()
+			discovery.wg.Go(func() {
 				defer conn.Close()
-				q, err := http.ReadRequest(bufio.NewReader(conn))
+				request, err := http.ReadRequest(bufio.NewReader(conn))
 				if err == nil {
-					script(n, q.URL.String(), conn, l.end)
+					script(n, request.URL.String(), conn, discovery.ended)
 				}
 			})
 		}
 	})
-	t.Cleanup(func() { close(l.end); ln.Close(); l.wg.Wait() })
-	return l
+	t.Cleanup(func() { close(discovery.ended); ln.Close(); discovery.wg.Wait() })
+	return discovery
 }
 
-func (l *rawLists) calls() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.at)
+func (discovery *scriptedDiscovery) calls() int {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	return len(discovery.callTimes)
 }
 
 const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -70,7 +70,7 @@
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 // doc is a list in discovery's form.
-func doc(generation uint64, whole bool, entries ...ListedServer) string {
+func listDocument(generation uint64, whole bool, entries ...ListedServer) string {
 	b, err := json.Marshal(List{Generation: generation, Reset: whole, Instances: entries})
 	if err != nil {
 		panic(err)
@@ -79,24 +79,29 @@
 }
 
 // startAt starts a scheduler whose discovery is at an address; its list of the start names one disk server.
-func startAt(t *testing.T, discovery string, d *disk, change func(string) string) *rig {
-	l := List{Generation: 7, Reset: true, Instances: []ListedServer{listed("s-0", d, 0)}}
-	text := string(configDoc(discovery, &l, 256))
+func startGatewayAt(
+	t *testing.T,
+	discovery string,
+	diskServer *fakeDiskServer,
+	change func(string) string,
+) *gatewayFixture {
+	list := List{Generation: 7, Reset: true, Instances: []ListedServer{listedServer("s-0", diskServer, 0)}}
+	text := string(configDocument(discovery, &list, 256))
 	if change != nil {
 		text = change(text)
 	}
-	return launch(t, []byte(text))
+	return runGateway(t, []byte(text))
 }
 
-func (r *rig) holds(version uint64, by time.Time) {
-	r.t.Helper()
+func (fixture *gatewayFixture) awaitListVersion(version uint64, deadline time.Time) {
+	fixture.t.Helper()
 	for {
-		if _, v := r.s.core.ListVersion(); v == version {
+		if _, v := fixture.gateway.loop.ListVersion(); v == version {
 			return
 		}
-		if time.Now().After(by) {
-			_, v := r.s.core.ListVersion()
-			r.t.Fatalf("version %d is held, not %d", v, version)
+		if time.Now().After(deadline) {
+			_, v := fixture.gateway.loop.ListVersion()
+			fixture.t.Fatalf("version %d is held, not %d", v, version)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -111,16 +116,22 @@
 		"before its body":    chunkedHead,
 		"within a chunk":     chunkedHead + "40\r\n{\"generation\":8,",
 		"within a message":   chunkedHead + chunk(`{"generation":8,"reset":true,"instances":[`),
-		"behind a message":   chunkedHead + chunk(doc(7, true)+"\n"),
+		"behind a message":   chunkedHead + chunk(listDocument(7, true)+"\n"),
 		"behind a heartbeat": chunkedHead + chunk("\n"),
 	}
 	failures := map[string]func(net.Conn, <-chan struct{}){
-		"none":      nil,
-		"silent":    forever,
-		"refused":   func(w net.Conn, _ <-chan struct{}) { io.WriteString(w, "HTTP/1.1 503 x\r\n\r\n") },
-		"a reset":   func(w net.Conn, _ <-chan struct{}) { w.(*net.TCPConn).SetLinger(0) },
-		"nonsense":  func(w net.Conn, _ <-chan struct{}) { io.WriteString(w, chunkedHead+chunk("{[")) },
-		"half a go": func(w net.Conn, _ <-chan struct{}) { io.WriteString(w, chunkedHead+chunk("{")) },
+		"none":   nil,
+		"silent": forever,
+		"refused": func(connection net.Conn, _ <-chan struct{}) {
+			io.WriteString(connection, "HTTP/1.1 503 x\r\n\r\n")
+		},
+		"a reset": func(connection net.Conn, _ <-chan struct{}) { connection.(*net.TCPConn).SetLinger(0) },
+		"nonsense": func(connection net.Conn, _ <-chan struct{}) {
+			io.WriteString(connection, chunkedHead+chunk("{["))
+		},
+		"half a go": func(connection net.Conn, _ <-chan struct{}) {
+			io.WriteString(connection, chunkedHead+chunk("{"))
+		},
 	}
 	for where, said := range silences {
 		for how, fail := range failures {
@@ -129,33 +140,44 @@
 			}
 			t.Run(where+", then "+how, func(t *testing.T) {
 				t.Parallel()
-				d := newDisk(t, func(int, *got) []byte { return ok("ok") })
+				diskServer := newFakeDiskServer(
+					t,
+					func(int, *receivedRequest) []byte { return okResponse("ok") },
+				)
 				var mu sync.Mutex
 				var silent time.Time
-				l := newRawLists(t, func(n int, _ string, w net.Conn, ended <-chan struct{}) {
-					switch {
-					case n == 0:
-						io.WriteString(w, said)
-						mu.Lock()
-						silent = time.Now()
-						mu.Unlock()
-						<-ended
-					case n == 1 && fail != nil:
-						fail(w, ended)
-					default:
-						io.WriteString(w, chunkedHead+chunk(doc(9, true, listed("s-0", d, 0))+"\n"))
-						<-ended
-					}
-				})
-				r := startAt(t, l.ln.Addr().String(), d, nil)
-				var by time.Time
+				discovery := newScriptedDiscovery(
+					t,
+					func(n int, _ string, connection net.Conn, ended <-chan struct{}) {
+						switch {
+						case n == 0:
+							io.WriteString(connection, said)
+							mu.Lock()
+							silent = time.Now()
+							mu.Unlock()
+							<-ended
+						case n == 1 && fail != nil:
+							fail(connection, ended)
+						default:
+							io.WriteString(
+								connection,
+								chunkedHead+chunk(
+									listDocument(9, true, listedServer("s-0", diskServer, 0))+"\n",
+								),
+							)
+							<-ended
+						}
+					},
+				)
+				fixture := startGatewayAt(t, discovery.listener.Addr().String(), diskServer, nil)
+				var deadline time.Time
 				eventually(t, "the first call", func() bool {
 					mu.Lock()
 					defer mu.Unlock()
-					by = silent.Add(toldWithin)
+					deadline = silent.Add(notifiedWithin)
 					return !silent.IsZero()
 				})
-				r.holds(9, by)
+				fixture.awaitListVersion(9, deadline)
 			})
 		}
 	}
@@ -164,7 +186,7 @@
 // Lists come in every form that the protocol allows: whole, as changes, indented, several in one piece, one
 // in many, again, and out of turn.
 func TestFormsOfLists(t *testing.T) {
-	d := newDisk(t, func(int, *got) []byte { return ok("ok") })
+	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
 	indent := func(text string) string {
 		var v any
 		if err := json.Unmarshal([]byte(text), &v); err != nil {
@@ -173,35 +195,40 @@
 		b, _ := json.MarshalIndent(v, "", "  ")
 		return string(b) + "\n"
 	}
-	drains := listed("s-0", d, 0)
+	drains := listedServer("s-0", diskServer, 0)
 	drains.Lifecycle = "draining"
 	for name, pieces := range map[string][]string{
-		"indented":             {indent(doc(9, false, drains))},
-		"in pieces":            strings.SplitAfter(indent(doc(9, false, drains)), ","),
-		"byte by byte":         strings.Split(doc(9, false, drains)+"\n", ""),
-		"several at once":      {doc(8, false) + "\n\n" + doc(9, false, drains) + "\n"},
-		"again":                {doc(9, false, drains) + "\n" + doc(9, false, drains) + "\n"},
-		"an older one after":   {doc(9, true, drains) + "\n" + doc(8, true, listed("s-0", d, 0)) + "\n"},
-		"after heartbeats":     {"\n", "\r\n", " \n", doc(9, false, drains) + "\n"},
-		"without its last end": {doc(9, false, drains)},
+		"indented":        {indent(listDocument(9, false, drains))},
+		"in pieces":       strings.SplitAfter(indent(listDocument(9, false, drains)), ","),
+		"byte by byte":    strings.Split(listDocument(9, false, drains)+"\n", ""),
+		"several at once": {listDocument(8, false) + "\n\n" + listDocument(9, false, drains) + "\n"},
+		"again": {listDocument(9, false, drains) + "\n" +
+			listDocument(9, false, drains) + "\n"},
+		"an older one after": {listDocument(9, true, drains) + "\n" +
+			listDocument(8, true, listedServer("s-0", diskServer, 0)) + "\n"},
+		"after heartbeats":     {"\n", "\r\n", " \n", listDocument(9, false, drains) + "\n"},
+		"without its last end": {listDocument(9, false, drains)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := newRawLists(t, func(_ int, _ string, w net.Conn, ended <-chan struct{}) {
-				io.WriteString(w, chunkedHead)
-				for _, p := range pieces {
-					io.WriteString(w, chunk(p))
-				}
-				<-ended
-			})
-			r := startAt(t, l.ln.Addr().String(), d, nil)
-			r.holds(9, time.Now().Add(time.Second))
-			c := r.dial()
-			c.send(ask("PUT", "pay", "a1", 0, ""))
-			if status, _, _ := c.answer(); status != 503 {
+			discovery := newScriptedDiscovery(
+				t,
+				func(_ int, _ string, connection net.Conn, ended <-chan struct{}) {
+					io.WriteString(connection, chunkedHead)
+					for _, p := range pieces {
+						io.WriteString(connection, chunk(p))
+					}
+					<-ended
+				},
+			)
+			fixture := startGatewayAt(t, discovery.listener.Addr().String(), diskServer, nil)
+			fixture.awaitListVersion(9, time.Now().Add(time.Second))
+			client := fixture.dial()
+			client.send(requestText("PUT", "pay", "a1", 0, ""))
+			if status, _, _ := client.readAnswer(); status != 503 {
 				t.Errorf("%d from a shard whose one disk server drains", status)
 			}
-			if n := l.calls(); n != 1 {
+			if n := discovery.calls(); n != 1 {
 				t.Errorf("%d calls", n)
 			}
 		})
@@ -211,78 +238,100 @@
 // A change that builds on a list that is not held is a gap: the whole list is fetched, and a fetch that is
 // too long or too slow fails.
 func TestGapIsFetched(t *testing.T) {
-	d := newDisk(t, func(int, *got) []byte { return ok("ok") })
-	l := newRawLists(t, func(_ int, target string, w net.Conn, ended <-chan struct{}) {
-		if !strings.Contains(target, "stream") {
-			text := doc(9, false, listed("s-0", d, 0))
-			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-			return
-		}
-		io.WriteString(w, chunkedHead+chunk(doc(8, false)+"\n"))
-		<-ended
-	})
-	r := startAt(t, l.ln.Addr().String(), d, func(s string) string { // nothing is known at the start
-		return replaceOnce(t, s, `"known":{`, `"unknown":{`)
-	})
-	r.holds(9, time.Now().Add(2*time.Second))
+	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+	discovery := newScriptedDiscovery(
+		t,
+		func(_ int, target string, connection net.Conn, ended <-chan struct{}) {
+			if !strings.Contains(target, "stream") {
+				text := listDocument(9, false, listedServer("s-0", diskServer, 0))
+				fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+				return
+			}
+			io.WriteString(connection, chunkedHead+chunk(listDocument(8, false)+"\n"))
+			<-ended
+		},
+	)
+	fixture := startGatewayAt(
+		t,
+		discovery.listener.Addr().String(),
+		diskServer,
+		func(s string) string { // nothing is known at the start
+			return replaceOnce(t, s, `"known":{`, `"unknown":{`)
+		},
+	)
+	fixture.awaitListVersion(9, time.Now().Add(2*time.Second))
 }
 
 // A configuration that moves discovery: the new one is asked at once, whether a watch stood at the old, was
 // being opened there, had failed and waited, or a fetch was under way; what the old one still says changes
 // nothing.
 func TestReloadCrossesCalls(t *testing.T) {
-	for name, old := range map[string]func(n int, target string, w net.Conn, ended <-chan struct{}){
-		"a watch stands": func(_ int, _ string, w net.Conn, ended <-chan struct{}) {
-			io.WriteString(w, chunkedHead+chunk(doc(7, true)+"\n"))
+	for name, old := range map[string]func(n int, target string, connection net.Conn, ended <-chan struct{}){
+		"a watch stands": func(_ int, _ string, connection net.Conn, ended <-chan struct{}) {
+			io.WriteString(connection, chunkedHead+chunk(listDocument(7, true)+"\n"))
 			<-ended
 		},
 		"a watch is being opened": func(_ int, _ string, _ net.Conn, ended <-chan struct{}) { <-ended },
-		"a watch has failed": func(_ int, _ string, w net.Conn, _ <-chan struct{}) {
-			io.WriteString(w, "HTTP/1.1 503 x\r\n\r\n")
+		"a watch has failed": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
+			io.WriteString(connection, "HTTP/1.1 503 x\r\n\r\n")
 		},
-		"a fetch is under way": func(_ int, target string, w net.Conn, ended <-chan struct{}) {
+		"a fetch is under way": func(_ int, target string, connection net.Conn, ended <-chan struct{}) {
 			if strings.Contains(target, "stream") {
-				io.WriteString(w, chunkedHead+chunk(doc(8, false)+"\n"))
+				io.WriteString(connection, chunkedHead+chunk(listDocument(8, false)+"\n"))
 			}
 			<-ended
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := newDisk(t, func(int, *got) []byte { return ok("ok") })
-			from := newRawLists(t, old)
-			to := newRawLists(t, func(n int, target string, w net.Conn, ended <-chan struct{}) {
-				if n == 0 { // the first call to the new one fails
-					io.WriteString(w, "HTTP/1.1 503 x\r\n\r\n")
-					return
-				}
-				if !strings.Contains(target, "stream") {
-					text := doc(9, true, listed("s-0", d, 0))
-					fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-					return
-				}
-				io.WriteString(w, chunkedHead+chunk(doc(9, true, listed("s-0", d, 0))+"\n"))
-				<-ended
-			})
+			diskServer := newFakeDiskServer(
+				t,
+				func(int, *receivedRequest) []byte { return okResponse("ok") },
+			)
+			from := newScriptedDiscovery(t, old)
+			to := newScriptedDiscovery(
+				t,
+				func(n int, target string, connection net.Conn, ended <-chan struct{}) {
+					if n == 0 { // the first call to the new one fails
+						io.WriteString(connection, "HTTP/1.1 503 x\r\n\r\n")
+						return
+					}
+					if !strings.Contains(target, "stream") {
+						text := listDocument(9, true, listedServer("s-0", diskServer, 0))
+						fmt.Fprintf(
+							connection,
+							"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s",
+							len(text),
+							text,
+						)
+						return
+					}
+					io.WriteString(
+						connection,
+						chunkedHead+chunk(listDocument(9, true, listedServer("s-0", diskServer, 0))+"\n"),
+					)
+					<-ended
+				},
+			)
 			unknown := func(s string) string { return s }
 			if name == "a fetch is under way" {
 				unknown = func(s string) string { return replaceOnce(t, s, `"known":{`, `"unknown":{`) }
 			}
-			r := startAt(t, from.ln.Addr().String(), d, unknown)
+			fixture := startGatewayAt(t, from.listener.Addr().String(), diskServer, unknown)
 			calls := 1
 			if name == "a fetch is under way" {
 				calls = 2
 			}
 			eventually(t, "the old one is asked", func() bool { return from.calls() >= calls })
-			cfg, err := parse(configDoc(to.ln.Addr().String(), nil, 256), noEnv)
+			cfg, err := parseConfig(configDocument(to.listener.Addr().String(), nil, 256), noEnvironment)
 			if err != nil {
 				t.Fatal(err)
 			}
 			reloaded := time.Now()
-			r.s.Reload(cfg)
-			r.holds(9, reloaded.Add(toldAfterReload))
+			fixture.gateway.Reload(cfg)
+			fixture.awaitListVersion(9, reloaded.Add(notifiedAfterReload))
 			before := from.calls()
-			r.s.disc.Fetch()
+			fixture.gateway.discovery.Fetch()
 			eventually(t, "the new one is asked again", func() bool { return to.calls() >= 3 })
 			if n := from.calls(); n != before {
 				t.Errorf("the old one was asked %d times more", n-before)
@@ -301,40 +350,46 @@
 		"an agent with nothing new": "head", "no agent": "503"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := newDisk(t, func(int, *got) []byte { return ok("ok") })
-			let := make(chan struct{})
-			drains := listed("s-0", d, 0)
+			diskServer := newFakeDiskServer(
+				t,
+				func(int, *receivedRequest) []byte { return okResponse("ok") },
+			)
+			released := make(chan struct{})
+			drains := listedServer("s-0", diskServer, 0)
 			drains.Lifecycle = "draining"
-			l := newRawLists(t, func(_ int, _ string, w net.Conn, ended <-chan struct{}) {
-				switch said {
-				case "list":
-					<-let
-					io.WriteString(w, chunkedHead+chunk(doc(8, true, drains)+"\n"))
-				case "head":
-					io.WriteString(w, chunkedHead)
-				case "503":
-					io.WriteString(w, "HTTP/1.1 503 x\r\n\r\n")
-					return
-				}
-				<-ended
-			})
-			r := startAt(t, l.ln.Addr().String(), d, push)
-			c := r.dial()
-			c.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n" + ask("PUT", "pay", "a1", 0, ""))
-			eventually(t, "the agent is asked", func() bool { return l.calls() > 0 })
-			if said == "list" && r.s.front.counts.accepted.Load() > 0 {
+			discovery := newScriptedDiscovery(
+				t,
+				func(_ int, _ string, connection net.Conn, ended <-chan struct{}) {
+					switch said {
+					case "list":
+						<-released
+						io.WriteString(connection, chunkedHead+chunk(listDocument(8, true, drains)+"\n"))
+					case "head":
+						io.WriteString(connection, chunkedHead)
+					case "503":
+						io.WriteString(connection, "HTTP/1.1 503 x\r\n\r\n")
+						return
+					}
+					<-ended
+				},
+			)
+			fixture := startGatewayAt(t, discovery.listener.Addr().String(), diskServer, push)
+			client := fixture.dial()
+			client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n" + requestText("PUT", "pay", "a1", 0, ""))
+			eventually(t, "the agent is asked", func() bool { return discovery.calls() > 0 })
+			if said == "list" && fixture.gateway.frontend.counters.accepted.Load() > 0 {
 				t.Error("a client was accepted before the list")
 			}
-			close(let)
+			close(released)
 			want := 200
 			if said == "list" {
 				want = 503
 			}
 			began := time.Now()
-			if status, _, _ := c.answer(); status != 200 {
+			if status, _, _ := client.readAnswer(); status != 200 {
 				t.Errorf("healthz: %d", status)
 			}
-			if status, _, _ := c.answer(); status != want || time.Since(began) > 3*time.Second {
+			if status, _, _ := client.readAnswer(); status != want || time.Since(began) > 3*time.Second {
 				t.Errorf("%d after %v; want %d", status, time.Since(began), want)
 			}
 		})
@@ -343,26 +398,31 @@
 
 // A scheduler is ready at once where lists are asked for, whatever its discovery does.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	d := newDisk(t, func(int, *got) []byte { return ok("ok") })
-	for name, script := range map[string]func(w net.Conn, ended <-chan struct{}){
-		"silent":     func(_ net.Conn, ended <-chan struct{}) { <-ended },
-		"overloaded": func(w net.Conn, _ <-chan struct{}) { io.WriteString(w, "HTTP/1.1 503 x\r\n\r\n") },
-		"down":       nil,
+	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+	for name, script := range map[string]func(connection net.Conn, ended <-chan struct{}){
+		"silent": func(_ net.Conn, ended <-chan struct{}) { <-ended },
+		"overloaded": func(connection net.Conn, _ <-chan struct{}) {
+			io.WriteString(connection, "HTTP/1.1 503 x\r\n\r\n")
+		},
+		"down": nil,
 	} {
-		l := newRawLists(t, func(_ int, _ string, w net.Conn, ended <-chan struct{}) { script(w, ended) })
+		discovery := newScriptedDiscovery(
+			t,
+			func(_ int, _ string, connection net.Conn, ended <-chan struct{}) { script(connection, ended) },
+		)
 		if script == nil {
-			l.ln.Close()
+			discovery.listener.Close()
 		}
 		began := time.Now()
-		c := startAt(t, l.ln.Addr().String(), d, nil).dial()
+		client := startGatewayAt(t, discovery.listener.Addr().String(), diskServer, nil).dial()
 		for status := 0; status != 200; {
-			c.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-			if status, _, _ = c.answer(); status != 200 && time.Since(began) > time.Second {
+			client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+			if status, _, _ = client.readAnswer(); status != 200 && time.Since(began) > time.Second {
 				t.Fatalf("discovery %s: %d after %v", name, status, time.Since(began))
 			}
 		}
-		c.send(ask("GET", "read", "a1", 0, ""))
-		if status, _, _ := c.answer(); status != 200 {
+		client.send(requestText("GET", "read", "a1", 0, ""))
+		if status, _, _ := client.readAnswer(); status != 200 {
 			t.Errorf("discovery %s: %d", name, status)
 		}
 	}
@@ -370,11 +430,11 @@
 
 // Whatever the limit, clients, those that linger, disk servers and what is set aside fit into it together.
 func TestBoundsFitTheDescriptors(t *testing.T) {
-	for sockets := leastSockets; sockets <= 4096; sockets++ {
-		b := boundsOf(&Config{Limits: Limits{Sockets: sockets, MemoryMB: 64}})
-		if b.clients+b.lingering+b.nodes+spareSockets > sockets || b.clients < 1 || b.nodes < 1 ||
+	for sockets := minSockets; sockets <= 4096; sockets++ {
+		b := limitsFor(&Config{Limits: Limits{Sockets: sockets, MemoryMB: 64}})
+		if b.clients+b.lingering+b.upstream+reservedSockets > sockets || b.clients < 1 || b.upstream < 1 ||
 			b.lingering < 2 {
-			t.Fatalf("%d descriptors: %+v and %d set aside", sockets, b, spareSockets)
+			t.Fatalf("%d descriptors: %+v and %d set aside", sockets, b, reservedSockets)
 		}
 	}
 }
@@ -382,22 +442,22 @@
 // An agent that is silent while discovery is down, to the calls of that time for good, and has a drain to
 // tell the moment discovery is back: it is known within the drain's grace.
 func TestPushedListsAfterAnOutage(t *testing.T) {
-	d := newDisk(t, func(int, *got) []byte { return ok("ok") })
+	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
 	back := make(chan struct{})
-	drains := listed("s-0", d, 0)
+	drains := listedServer("s-0", diskServer, 0)
 	drains.Lifecycle = "draining"
-	l := newRawLists(t, func(n int, _ string, w net.Conn, ended <-chan struct{}) {
+	discovery := newScriptedDiscovery(t, func(n int, _ string, connection net.Conn, ended <-chan struct{}) {
 		select {
 		case <-back:
-			io.WriteString(w, chunkedHead+chunk(doc(9, true, drains)+"\n"))
+			io.WriteString(connection, chunkedHead+chunk(listDocument(9, true, drains)+"\n"))
 		default:
 		}
 		<-ended
 	})
-	r := startAt(t, l.ln.Addr().String(), d, func(s string) string {
+	fixture := startGatewayAt(t, discovery.listener.Addr().String(), diskServer, func(s string) string {
 		return replaceOnce(t, s, `"registry_mode":"ask"`, `"registry_mode":"push"`)
 	})
-	eventually(t, "it has been asked for some time", func() bool { return l.calls() > 5 })
+	eventually(t, "it has been asked for some time", func() bool { return discovery.calls() > 5 })
 	close(back)
-	r.holds(9, time.Now().Add(r.s.cfg.Site.Settings.DrainGrace))
+	fixture.awaitListVersion(9, time.Now().Add(fixture.gateway.config.Site.Settings.DrainGrace))
 }
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -21,34 +21,42 @@
 func TestWrittenForms(t *testing.T) {
 	var out strings.Builder
 	core := daemon.NewEventLoop(daemon.EventLoopConfig{})
-	f := newFront(
+	frontend := newFrontend(
 		core,
 		&wire.Site{},
 		slog.New(slog.DiscardHandler),
-		bounds{clients: 1, lingering: 1, open: 1},
+		resourceLimits{clients: 1, lingering: 1, openRequests: 1},
 	)
 	// written is what a connection is sent by do.
-	written := func(what string, do func(c *clientConn)) {
+	written := func(what string, do func(connection *clientConn)) {
 		here, there := net.Pipe()
 		read := make(chan []byte)
 		go func() {
 			b, _ := io.ReadAll(there)
 			read <- b
 		}()
-		c := &clientConn{
-			conn: here,
-			rd:   http1.NewReader(here, http1.Limits{MaxHead: clientHead, MaxBody: maxBody}),
+		connection := &clientConn{
+			conn:   here,
+			reader: http1.NewReader(here, http1.Limits{MaxHead: maxClientHead, MaxBody: maxBody}),
 		}
-		do(c)
+		do(connection)
 		here.Close()
 		fmt.Fprintf(&out, "%s: %q\n", what, <-read)
 	}
-	written("health before the list is there", func(c *clientConn) { f.health(c, true) })
+	written(
+		"health before the list is there",
+		func(connection *clientConn) { frontend.answerHealth(connection, true) },
+	)
 	answer := func(a proto.Answer, last bool) {
 		what := fmt.Sprintf("answer %d %q after %v, last %t", a.Code, a.Reason, a.RetryAfter, last)
-		written(what, func(c *clientConn) {
-			e := &exchange{front: f, c: c, close: last, done: make(chan struct{})}
-			e.write(a, []byte("payload"))
+		written(what, func(connection *clientConn) {
+			request := &inFlightRequest{
+				frontend:    frontend,
+				client:      connection,
+				closeWanted: last,
+				answered:    make(chan struct{}),
+			}
+			request.writeAnswer(a, []byte("payload"))
 		})
 	}
 	answer(proto.Answer{Code: proto.OK}, false)
@@ -70,10 +78,13 @@
 		answer(proto.Answer{Code: proto.Failed, Reason: reason}, false)
 	}
 	core.Stop()
-	written("health while stopping", func(c *clientConn) { f.health(c, true) })
-	for _, name := range []string{fieldID, fieldClass, fieldPlan, fieldBudget, fieldExtent, fieldAgain,
+	written(
+		"health while stopping",
+		func(connection *clientConn) { frontend.answerHealth(connection, true) },
+	)
+	for _, name := range []string{fieldID, fieldClass, fieldPlan, fieldBudget, fieldExtent, fieldRetry,
 		fieldKey,
-		queryExtent, pathHealth, fieldMeter, fieldDelta, fieldTurned, pathServers} {
+		queryExtent, pathHealth, fieldMeter, fieldDelta, fieldRejected, pathServers} {
 		fmt.Fprintln(&out, name)
 	}
 	const path = "testdata/forms.txt"
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -17,21 +17,21 @@
 
 // peers is this scheduler's end of the datagrams between schedulers. They carry the module's words as they
 // are; the sender is told by its address.
-type peers struct {
-	cfg  *Config
-	conn *net.UDPConn
+type gossip struct {
+	config *Config
+	conn   *net.UDPConn
 }
 
-func newPeers(cfg *Config) (*peers, error) {
+func newGossip(cfg *Config) (*gossip, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(cfg.PeerListen))
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return &peers{cfg: cfg, conn: conn}, nil
+	return &gossip{config: cfg, conn: conn}, nil
 }
 
 // run hands messages on until ctx ends. What comes from nobody known is dropped.
-func (p *peers) run(ctx context.Context, core *daemon.EventLoop) {
+func (p *gossip) receive(ctx context.Context, core *daemon.EventLoop) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagram+1)
@@ -44,8 +44,8 @@
 			continue // an ICMP answer to something sent earlier
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		number := slices.Index(p.cfg.Peers, from)
-		if number < 0 || number == p.cfg.Site.Settings.InstanceIndex || n > maxDatagram {
+		number := slices.Index(p.config.Peers, from)
+		if number < 0 || number == p.config.Site.Settings.InstanceIndex || n > maxDatagram {
 			continue
 		}
 		core.ReceivePeerMessage(scheduler.PeerMessage{From: uint32(number), Body: slices.Clone(buf[:n])})
@@ -53,15 +53,15 @@
 }
 
 // Send sends to one scheduler or to all; what cannot be sent is lost, as any datagram may be.
-func (p *peers) Send(to uint32, body []byte) error {
-	at := p.cfg.BroadcastAddr
+func (p *gossip) Send(to uint32, body []byte) error {
+	at := p.config.BroadcastAddr
 	switch {
 	case len(body) > maxDatagram:
 		return fmt.Errorf("a message holds %d bytes at most", maxDatagram)
-	case to != scheduler.AllPeers && int64(to) >= int64(len(p.cfg.Peers)):
+	case to != scheduler.AllPeers && int64(to) >= int64(len(p.config.Peers)):
 		return fmt.Errorf("there is no scheduler %d", to)
 	case to != scheduler.AllPeers:
-		at = p.cfg.Peers[to]
+		at = p.config.Peers[to]
 	case !at.IsValid():
 		return errors.New("no address for all schedulers is known")
 	}
--- a/internal/platform/quiet.go
+++ b/internal/platform/quiet.go
@@ -8,7 +8,7 @@
 
 // quiet tells whether a connection is open and nothing has come on it that was not read. It takes nothing
 // off.
-func quiet(conn net.Conn) bool {
+func isOpenAndEmpty(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -27,7 +27,7 @@
 }
 
 // timedOut tells whether an error is that a deadline passed.
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var late net.Error
 	return errors.As(err, &late) && late.Timeout()
 }
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -38,69 +38,69 @@
 "rules":{"answer_slack_ns":8000000,"ask_within_ns":10000000000,"drain_grace_ns":1000000000},"zone":0}`
 
 // disk is a scripted disk server: script answers a request, or closes the connection by returning nil.
-type disk struct {
-	ln     net.Listener
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	got    []*got
-	script func(n int, g *got) []byte
-	conns  map[net.Conn]struct{}
+type fakeDiskServer struct {
+	listener    net.Listener
+	wg          sync.WaitGroup
+	mu          sync.Mutex
+	requests    []*receivedRequest
+	script      func(n int, g *receivedRequest) []byte
+	connections map[net.Conn]struct{}
 }
 
-type got struct {
-	req  *http1.Request
-	body []byte
-	conn int // which connection it came on
+type receivedRequest struct {
+	request    *http1.Request
+	body       []byte
+	connection int // which connection it came on
 }
 
-func newDisk(t *testing.T, script func(int, *got) []byte) *disk {
+func newFakeDiskServer(t *testing.T, script func(int, *receivedRequest) []byte) *fakeDiskServer {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &disk{ln: ln, script: script, conns: map[net.Conn]struct{}{}}
-	d.wg.Go(func() {
+	diskServer := &fakeDiskServer{listener: ln, script: script, connections: map[net.Conn]struct{}{}}
+	diskServer.wg.Go(func() {
 		for n := 0; ; n++ {
 			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			d.mu.Lock()
-			d.conns[conn] = struct{}{}
-			d.mu.Unlock()
-			d.wg.Go(func() { d.serve(conn, n) })
+			diskServer.mu.Lock()
+			diskServer.connections[conn] = struct{}{}
+			diskServer.mu.Unlock()
+			diskServer.wg.Go(func() { diskServer.serve(conn, n) })
 		}
 	})
 	t.Cleanup(func() {
 		ln.Close()
-		d.mu.Lock()
-		for c := range d.conns {
+		diskServer.mu.Lock()
+		for c := range diskServer.connections {
 			c.Close()
 		}
-		d.mu.Unlock()
-		d.wg.Wait()
+		diskServer.mu.Unlock()
+		diskServer.wg.Wait()
 	})
-	return d
+	return diskServer
 }
 
-func (d *disk) serve(conn net.Conn, n int) {
+func (diskServer *fakeDiskServer) serve(conn net.Conn, n int) {
 	defer conn.Close()
-	r := http1.NewReader(conn, http1.Limits{MaxHead: 8192, MaxBody: maxBody})
+	reader := http1.NewReader(conn, http1.Limits{MaxHead: 8192, MaxBody: maxBody})
 	for {
-		q, err := r.Request()
+		head, err := reader.Request()
 		if err != nil {
 			return
 		}
-		body, err := r.Body(q.Length)
+		body, err := reader.Body(head.Length)
 		if err != nil {
 			return
 		}
-		g := &got{q, body, n}
-		d.mu.Lock()
-		d.got = append(d.got, g)
-		at := len(d.got) - 1
-		d.mu.Unlock()
-		b := d.script(at, g)
+		request := &receivedRequest{head, body, n}
+		diskServer.mu.Lock()
+		diskServer.requests = append(diskServer.requests, request)
+		at := len(diskServer.requests) - 1
+		diskServer.mu.Unlock()
+		b := diskServer.script(at, request)
 		if b == nil {
 			return
 		}
@@ -110,37 +110,37 @@
 	}
 }
 
-func (d *disk) seen() []*got {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return append([]*got(nil), d.got...)
+func (diskServer *fakeDiskServer) received() []*receivedRequest {
+	diskServer.mu.Lock()
+	defer diskServer.mu.Unlock()
+	return append([]*receivedRequest(nil), diskServer.requests...)
 }
 
-func ok(body string) []byte { return http1.AppendResponse(nil, 200, "OK", nil, []byte(body)) }
+func okResponse(body string) []byte { return http1.AppendResponse(nil, 200, "OK", nil, []byte(body)) }
 
 // lists is a scripted discovery.
-type lists struct {
-	srv *httptest.Server
-	mu  sync.Mutex
-	cur List
-	to  map[chan string]struct{}
+type fakeDiscovery struct {
+	server   *httptest.Server
+	mu       sync.Mutex
+	current  List
+	watchers map[chan string]struct{}
 }
 
-func newLists(t *testing.T, l List) *lists {
-	s := &lists{cur: l, to: map[chan string]struct{}{}}
-	s.srv = httptest.NewServer(http.HandlerFunc(s.serve))
-	t.Cleanup(func() { s.srv.CloseClientConnections(); s.srv.Close() })
-	return s
+func newFakeDiscovery(t *testing.T, list List) *fakeDiscovery {
+	discovery := &fakeDiscovery{current: list, watchers: map[chan string]struct{}{}}
+	discovery.server = httptest.NewServer(http.HandlerFunc(discovery.serve))
+	t.Cleanup(func() { discovery.server.CloseClientConnections(); discovery.server.Close() })
+	return discovery
 }
 
-func (s *lists) serve(w http.ResponseWriter, r *http.Request) {
-	s.mu.Lock()
-	cur := s.cur
+func (discovery *fakeDiscovery) serve(w http.ResponseWriter, r *http.Request) {
+	discovery.mu.Lock()
+	cur := discovery.current
 	cur.Reset = true
 	ch := make(chan string, 16)
-	s.to[ch] = struct{}{}
-	s.mu.Unlock()
-	defer func() { s.mu.Lock(); delete(s.to, ch); s.mu.Unlock() }()
+	discovery.watchers[ch] = struct{}{}
+	discovery.mu.Unlock()
+	defer func() { discovery.mu.Lock(); delete(discovery.watchers, ch); discovery.mu.Unlock() }()
 	doc, _ := json.Marshal(cur)
 	w.Write(append(doc, '\n'))
 	if r.URL.Query().Get("stream") == "" {
@@ -161,35 +161,37 @@
 }
 
 // watching waits until as many watches stand.
-func (s *lists) watching(t *testing.T, n int) {
+func (discovery *fakeDiscovery) awaitWatches(t *testing.T, n int) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%d watches", n), func() bool {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return len(s.to) == n
+		discovery.mu.Lock()
+		defer discovery.mu.Unlock()
+		return len(discovery.watchers) == n
 	})
 }
 
-func (s *lists) change(e ...ListedServer) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.cur.Generation++
-	doc, _ := json.Marshal(List{Generation: s.cur.Generation, Instances: e})
-	for ch := range s.to {
+func (discovery *fakeDiscovery) push(servers ...ListedServer) {
+	discovery.mu.Lock()
+	defer discovery.mu.Unlock()
+	discovery.current.Generation++
+	doc, _ := json.Marshal(List{Generation: discovery.current.Generation, Instances: servers})
+	for ch := range discovery.watchers {
 		ch <- string(doc)
 	}
 }
 
-func (s *lists) addr() string { return strings.TrimPrefix(s.srv.URL, "http://") }
+func (discovery *fakeDiscovery) address() string {
+	return strings.TrimPrefix(discovery.server.URL, "http://")
+}
 
 // rig is a scheduler with one disk server a shard.
-type rig struct {
-	t    *testing.T
-	s    *Gateway
-	addr string
-	list *lists
-	done chan error
-	log  *safeBuffer
+type gatewayFixture struct {
+	t         *testing.T
+	gateway   *Gateway
+	address   string
+	discovery *fakeDiscovery
+	done      chan error
+	logBuffer *safeBuffer
 }
 
 type safeBuffer struct {
@@ -197,24 +199,31 @@
 	b  bytes.Buffer
 }
 
-func (b *safeBuffer) Write(p []byte) (int, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.b.Write(p)
+func (buffer *safeBuffer) Write(p []byte) (int, error) {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return buffer.b.Write(p)
 }
 
-func (b *safeBuffer) String() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.b.String()
+func (buffer *safeBuffer) String() string {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return buffer.b.String()
 }
 
-func listed(id string, d *disk, cell int) ListedServer {
-	return ListedServer{ID: id, HostPort: d.ln.Addr().String(), Zone: "a", MachineType: "m", Cell: cell,
-		Lifecycle: "ready", Weight: 1}
+func listedServer(id string, diskServer *fakeDiskServer, cell int) ListedServer {
+	return ListedServer{
+		ID:          id,
+		HostPort:    diskServer.listener.Addr().String(),
+		Zone:        "a",
+		MachineType: "m",
+		Cell:        cell,
+		Lifecycle:   "ready",
+		Weight:      1,
+	}
 }
 
-func configDoc(discovery string, known *List, sockets int) []byte {
+func configDocument(discovery string, known *List, sockets int) []byte {
 	doc, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery,
 		"seed":   "1f",
 		"limits": Limits{Cores: 1, MemoryMB: 64, Sockets: sockets}, "known": known,
@@ -225,29 +234,29 @@
 	return doc
 }
 
-func noEnv(string) string { return "" }
+func noEnvironment(string) string { return "" }
 
-func start(t *testing.T, sockets int, disks ...*disk) *rig {
-	var l List
-	l.Generation, l.Reset = 7, true
-	for i, d := range disks {
-		l.Instances = append(l.Instances, listed(fmt.Sprintf("s-%d", i), d, i))
+func startGateway(t *testing.T, sockets int, disks ...*fakeDiskServer) *gatewayFixture {
+	var list List
+	list.Generation, list.Reset = 7, true
+	for i, diskServer := range disks {
+		list.Instances = append(list.Instances, listedServer(fmt.Sprintf("s-%d", i), diskServer, i))
 	}
-	list := newLists(t, l)
-	r := launch(t, configDoc(list.addr(), &l, sockets))
-	r.list = list
-	<-r.s.core.Ready()
-	return r
+	discovery := newFakeDiscovery(t, list)
+	fixture := runGateway(t, configDocument(discovery.address(), &list, sockets))
+	fixture.discovery = discovery
+	<-fixture.gateway.loop.Ready()
+	return fixture
 }
 
 // launch runs a scheduler with a configuration until the test ends; its log is shown if that fails.
-func launch(t *testing.T, config []byte) *rig {
-	cfg, err := parse(config, noEnv)
+func runGateway(t *testing.T, config []byte) *gatewayFixture {
+	cfg, err := parseConfig(config, noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, done: make(chan error, 1), log: &safeBuffer{}}
-	if r.s, err = New(cfg, slog.New(slog.NewTextHandler(r.log,
+	fixture := &gatewayFixture{t: t, done: make(chan error, 1), logBuffer: &safeBuffer{}}
+	if fixture.gateway, err = New(cfg, slog.New(slog.NewTextHandler(fixture.logBuffer,
 		&slog.HandlerOptions{Level: slog.LevelDebug}))); err != nil {
 		t.Fatal(err)
 	}
@@ -255,82 +264,82 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		r.done <- r.s.Run(ctx)
+		fixture.done <- fixture.gateway.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-ended
 		if t.Failed() {
-			fmt.Fprintln(os.Stderr, r.log.String())
+			fmt.Fprintln(os.Stderr, fixture.logBuffer.String())
 		}
 	})
-	r.addr = (<-r.s.started).String()
-	return r
+	fixture.address = (<-fixture.gateway.started).String()
+	return fixture
 }
 
 func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for by := time.Now().Add(5 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(by) {
+	for deadline := time.Now().Add(5 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("not within 5 s: %s", what)
 		}
 	}
 }
 
 // caller is a client's connection.
-type caller struct {
-	t    *testing.T
-	conn net.Conn
-	br   *bufio.Reader
+type testClient struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-func (r *rig) dial() *caller {
-	r.t.Helper()
-	conn, err := net.Dial("tcp4", r.addr)
+func (fixture *gatewayFixture) dial() *testClient {
+	fixture.t.Helper()
+	conn, err := net.Dial("tcp4", fixture.address)
 	if err != nil {
-		r.t.Fatal(err)
+		fixture.t.Fatal(err)
 	}
-	return newCaller(r.t, conn)
+	return newTestClient(fixture.t, conn)
 }
 
-func newCaller(t *testing.T, conn net.Conn) *caller {
+func newTestClient(t *testing.T, conn net.Conn) *testClient {
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	return &caller{t, conn, bufio.NewReader(conn)}
+	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-func (c *caller) send(text string) {
-	c.t.Helper()
-	if _, err := io.WriteString(c.conn, text); err != nil {
-		c.t.Fatal(err)
+func (client *testClient) send(text string) {
+	client.t.Helper()
+	if _, err := io.WriteString(client.conn, text); err != nil {
+		client.t.Fatal(err)
 	}
 }
 
 // answer reads one answer with the standard library's reader, which is not ours.
-func (c *caller) answer() (int, http.Header, string) {
-	c.t.Helper()
-	p, err := http.ReadResponse(c.br, nil)
+func (client *testClient) readAnswer() (int, http.Header, string) {
+	client.t.Helper()
+	response, err := http.ReadResponse(client.reader, nil)
 	if err != nil {
-		c.t.Fatal(err)
+		client.t.Fatal(err)
 	}
-	defer p.Body.Close()
-	body, err := io.ReadAll(p.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		c.t.Fatal(err)
+		client.t.Fatal(err)
 	}
-	if p.Close { // the reader takes the field away
-		p.Header.Set("Connection", "close")
+	if response.Close { // the reader takes the field away
+		response.Header.Set("Connection", "close")
 	}
-	return p.StatusCode, p.Header, string(body)
+	return response.StatusCode, response.Header, string(body)
 }
 
-func (c *caller) ended() bool {
-	_, err := c.br.ReadByte()
+func (client *testClient) isClosed() bool {
+	_, err := client.reader.ReadByte()
 	return err != nil
 }
 
 // ask is a request as clients send it; more are further header lines.
-func ask(method, class, id string, shard int, body string, more ...string) string {
+func requestText(method, class, id string, shard int, body string, more ...string) string {
 	b := method + " /api?extent=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: " + id +
 		"\r\nX-Call-Class: " + class + "\r\nX-Storage-Class: gold\r\nX-Budget: 1.500\r\n" +
 		fmt.Sprintf("X-Extent: volume=00000003b4d60021,units=2,shard=%d,hosts=1\r\n", shard)
