--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,177 +1,109 @@
-// Package platform runs the scheduler as the platform's machines want it: its configuration, HTTP/1.1 from
-// clients and to disk servers, its discovery, datagrams between schedulers, and signals. It is one more
-// way in and out of the loop in package sched and decides nothing: health, retries, shares, order, drains
-// and every time-out but those of connections are the module's.
 package platform
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"net/netip"
 	"os"
-	"strconv"
 
 	"landingpaddle/internal/wire"
 )
 
-// Limits are what the scheduler's machine has.
+// Limits are the resources of the scheduler's machine. Zero means that the configuration does not state one.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	MemoryMB int     `json:"memory_mb"` // in MiB
+	Sockets  int     `json:"sockets"`   // file descriptors that the process may have open
 }
 
-// Config is one scheduler's configuration, read and checked.
+// Config is the checked configuration of one scheduler. It is not changed once [Load] has returned it.
 type Config struct {
 	Name          string
 	Listen        netip.AddrPort
-	Discovery     string // host:port
+	Discovery     string // host:port of the discovery service
 	Seed          uint64
 	Limits        Limits
-	PeerListen    netip.AddrPort   // where datagrams come to; the zero value: none do
-	Peers         []netip.AddrPort // by number
-	BroadcastAddr netip.AddrPort
-	InitialList   *List // nil: none was told
-	// what the machine's agent has of the list counts as told from a process's first moment
+	PeerListen    netip.AddrPort   // where datagrams are received; the zero value: no datagrams are exchanged
+	Peers         []netip.AddrPort // datagram addresses of all schedulers, by instance index
+	BroadcastAddr netip.AddrPort   // reaches all schedulers; the zero value: there is no such address
+	InitialList   *List            // nil: the configuration holds none
+	// PushedList reports that the endpoint list comes from an agent on the machine. What the agent knows
+	// counts as notified from the process's first moment on.
 	PushedList bool
 	Site       wire.Site
 }
 
-// What is assumed where the configuration does not tell.
+// LookupEnv returns the value of an environment variable, or "" if it is not set.
+type LookupEnv func(name string) string
+
+// Environment variables that the platform sets.
 const (
-	defaultMemoryMB = 64
-	defaultSockets  = 256
-	minSockets      = 32
+	envConfig    = "BALANCER_CONFIG"
+	envName      = "BALANCER_NAME"
+	envListen    = "BALANCER_LISTEN"
+	envDiscovery = "BALANCER_DISCOVERY"
 )
 
-// file is the configuration as it stands in its file. Keys that are not here are ignored.
-type configFile struct {
-	Name       string          `json:"name"`
-	Listen     string          `json:"listen"`
-	Discovery  string          `json:"discovery"`
-	Seed       string          `json:"seed"`
-	Limits     Limits          `json:"limits"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	PeersAll   string          `json:"peers_all"`
-	Known      *List           `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
-}
+// Keys of the configuration file that errors name.
+const (
+	configKeyName       = "name"
+	configKeyListen     = "listen"
+	configKeyDiscovery  = "discovery"
+	configKeySeed       = "seed"
+	configKeyLimits     = "limits"
+	configKeySockets    = "limits.sockets"
+	configKeySettings   = "settings"
+	configKeyKnown      = "known"
+	configKeyPeerListen = "peer_listen"
+	configKeyPeers      = "peers"
+	configKeyPeersAll   = "peers_all"
+)
 
-// Environment gives the variables that the platform sets.
-type LookupEnv func(name string) string
+var (
+	errConfigNotSet  = errors.New(envConfig + " is not set")
+	errKeyMissing    = errors.New("a value is required")
+	errNegativeLimit = errors.New("a limit is negative")
+)
 
-// Load reads the configuration that BALANCER_CONFIG names. BALANCER_NAME, BALANCER_LISTEN and
-// BALANCER_DISCOVERY stand in for what the file leaves out and may not contradict it.
-func Load(env LookupEnv) (*Config, error) {
-	path := env("BALANCER_CONFIG")
-	if path == "" {
-		return nil, errors.New("BALANCER_CONFIG is not set")
-	}
-	doc, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
-	}
-	c, err := parseConfig(doc, env)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	return c, nil
+// ConfigError is a configuration value that cannot be used. Its text is one line.
+type ConfigError struct {
+	Key   string  // path of the value in the configuration file
+	Value *string // the value as it stands there; nil: the fault is not in one value
+	Err   error   // what is wrong with it
 }
 
-func parseConfig(doc []byte, env LookupEnv) (*Config, error) {
-	var f configFile
-	if err := json.Unmarshal(doc, &f); err != nil {
-		return nil, err
-	}
-	c := &Config{Limits: f.Limits}
-	var err error
-	for _, v := range []struct {
-		key, name string
-		to        *string
-	}{{"name", "BALANCER_NAME", &f.Name}, {"listen", "BALANCER_LISTEN", &f.Listen},
-		{"discovery", "BALANCER_DISCOVERY", &f.Discovery}} {
-		told := env(v.name)
-		switch {
-		case *v.to == "":
-			*v.to = told
-		case told != "" && told != *v.to && v.key != "discovery": // a new file may name another discovery
-			return nil, fmt.Errorf("key %q is %q, but %s is %q", v.key, *v.to, v.name, told)
-		}
-	}
-	c.Name = f.Name
-	if c.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
-		return nil, fmt.Errorf("key %q is %q: %w", "listen", f.Listen, err)
+// Error names the key, the value and what is wrong with it.
+func (e *ConfigError) Error() string {
+	if e.Value == nil {
+		return fmt.Sprintf("key %q: %v", e.Key, e.Err)
 	}
-	if _, _, err := net.SplitHostPort(f.Discovery); err != nil {
-		return nil, fmt.Errorf("key %q is %q: %w", "discovery", f.Discovery, err)
-	}
-	c.Discovery = f.Discovery
-	if f.Seed != "" {
-		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("key %q is %q: %w", "seed", f.Seed, err)
-		}
-	}
-	if err := c.applyLimitDefaults(); err != nil {
-		return nil, err
-	}
-	if len(f.Settings) == 0 {
-		return nil, fmt.Errorf("key %q is missing", "settings")
-	}
-	if c.Site, err = wire.ParseNested(f.Settings); err != nil {
-		return nil, err
-	}
-	c.InitialList = f.Known
-	// A pushed list comes from the machine's agent on a watch that has to be kept open like any other: the
-	// module is to ask for it.
-	if c.PushedList = !c.Site.Settings.PollEndpoints; c.PushedList {
-		set := &c.Site.Settings
-		set.PollEndpoints, set.PollTimeout, set.PushGrace = true, 0, set.DrainGrace
-	}
-	return c, c.parsePeers(f)
+	return fmt.Sprintf("key %q is %q: %v", e.Key, *e.Value, e.Err)
 }
 
-// limits checks what the machine is said to have; what is not said is taken to be little.
-func (c *Config) applyLimitDefaults() error {
-	l := &c.Limits
-	switch {
-	case l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0:
-		return fmt.Errorf("key %q: a limit is negative", "limits")
-	case l.Sockets > 0 && l.Sockets < minSockets:
-		return fmt.Errorf("key %q: %d sockets are too few, %d are needed", "limits.sockets", l.Sockets,
-			minSockets)
-	}
-	if l.MemoryMB == 0 {
-		l.MemoryMB = defaultMemoryMB
-	}
-	if l.Sockets == 0 {
-		l.Sockets = defaultSockets
-	}
-	return nil
+// Unwrap returns what is wrong with the value.
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+func keyError(key string, err error) error { return &ConfigError{Key: key, Err: err} }
+
+func valueError(key, value string, err error) error {
+	return &ConfigError{Key: key, Value: &value, Err: err}
 }
 
-func (c *Config) parsePeers(f configFile) error {
-	if !c.Site.Settings.PeerMessages || f.PeerListen == "" {
-		c.Site.Settings.PeerMessages = false
-		return nil
-	}
-	var err error
-	if c.PeerListen, err = netip.ParseAddrPort(f.PeerListen); err != nil {
-		return fmt.Errorf("key %q is %q: %w", "peer_listen", f.PeerListen, err)
+// Load reads and checks the configuration file that BALANCER_CONFIG names. BALANCER_NAME, BALANCER_LISTEN
+// and BALANCER_DISCOVERY supply what the file leaves out; the first two may not contradict it. Errors name
+// the file, and where it can be told the key, as a [*ConfigError].
+func Load(lookup LookupEnv) (*Config, error) {
+	path := lookup(envConfig)
+	if path == "" {
+		return nil, errConfigNotSet
 	}
-	for i, text := range f.Peers {
-		at, err := netip.ParseAddrPort(text)
-		if err != nil {
-			return fmt.Errorf("key %q, item %d is %q: %w", "peers", i, text, err)
-		}
-		c.Peers = append(c.Peers, at)
+	document, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", envConfig, err)
 	}
-	if f.PeersAll != "" {
-		if c.BroadcastAddr, err = netip.ParseAddrPort(f.PeersAll); err != nil {
-			return fmt.Errorf("key %q is %q: %w", "peers_all", f.PeersAll, err)
-		}
+	config, err := parseConfig(document, lookup)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return nil
+	return config, nil
 }
--- a/internal/platform/crossings_clients_test.go
+++ b/internal/platform/crossings_clients_test.go
@@ -76,8 +76,7 @@
 			})
 			released <- struct{}{}
 			eventually(t, "its connection is closed", func() bool {
-				silent, saying, idle, work := fixture.gateway.frontend.countByState()
-				return silent+saying+idle+work == 0
+				return fixture.gateway.frontend.countByState() == connectionCounts{}
 			})
 			if n := len(diskServer.received()); n != 1 {
 				t.Errorf("%d sends; those behind must not begin", n)
@@ -277,8 +276,8 @@
 	text := requestText("GET", "read", "a2", 0, "")
 	half.send(text[:40])
 	eventually(t, "half of it is there", func() bool {
-		_, saying, idle, _ := fixture.gateway.frontend.countByState()
-		return saying == 1 && idle == 1
+		counts := fixture.gateway.frontend.countByState()
+		return counts.reading == 1 && counts.idle == 1
 	})
 	fixture.stopAcceptingRequests()
 	resting.expectGracefulClose()
--- /dev/null
+++ b/internal/platform/discovery_call.go
@@ -0,0 +1,72 @@
+package platform
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+)
+
+// callResponse is the answer to a call. Reading it fails with errDiscoverySilent once nothing has come for
+// silenceTimeout, and with errListTooLong when one message of it is too long. It has one reader, which closes
+// it.
+type callResponse struct {
+	ctx            context.Context
+	cancel         func()
+	response       *http.Response
+	silenceTimeout time.Duration
+	silenceTimer   *time.Timer
+	bytesLeft      int // that the present message may still have
+}
+
+// call begins a call. Its answer must begin within callTimeout; after that at most silenceTimeout may pass
+// without a byte.
+func (d *discovery) call(ctx context.Context, url string,
+	silenceTimeout time.Duration) (*callResponse, error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	c := &callResponse{ctx: ctx, silenceTimeout: silenceTimeout, cancel: func() { cancel(nil) }}
+	c.silenceTimer = time.AfterFunc(callTimeout, func() { cancel(errDiscoverySilent) })
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err == nil {
+		c.response, err = d.client.Do(request)
+	}
+	if err != nil {
+		err = c.cause(err)
+		c.close()
+		return nil, err
+	}
+	c.silenceTimer.Reset(silenceTimeout)
+	if c.response.StatusCode != http.StatusOK {
+		c.close()
+		return nil, fmt.Errorf("%w: %s", errUnexpectedStatus, c.response.Status)
+	}
+	return c, nil
+}
+
+// Read reads a part of the answer.
+func (c *callResponse) Read(buffer []byte) (int, error) {
+	n, err := c.response.Body.Read(buffer)
+	if n > 0 {
+		c.silenceTimer.Reset(c.silenceTimeout)
+		if c.bytesLeft -= n; c.bytesLeft < 0 {
+			return 0, errListTooLong
+		}
+	}
+	return n, c.cause(err)
+}
+
+// cause is why a call really failed, where this side gave it up.
+func (c *callResponse) cause(err error) error {
+	if cause := context.Cause(c.ctx); err != nil && cause != nil {
+		return cause
+	}
+	return err
+}
+
+func (c *callResponse) close() {
+	c.silenceTimer.Stop()
+	if c.response != nil {
+		c.response.Body.Close()
+	}
+	c.cancel()
+}
--- /dev/null
+++ b/internal/platform/gateway.go
@@ -0,0 +1,176 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"sync"
+	"time"
+
+	"landingpaddle/endpoints"
+	"landingpaddle/internal/daemon"
+)
+
+const (
+	// answerSlackMargin is the part of what the platform grants beyond every time limit that stays unused, as
+	// sockets and processors may be late.
+	answerSlackMargin = 30 * time.Millisecond
+	// responseMargin of a client's wait is kept for the way of the answer.
+	responseMargin = 5 * time.Millisecond
+)
+
+// Gateway is one scheduler on the platform. [New] prepares it and [Gateway.Run] runs it, once. Shutdown and
+// Reload may be called from any goroutine.
+type Gateway struct {
+	config    *Config
+	log       *slog.Logger
+	loop      *daemon.EventLoop
+	addresses *addressTable
+	limits    resourceLimits
+	frontend  *frontend
+	upstream  *upstreamPool // set by Run
+	started   chan net.Addr // receives the listener's address
+
+	mu               sync.Mutex
+	discovery        *discovery // nil: Run has not been called yet
+	discoveryAddress string
+
+	shutdown     chan struct{} // closed when a graceful shutdown is wanted
+	shutdownOnce sync.Once
+	shutdownAt   time.Time // set before shutdown is closed
+}
+
+// New prepares a scheduler. Its error is a [*ConfigError] for the endpoint list in the configuration.
+func New(config *Config, log *slog.Logger) (*Gateway, error) {
+	g := &Gateway{
+		config:           config,
+		log:              log.With(attrName, config.Name),
+		addresses:        newAddressTable(),
+		limits:           limitsFor(config),
+		started:          make(chan net.Addr, 1),
+		discoveryAddress: config.Discovery,
+		shutdown:         make(chan struct{}),
+	}
+	initial, err := g.initialList()
+	if err != nil {
+		return nil, keyError(configKeyKnown, err)
+	}
+	site := &config.Site
+	g.loop = daemon.NewEventLoop(daemon.EventLoopConfig{
+		Seed:             config.Seed,
+		Settings:         site.Settings,
+		BatchInterval:    site.Settings.BatchInterval,
+		ResponseMargin:   responseMargin,
+		AnswerSlack:      site.AnswerSlack + answerSlackMargin,
+		InitialList:      initial,
+		TrustInitialList: config.InitialList != nil,
+		NodeName:         g.addresses.nodeName,
+		ShutdownTimeout:  shutdownScheduleFor(&site.Settings).answerTime(),
+		Log:              g.log,
+	})
+	g.frontend = newFrontend(g.loop, site, g.log, g.limits)
+	return g, nil
+}
+
+// initialList is the endpoint list of the configuration, or an empty one.
+func (g *Gateway) initialList() (endpoints.Snapshot, error) {
+	var list List
+	if g.config.InitialList != nil {
+		list = *g.config.InitialList
+	}
+	list.Reset = true
+	update, err := g.addresses.applyList(list, 0, &g.config.Site)
+	if err != nil {
+		return endpoints.Snapshot{}, err
+	}
+	return endpoints.Snapshot{Version: update.Version, Endpoints: update.Endpoints}, nil
+}
+
+// Run serves until a graceful shutdown is complete or ctx ends; both return nil. All goroutines that it
+// started have ended when it returns. A listening address that cannot be used is a [*ConfigError].
+func (g *Gateway) Run(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	listener, err := net.Listen("tcp4", g.config.Listen.String())
+	if err != nil {
+		return keyError(configKeyListen, err)
+	}
+	defer listener.Close()
+	g.started <- listener.Addr()
+	var workers sync.WaitGroup
+	drivers, err := g.startDrivers(ctx, &workers)
+	if err != nil {
+		return err
+	}
+	workers.Go(func() { g.frontend.sweepIdle(ctx) })
+	workers.Go(func() { g.upstream.sweepIdle(ctx) })
+	workers.Go(func() { g.logStatus(ctx) })
+	workers.Go(func() { g.runShutdown(ctx, listener) })
+	workers.Go(func() { g.serveClients(ctx, listener) })
+	g.log.Info(messageStarted, attrListen, listener.Addr().String(), attrDiscovery, g.config.Discovery,
+		attrMaxClients, g.limits.clients, attrMaxUpstream, g.limits.upstream,
+		attrMemoryLimit, g.limits.memoryBytes)
+	err = g.loop.Run(ctx, drivers)
+	if err == nil {
+		g.frontend.waitUntilClosed(g.exitDeadline())
+	}
+	cancel()
+	listener.Close()
+	g.frontend.closeAll()
+	workers.Wait()
+	g.discovery.wait()
+	g.log.Info(messageStopped, attrCounters, &g.loop.Stats)
+	if errors.Is(err, context.Canceled) {
+		return nil
+	}
+	return err
+}
+
+// startDrivers makes what carries the loop's actions out: discovery, the upstream pool and, where the
+// configuration has an address for it, gossip.
+func (g *Gateway) startDrivers(ctx context.Context, workers *sync.WaitGroup) (daemon.Drivers, error) {
+	g.mu.Lock()
+	g.discovery = newDiscovery(ctx, g.loop, &g.config.Site, g.discoveryAddress, g.addresses)
+	g.mu.Unlock()
+	g.upstream = newUpstreamPool(ctx, g.loop, g.config, g.addresses, g.log, g.limits.upstream)
+	drivers := daemon.Drivers{Upstream: g.upstream, Endpoints: g.discovery}
+	if g.config.PeerListen.IsValid() {
+		gossip, err := newGossip(g.config)
+		if err != nil {
+			return drivers, err
+		}
+		drivers.Peers = gossip
+		workers.Go(func() { gossip.receive(ctx, g.loop) })
+	}
+	return drivers, nil
+}
+
+// serveClients accepts clients. Where lists are pushed it first waits for a list or for the news that none
+// can be had now; an agent that is there and has nothing new says nothing, so the wait is bounded.
+func (g *Gateway) serveClients(ctx context.Context, listener net.Listener) {
+	if g.config.PushedList {
+		select {
+		case <-ctx.Done():
+		case <-g.discovery.firstOutcome:
+		case <-time.After(callTimeout):
+		}
+		select {
+		case <-ctx.Done():
+		case <-g.loop.Ready():
+		}
+	}
+	g.frontend.serve(listener)
+}
+
+// Reload takes over from a new configuration what may change while the scheduler runs: the address of the
+// discovery service. Everything else in it is ignored.
+func (g *Gateway) Reload(config *Config) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.discoveryAddress = config.Discovery
+	if g.discovery != nil {
+		g.discovery.MoveTo(config.Discovery)
+	}
+	g.log.Info(messageReloaded, attrDiscovery, config.Discovery)
+}
--- /dev/null
+++ b/internal/platform/gossip.go
@@ -0,0 +1,95 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"slices"
+
+	"landingpaddle/internal/daemon"
+	"landingpaddle/scheduler"
+)
+
+// maxDatagram bounds a datagram between schedulers, in bytes, by the protocol.
+const maxDatagram = 256
+
+var (
+	errNoBroadcastAddress = errors.New("no address for all schedulers is known")
+	errDatagramTooLong    = errors.New("the message is too long for a datagram")
+	errUnknownPeer        = errors.New("there is no such scheduler")
+)
+
+// gossip exchanges datagrams with the other schedulers. A datagram is the body of one of the scheduler's
+// messages; its sender is known by its address.
+type gossip struct {
+	config *Config
+	conn   *net.UDPConn
+}
+
+// newGossip listens for datagrams. Its error is a *ConfigError for the listening address.
+func newGossip(config *Config) (*gossip, error) {
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(config.PeerListen))
+	if err != nil {
+		return nil, keyError(configKeyPeerListen, err)
+	}
+	return &gossip{config: config, conn: conn}, nil
+}
+
+// receive hands datagrams to the loop until ctx ends, and then closes the socket. A datagram from an unknown
+// sender is dropped, and so is one that is too long.
+func (g *gossip) receive(ctx context.Context, loop *daemon.EventLoop) {
+	stop := context.AfterFunc(ctx, func() { g.conn.Close() })
+	defer stop()
+	buffer := make([]byte, maxDatagram+1)
+	for {
+		length, sender, err := g.conn.ReadFromUDPAddrPort(buffer)
+		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue // an ICMP answer to a datagram sent earlier
+		}
+		index, known := g.peerAt(sender)
+		if !known || length > maxDatagram {
+			continue
+		}
+		loop.ReceivePeerMessage(scheduler.PeerMessage{From: index, Body: slices.Clone(buffer[:length])})
+	}
+}
+
+// peerAt is the index of the scheduler with an address; this scheduler itself is not known.
+func (g *gossip) peerAt(address netip.AddrPort) (index uint32, known bool) {
+	address = netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
+	at := slices.Index(g.config.Peers, address)
+	if at < 0 || at == g.config.Site.Settings.InstanceIndex {
+		return 0, false
+	}
+	return uint32(at), true
+}
+
+// Send sends a message to one scheduler or to all. Like any datagram it may be lost without an error.
+func (g *gossip) Send(to uint32, body []byte) error {
+	if len(body) > maxDatagram {
+		return fmt.Errorf("%w: %d bytes, %d are allowed", errDatagramTooLong, len(body), maxDatagram)
+	}
+	address, err := g.addressOf(to)
+	if err != nil {
+		return err
+	}
+	_, err = g.conn.WriteToUDPAddrPort(body, address)
+	return err
+}
+
+func (g *gossip) addressOf(index uint32) (netip.AddrPort, error) {
+	switch {
+	case index == scheduler.AllPeers && !g.config.BroadcastAddr.IsValid():
+		return netip.AddrPort{}, errNoBroadcastAddress
+	case index == scheduler.AllPeers:
+		return g.config.BroadcastAddr, nil
+	case int64(index) >= int64(len(g.config.Peers)):
+		return netip.AddrPort{}, fmt.Errorf("%w: %d", errUnknownPeer, index)
+	}
+	return g.config.Peers[index], nil
+}
--- /dev/null
+++ b/internal/platform/limits.go
@@ -0,0 +1,67 @@
+package platform
+
+import (
+	"math"
+	"runtime"
+	"runtime/debug"
+)
+
+// resourceLimits divides the machine's limits among their uses.
+type resourceLimits struct {
+	clients      int   // open client connections
+	lingering    int   // client connections that are closing, besides the open ones
+	keptIdle     int   // client connections that may idle for maxIdleTime
+	upstream     int   // connections to disk servers
+	openRequests int   // requests in flight
+	bodyBytes    int64 // of request bodies in flight
+	memoryBytes  int64 // that the Go runtime aims to stay under
+}
+
+const (
+	// reservedSockets are set aside for discovery, datagrams, the listener, logs and the runtime, and for
+	// accepted connections that are closed at once.
+	reservedSockets = 24
+	// clientSocketsPercent of the sockets that are not reserved are for clients.
+	clientSocketsPercent = 60
+	// lingeringDivisor: one in so many of the clients' connections may be closing.
+	lingeringDivisor = 16
+	minLingering     = 2
+	// keptIdleDivisor: connections that idle may take this part of all sockets. Clients hold a third of the
+	// descriptors at most, and a connection that one of them keeps for good is missing to the next request.
+	keptIdleDivisor = 4
+	// bodyMemoryDivisor: request bodies may take this part of the memory.
+	bodyMemoryDivisor = 8
+	// The runtime's memory limit is this share of the machine's memory.
+	memoryLimitNumerator, memoryLimitDenominator = 6, 10
+)
+
+// limitsFor divides the machine. Clients get more connections than they usually need, as some of them hold
+// theirs without using it.
+func limitsFor(config *Config) resourceLimits {
+	available := config.Limits.Sockets - reservedSockets
+	memory := int64(config.Limits.MemoryMB) << 20
+	clients := available * clientSocketsPercent / 100
+	lingering := max(minLingering, clients/lingeringDivisor)
+	limits := resourceLimits{
+		clients:      clients - lingering,
+		lingering:    lingering,
+		keptIdle:     config.Limits.Sockets / keptIdleDivisor,
+		upstream:     available - clients,
+		openRequests: clients - lingering,
+		bodyBytes:    memory / bodyMemoryDivisor,
+		memoryBytes:  memory * memoryLimitNumerator / memoryLimitDenominator,
+	}
+	if most := config.Site.MaxOpenRequests; most > 0 {
+		limits.openRequests = min(limits.openRequests, most)
+	}
+	return limits
+}
+
+// ApplyRuntimeLimits sets the Go runtime's number of processors and its soft memory limit from the machine's
+// limits in the configuration. It changes the whole process.
+func ApplyRuntimeLimits(config *Config) {
+	if cores := config.Limits.Cores; cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(math.Ceil(cores))))
+	}
+	debug.SetMemoryLimit(limitsFor(config).memoryBytes)
+}
--- /dev/null
+++ b/internal/platform/linger.go
@@ -0,0 +1,76 @@
+package platform
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"time"
+
+	"landingpaddle/internal/http1"
+)
+
+const (
+	// What still comes after the last answer is read off, so that the answer arrives: so many bytes and so
+	// long at most, or what is there already if too many connections linger.
+	maxLingerBytes       = 1 << 20
+	lingerTimeout        = 300 * time.Millisecond
+	crowdedLingerTimeout = time.Millisecond
+)
+
+// linger ends a client's connection. It is the one way to do so while the client may still be there: a
+// close over bytes that were not read resets the connection, and the answer written last goes with it. So
+// the sending side is shut down first, and what still comes is read off, within bounds, and never taken for
+// a request.
+func (f *frontend) linger(client *clientConn) {
+	f.mu.Lock()
+	f.moveToLingering(client)
+	f.mu.Unlock()
+	isCrowded := f.isLingeringFull()
+	tcp, ok := client.conn.(*net.TCPConn)
+	if !ok || tcp.CloseWrite() != nil {
+		return
+	}
+	timeout := lingerTimeout
+	if isCrowded {
+		timeout = crowdedLingerTimeout
+	}
+	client.conn.SetReadDeadline(time.Now().Add(timeout))
+	client.reader.Discard(maxLingerBytes)
+}
+
+// moveToLingering moves a connection from the open to the lingering ones. The caller holds f.mu.
+func (f *frontend) moveToLingering(client *clientConn) {
+	if _, open := f.connections[client]; open {
+		delete(f.connections, client)
+		client.isLingering = true
+		f.lingering++
+	}
+}
+
+func (f *frontend) lingeringCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.lingering
+}
+
+// isLingeringFull reports whether as many connections linger as may.
+func (f *frontend) isLingeringFull() bool { return f.lingeringCount() >= f.limits.lingering }
+
+// refuse answers a request that cannot be accepted with its error and ends the connection. A client that has
+// gone gets no answer.
+func (f *frontend) refuse(client *clientConn, cause error) {
+	var invalid *http1.Error
+	switch {
+	case errors.As(cause, &invalid):
+	case isTimeout(cause):
+		invalid = &http1.Error{Status: http.StatusRequestTimeout, Reason: "the request did not come in time"}
+	default:
+		return
+	}
+	f.counters.invalid.Add(1)
+	f.log.Debug(messageInvalidRequest, attrStatus, invalid.Status, attrReason, invalid.Reason)
+	body := []byte(invalid.Reason + "\n")
+	if client.writeResponse(invalid.Status, withConnectionClose(nil, true), body) == nil {
+		f.linger(client)
+	}
+}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -251,7 +251,7 @@
 		func(int, *receivedRequest) []byte { time.Sleep(20 * time.Millisecond); return okResponse("ok") },
 	)
 	fixture := startGateway(t, 256, diskServer)
-	last, end := shutdownScheduleFor(&fixture.gateway.config.Site.Settings)
+	schedule := shutdownScheduleFor(&fixture.gateway.config.Site.Settings)
 	client := fixture.dial()
 	began := time.Now()
 	fixture.gateway.Shutdown()
@@ -265,7 +265,7 @@
 		if err != nil {
 			break // it was closed between requests
 		}
-		if string(head) == "HTTP/1.1 503" && time.Since(began) >= last {
+		if string(head) == "HTTP/1.1 503" && time.Since(began) >= schedule.acceptFor {
 			break // it came as the scheduler had just stopped taking
 		}
 		if string(head) != "HTTP/1.1 200" {
@@ -277,11 +277,12 @@
 			break
 		}
 	}
-	if d := time.Since(began); served < 10 || d < last-50*time.Millisecond {
-		t.Errorf("served %d requests over %v after the signal, not until %v", served, d, last)
+	if d := time.Since(began); served < 10 || d < schedule.acceptFor-50*time.Millisecond {
+		t.Errorf("served %d requests over %v after the signal, not until %v", served, d, schedule.acceptFor)
 	}
-	if err := <-fixture.done; err != nil || time.Since(began) > end+time.Second {
-		t.Errorf("ended with %v after %v; all should be over by %v", err, time.Since(began), end)
+	if err := <-fixture.done; err != nil || time.Since(began) > schedule.answerWithin+time.Second {
+		t.Errorf("ended with %v after %v; all should be over by %v", err, time.Since(began),
+			schedule.answerWithin)
 	}
 	fixture.done <- nil
 }
@@ -444,14 +445,10 @@
 		}
 	}
 	eventually(t, "those that idle are closed", func() bool {
-		_, _, idle,
-			_ := fixture.gateway.frontend.countByState()
-		return idle == 0
+		return fixture.gateway.frontend.countByState().idle == 0
 	})
 	eventually(t, "the silent are closed", func() bool {
-		silent, _, _,
-			_ := fixture.gateway.frontend.countByState()
-		return silent == 0
+		return fixture.gateway.frontend.countByState().silent == 0
 	})
 }
 
@@ -475,9 +472,8 @@
 	held := fixture.gateway.upstream.connections
 	fixture.gateway.upstream.mu.Unlock()
 	eventually(t, "the first have gone", func() bool {
-		_, _, idle,
-			work := fixture.gateway.frontend.countByState()
-		return idle+work == 0
+		counts := fixture.gateway.frontend.countByState()
+		return counts.idle+counts.working == 0
 	})
 	heap := func() uint64 {
 		var m runtime.MemStats
@@ -496,8 +492,8 @@
 		}
 	}
 	eventually(t, "all clients have gone", func() bool {
-		silent, saying, idle, work := fixture.gateway.frontend.countByState()
-		return silent+saying+idle+work == 0 && runtime.NumGoroutine() <= before+2
+		return fixture.gateway.frontend.countByState() == connectionCounts{} &&
+			runtime.NumGoroutine() <= before+2
 	})
 	diskServer.mu.Lock()
 	diskServer.requests = nil
--- /dev/null
+++ b/internal/platform/request.go
@@ -0,0 +1,184 @@
+package platform
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"landingpaddle/internal/daemon"
+	"landingpaddle/internal/http1"
+	"landingpaddle/internal/proto"
+)
+
+const (
+	continueResponse   = "HTTP/1.1 100 Continue\r\n\r\n"
+	retryAfterDecimals = 3
+)
+
+// inFlightRequest is one client's request from its last byte to the end of its answer. It is the loop's
+// responder for the call.
+type inFlightRequest struct {
+	frontend    *frontend
+	client      *clientConn
+	call        *daemon.Call
+	id          string
+	method      string
+	target      string
+	forwarded   http1.Header // fields that go on to the disk server unchanged
+	body        []byte
+	closeWanted bool          // the client wants nothing more on its connection
+	answered    chan struct{} // closed once the answer is written
+	isLast      bool          // it was the connection's last; to be read once answered is closed
+}
+
+// readRequest reads a request whose head has come: the head is validated before the body is read. An error of
+// the request is an *http1.Error.
+func (f *frontend) readRequest(client *clientConn, head *http1.Request) (*inFlightRequest, error) {
+	if head.Method != http.MethodGet && head.Method != http.MethodPut {
+		return nil, &http1.Error{Status: http.StatusMethodNotAllowed, Reason: "reads are GET, writes are PUT"}
+	}
+	request := &inFlightRequest{frontend: f, client: client, method: head.Method, target: head.Target,
+		closeWanted: head.Close, answered: make(chan struct{}), call: &daemon.Call{}}
+	if err := f.validate(request, head); err != nil {
+		return nil, err
+	}
+	if head.Length > 0 {
+		body, err := f.readBody(client, head)
+		if err != nil {
+			return nil, err
+		}
+		request.body = body
+	}
+	request.call.Responder = request
+	request.call.ReceivedAt = f.receivedAt(client)
+	return request, nil
+}
+
+// readBody reads a request's body and counts its bytes as in flight; process takes them off again.
+func (f *frontend) readBody(client *clientConn, head *http1.Request) ([]byte, error) {
+	if f.bodyBytes.Add(head.Length) > f.limits.bodyBytes {
+		f.bodyBytes.Add(-head.Length)
+		f.counters.overLimit.Add(1)
+		return nil, &http1.Error{Status: http.StatusServiceUnavailable, Reason: daemon.ReasonOverload}
+	}
+	if expected, _ := head.Header.Get(fieldExpect); strings.EqualFold(expected, "100-continue") {
+		_, _ = client.conn.Write([]byte(continueResponse)) // if this fails, reading the body does too
+	}
+	body, err := client.reader.Body(head.Length)
+	if err != nil {
+		f.bodyBytes.Add(-head.Length)
+		return nil, err
+	}
+	return body, nil
+}
+
+// process submits a request to the loop and waits for its answer, or until the client has gone. It reports
+// whether the connection goes on.
+func (f *frontend) process(request *inFlightRequest) bool {
+	client := request.client
+	defer f.bodyBytes.Add(-int64(len(request.body)))
+	if !f.reserveID(request.id) {
+		f.counters.duplicateIDs.Add(1)
+		f.refuse(client, &http1.Error{Status: http.StatusConflict, Reason: "a request of this id is open"})
+		return false
+	}
+	f.beginProcessing(client)
+	if reason := f.loop.Admit(f.limits.openRequests); reason != "" {
+		f.reject(request, reason)
+	} else {
+		f.loop.Submit(request.call)
+		if !f.readAheadUntilAnswered(client) {
+			f.loop.ClientGone(request.call)
+			<-request.answered
+			return false
+		}
+	}
+	<-request.answered
+	if request.isLast {
+		f.linger(client)
+	}
+	return !request.isLast
+}
+
+// reject answers a request that the loop did not admit.
+func (f *frontend) reject(request *inFlightRequest, reason string) {
+	f.releaseID(request)
+	f.counters.overLimit.Add(1)
+	f.log.Debug(messageRequestRejected, attrReason, reason, attrRequestID, request.id)
+	answer := proto.Answer{Code: proto.Rejected, Reason: reason}
+	if f.site.Settings.RetryAfter {
+		answer.RetryAfter = f.site.Settings.MaxRetryAfter
+	}
+	request.writeAnswer(answer, nil)
+}
+
+// reserveID reports whether no other request in flight has an id, and takes the id if so.
+func (f *frontend) reserveID(id string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if _, taken := f.openIDs[id]; taken {
+		return false
+	}
+	f.openIDs[id] = struct{}{}
+	return true
+}
+
+func (f *frontend) releaseID(request *inFlightRequest) {
+	f.mu.Lock()
+	delete(f.openIDs, request.id)
+	f.mu.Unlock()
+}
+
+// Respond gives the request its one final answer. It is called on the loop's goroutine and does not wait
+// until the answer is written.
+func (r *inFlightRequest) Respond(answer proto.Answer, payload []byte) {
+	r.frontend.releaseID(r)
+	go r.writeAnswer(answer, payload)
+}
+
+// writeAnswer writes the answer to the client's connection and wakes the session.
+func (r *inFlightRequest) writeAnswer(answer proto.Answer, payload []byte) {
+	f := r.frontend
+	r.isLast = f.isLastAnswer(r.client, r.closeWanted)
+	status, header := statusOf(answer), answerHeader(answer)
+	if answer.Code != proto.OK {
+		payload = nil
+	}
+	if r.client.writeResponse(status, withConnectionClose(header, r.isLast), payload) != nil {
+		r.isLast = true
+	}
+	f.endProcessing(r.client, r.isLast)
+	close(r.answered)
+}
+
+// statusOf is the HTTP status of an answer.
+func statusOf(answer proto.Answer) int {
+	switch answer.Code {
+	case proto.OK:
+		return http.StatusOK
+	case proto.Rejected:
+		return http.StatusServiceUnavailable
+	}
+	switch answer.Reason {
+	case daemon.ReasonNodeTimeout, daemon.ReasonNotInTime, daemon.ReasonOverdue:
+		return http.StatusGatewayTimeout
+	}
+	return http.StatusBadGateway
+}
+
+// answerHeader is the fields of an answer that is not OK: when to come back, and why.
+func answerHeader(answer proto.Answer) (header http1.Header) {
+	if answer.Code == proto.OK {
+		return nil
+	}
+	if answer.Code == proto.Rejected && answer.RetryAfter > 0 {
+		retryAfter := formatSeconds(answer.RetryAfter, retryAfterDecimals)
+		header = append(header, http1.Field{Name: fieldRetryAfter, Value: retryAfter})
+	}
+	return append(header, http1.Field{Name: fieldReason, Value: answer.Reason})
+}
+
+func formatSeconds(duration time.Duration, decimals int) string {
+	return strconv.FormatFloat(duration.Seconds(), 'f', decimals, 64)
+}
--- /dev/null
+++ b/internal/platform/upstream.go
@@ -0,0 +1,110 @@
+package platform
+
+import (
+	"context"
+	"log/slog"
+	"maps"
+	"net"
+	"sync"
+	"sync/atomic"
+
+	"landingpaddle/internal/daemon"
+	"landingpaddle/scheduler"
+)
+
+// upstreamPool holds the connections to disk servers, with one request at a time on each. It is the loop's
+// driver for attempts and health checks.
+type upstreamPool struct {
+	ctx            context.Context // of the gateway; attempts end with it
+	loop           *daemon.EventLoop
+	config         *Config
+	addresses      *addressTable
+	log            *slog.Logger
+	maxConnections int
+
+	connect func(ctx context.Context, network, address string) (net.Conn, error)
+
+	mu          sync.Mutex
+	idle        map[scheduler.Server][]*upstreamConn // the longest idle first; no empty lists
+	connections int                                  // open or being made
+	attempts    map[scheduler.Server]int             // in flight; no zeros
+
+	counters upstreamCounters
+}
+
+// upstreamCounters count what happened since the start.
+type upstreamCounters struct {
+	dialed      atomic.Uint64 // connections begun
+	reused      atomic.Uint64 // idle connections used again
+	stale       atomic.Uint64 // idle connections found too old, closed or with unsolicited bytes
+	invalid     atomic.Uint64 // responses that could not be read
+	unsolicited atomic.Uint64 // responses with bytes behind them
+	exhausted   atomic.Uint64 // attempts that found no connection free
+}
+
+func newUpstreamPool(ctx context.Context, loop *daemon.EventLoop, config *Config, addresses *addressTable,
+	log *slog.Logger, maxConnections int) *upstreamPool {
+	return &upstreamPool{
+		ctx: ctx, loop: loop, config: config, addresses: addresses, log: log,
+		maxConnections: maxConnections,
+		connect:        (&net.Dialer{}).DialContext,
+		idle:           map[scheduler.Server][]*upstreamConn{},
+		attempts:       map[scheduler.Server]int{},
+	}
+}
+
+// Send starts an attempt in a goroutine of its own.
+func (p *upstreamPool) Send(operation *daemon.Operation) {
+	a := &attempt{pool: p, operation: operation, request: operation.Responder().(*inFlightRequest)}
+	a.ctx, a.cancel = context.WithCancel(p.ctx)
+	operation.DriverState = a
+	go a.run()
+}
+
+// Cancel ends an attempt. Its connection is closed, which is how disk servers learn of a cancellation.
+func (p *upstreamPool) Cancel(operation *daemon.Operation) {
+	a, ok := operation.DriverState.(*attempt)
+	if !ok {
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.isOver = true
+	a.cancel()
+	if a.conn != nil {
+		a.conn.Close()
+	}
+}
+
+// CancelMember does nothing: here every operation is one attempt.
+func (p *upstreamPool) CancelMember(*daemon.Operation, int) {}
+
+// CloseIdle closes the idle connections to a disk server.
+func (p *upstreamPool) CloseIdle(server scheduler.Server) {
+	p.closeIdleWhere(func(of scheduler.Server, _ *upstreamConn) bool { return of == server })
+}
+
+// countAttempt counts the attempts in flight to a disk server.
+func (p *upstreamPool) countAttempt(server scheduler.Server, change int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.attempts[server] += change; p.attempts[server] == 0 {
+		delete(p.attempts, server)
+	}
+}
+
+func (p *upstreamPool) attemptsByNode() map[scheduler.Server]int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return maps.Clone(p.attempts)
+}
+
+// countConnections returns how many connections are open or being made, and how many of them idle.
+func (p *upstreamPool) countConnections() (open, idle int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, connections := range p.idle {
+		idle += len(connections)
+	}
+	return p.connections, idle
+}
--- /dev/null
+++ b/internal/platform/upstream_conn.go
@@ -0,0 +1,211 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"net"
+	"slices"
+	"time"
+
+	"landingpaddle/internal/http1"
+	"landingpaddle/scheduler"
+)
+
+const (
+	// idleFraction of the time after which disk servers close an idle connection, it is kept.
+	idleFraction = 0.8
+	// settleTime is the idle time by which unsolicited bytes on a connection have come.
+	settleTime = 10 * time.Millisecond
+	// defaultIdleTimeout is the idle time of connections where the settings state none.
+	defaultIdleTimeout    = time.Minute
+	defaultConnectTimeout = time.Second
+	upstreamSweepInterval = time.Second
+)
+
+var errPoolExhausted = errors.New("all connections that may be open are in use")
+
+// upstreamConn is one connection to a disk server. While it idles it belongs to the pool, else to one
+// attempt or health check.
+type upstreamConn struct {
+	conn      net.Conn
+	reader    *http1.Reader
+	idleSince time.Time // when the disk server saw it used last
+	isUnused  bool      // it has brought no answer yet
+}
+
+// acquire finds an idle connection on which nothing unsolicited came: the last one used of those that have
+// settled. One that has not settled may still bring bytes that belong to no request and would be taken for
+// the next answer.
+func (p *upstreamPool) acquire(server scheduler.Server) *upstreamConn {
+	for {
+		connection := p.takeSettled(server)
+		if connection == nil {
+			return nil
+		}
+		if time.Since(connection.idleSince) < p.idleTimeout() && isOpenAndEmpty(connection.conn) {
+			p.counters.reused.Add(1)
+			return connection
+		}
+		p.counters.stale.Add(1)
+		p.discard(connection)
+	}
+}
+
+// takeSettled takes the last used of the settled idle connections out of the pool; nil: there is none.
+func (p *upstreamPool) takeSettled(server scheduler.Server) *upstreamConn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	idle := p.idle[server]
+	found := -1
+	for i, connection := range idle {
+		if connection.isUnused || time.Since(connection.idleSince) >= settleTime {
+			found = i
+		}
+	}
+	if found < 0 {
+		return nil
+	}
+	connection := idle[found]
+	p.setIdle(server, slices.Delete(idle, found, found+1))
+	return connection
+}
+
+// setIdle replaces a disk server's idle connections. The caller holds p.mu.
+func (p *upstreamPool) setIdle(server scheduler.Server, connections []*upstreamConn) {
+	if len(connections) == 0 {
+		delete(p.idle, server)
+		return
+	}
+	p.idle[server] = connections
+}
+
+func (p *upstreamPool) idleTimeout() time.Duration {
+	if timeout := p.config.Site.IdleTimeout; timeout > 0 {
+		return time.Duration(idleFraction * float64(timeout))
+	}
+	return defaultIdleTimeout
+}
+
+// releaseAfterAnswer lets a connection idle that has brought an answer. If its attempt was cancelled
+// meanwhile it is closed already.
+func (p *upstreamPool) releaseAfterAnswer(a *attempt, connection *upstreamConn) {
+	a.mu.Lock()
+	isOver := a.isOver
+	a.conn = nil
+	a.mu.Unlock()
+	if isOver {
+		p.discard(connection)
+		return
+	}
+	connection.idleSince, connection.isUnused = time.Now(), false
+	p.release(a.operation.Server(), connection)
+}
+
+// release lets a connection idle until the next attempt. Its idle time runs on unless the caller has set
+// it: to its disk server a connection that was not written to has idled all the time.
+func (p *upstreamPool) release(server scheduler.Server, connection *upstreamConn) {
+	if p.ctx.Err() != nil {
+		p.discard(connection)
+		return
+	}
+	connection.conn.SetReadDeadline(time.Time{})
+	connection.reader.Shrink()
+	p.mu.Lock()
+	p.idle[server] = append(p.idle[server], connection)
+	p.mu.Unlock()
+}
+
+// discard closes a connection that does not idle in the pool.
+func (p *upstreamPool) discard(connection *upstreamConn) {
+	connection.conn.Close()
+	p.freeConnection()
+}
+
+func (p *upstreamPool) freeConnection() {
+	p.mu.Lock()
+	p.connections--
+	p.mu.Unlock()
+}
+
+// dial makes a connection, in place of the longest idle one where no more may be open. Its error is
+// errPoolExhausted where none idles.
+func (p *upstreamPool) dial(ctx context.Context, address string) (*upstreamConn, error) {
+	if !p.reserveConnection() {
+		p.counters.exhausted.Add(1)
+		return nil, errPoolExhausted
+	}
+	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout())
+	defer cancel()
+	p.counters.dialed.Add(1)
+	conn, err := p.connect(ctx, "tcp4", address)
+	if err != nil {
+		p.freeConnection()
+		return nil, err
+	}
+	limits := http1.Limits{MaxHead: maxUpstreamHead, MaxBody: maxBody}
+	return &upstreamConn{conn: conn, reader: http1.NewReader(conn, limits), idleSince: time.Now(),
+		isUnused: true}, nil
+}
+
+func (p *upstreamPool) reserveConnection() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.connections >= p.maxConnections && !p.evictLongestIdle() {
+		return false
+	}
+	p.connections++
+	return true
+}
+
+func (p *upstreamPool) connectTimeout() time.Duration {
+	if timeout := p.config.Site.Settings.ConnectTimeout; timeout > 0 {
+		return timeout
+	}
+	return defaultConnectTimeout
+}
+
+// evictLongestIdle closes the connection that has idled for the longest, and reports false if none idles. The
+// caller holds p.mu.
+func (p *upstreamPool) evictLongestIdle() bool {
+	var server scheduler.Server
+	var oldest *upstreamConn
+	for of, connections := range p.idle {
+		if oldest == nil || connections[0].idleSince.Before(oldest.idleSince) {
+			server, oldest = of, connections[0]
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	p.setIdle(server, p.idle[server][1:])
+	oldest.conn.Close()
+	p.connections--
+	return true
+}
+
+// sweepIdle closes idle connections ahead of the time after which disk servers do, and those to disk servers
+// that are gone. When ctx ends it closes all of them.
+func (p *upstreamPool) sweepIdle(ctx context.Context) {
+	runPeriodically(ctx, upstreamSweepInterval, func() {
+		p.closeIdleWhere(func(server scheduler.Server, connection *upstreamConn) bool {
+			entry, known := p.addresses.find(server)
+			return time.Since(connection.idleSince) >= p.idleTimeout() || !known || entry.isGone()
+		})
+	})
+	p.closeIdleWhere(func(scheduler.Server, *upstreamConn) bool { return true })
+}
+
+func (p *upstreamPool) closeIdleWhere(shouldClose func(scheduler.Server, *upstreamConn) bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for server, connections := range p.idle {
+		p.setIdle(server, slices.DeleteFunc(connections, func(connection *upstreamConn) bool {
+			if !shouldClose(server, connection) {
+				return false
+			}
+			connection.conn.Close()
+			p.connections--
+			return true
+		}))
+	}
+}
