--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -18,7 +18,7 @@
 
 // What reaches clients and disk servers is spelt out in testdata/forms.txt: answers by outcome and reason,
 // what the health path says, and the names of header fields.
-func TestWrittenForms(t *testing.T) {
+func TestForms_AreWrittenAsPinned(t *testing.T) {
 	var out strings.Builder
 	core := daemon.NewEventLoop(daemon.EventLoopConfig{})
 	frontend := newFrontend(
