--- a/internal/platform/address_table_test.go
+++ b/internal/platform/address_table_test.go
@@ -1,47 +1,62 @@
 package platform
 
 import (
+	"errors"
 	"testing"
 
+	"landingpaddle/internal/wire"
 	"landingpaddle/scheduler"
 )
 
+func testSite(t *testing.T) *wire.Site {
+	t.Helper()
+	return &parseTestConfig(t, "127.0.0.1:1").Site
+}
+
+// A disk server that is gone can be found for a while, and is then forgotten.
 func TestAddressTable_ForgetsGoneServers(t *testing.T) {
-	table, site := newAddressTable(), startGateway(
-		t,
-		256,
-		newFakeDiskServer(t, func(int, *receivedRequest) []byte { return nil }),
-	).gateway.config.Site
-	server := ListedServer{
-		ID:          "s-1",
-		HostPort:    "127.0.0.1:1",
-		Zone:        "a",
-		MachineType: "m",
-		Lifecycle:   "ready",
-	}
-	if _, err := table.applyList(List{Reset: true, Instances: []ListedServer{server}}, 0, &site); err != nil {
+	table, site := newAddressTable(), testSite(t)
+	listed := ListedServer{ID: "s-1", HostPort: "127.0.0.1:1", Zone: "a", MachineType: "m",
+		Lifecycle: "ready"}
+	if _, err := table.applyList(List{Reset: true, Instances: []ListedServer{listed}}, 0, site); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := table.applyList(List{Reset: true}, 0, &site); err != nil {
+	if _, err := table.applyList(List{Reset: true}, 0, site); err != nil {
 		t.Fatal(err)
 	}
-	if p, known := table.find(serverOf("s-1")); !known || p.goneAt.IsZero() {
-		t.Fatalf("%+v, %v: attempts on their way must still find it", p, known)
+	server := serverOf("s-1")
+	entry, known := table.find(server)
+	if !known || !entry.isGone() {
+		t.Fatalf("%+v, %v: attempts on their way must still find it", entry, known)
 	}
-	p := table.entries[serverOf("s-1")]
-	p.goneAt = p.goneAt.Add(-2 * goneRetention)
-	table.entries[serverOf("s-1")] = p
-	if _, err := table.applyList(List{Reset: true}, 0, &site); err != nil || len(table.entries) != 0 {
-		t.Errorf("%d pages, %v", len(table.entries), err)
+	entry.goneAt = entry.goneAt.Add(-2 * goneRetention)
+	table.entries[server] = entry
+	if _, err := table.applyList(List{Reset: true}, 0, site); err != nil || len(table.entries) != 0 {
+		t.Errorf("%d entries, %v", len(table.entries), err)
 	}
-	for _, bad := range []ListedServer{{}, {ID: "a", Lifecycle: "odd"}, {ID: "a", Lifecycle: "ready"},
-		{ID: "a", HostPort: "b", Lifecycle: "ready", Cell: 1 << 16}, {ID: "a", HostPort: "b",
-			Lifecycle: "ready", StartedAtMS: -1}} {
-		if _, err := table.applyList(List{Instances: []ListedServer{bad}}, 0, &site); err == nil {
-			t.Errorf("%+v was taken", bad)
+	for _, invalid := range []ListedServer{
+		{},
+		{ID: "a", Lifecycle: "odd"},
+		{ID: "a", Lifecycle: "ready"},
+		{ID: "a", HostPort: "b", Lifecycle: "ready", Cell: 1 << 16},
+		{ID: "a", HostPort: "b", Lifecycle: "ready", StartedAtMS: -1},
+	} {
+		if _, err := table.applyList(List{Instances: []ListedServer{invalid}}, 0, site); err == nil {
+			t.Errorf("%+v was accepted", invalid)
 		}
 	}
 	if serverOf("s-1") == serverOf("s-2") || serverOf("s-1") == (scheduler.Server{}) {
 		t.Error("ids are not told apart")
 	}
 }
+
+// Two ids of one hash are an error of the whole list.
+func TestAddressTable_RejectsHashCollision(t *testing.T) {
+	table, site := newAddressTable(), testSite(t)
+	table.entries[serverOf("s-1")] = addressEntry{id: "other"}
+	listed := ListedServer{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "ready"}
+	_, err := table.applyList(List{Instances: []ListedServer{listed}}, 0, site)
+	if !errors.Is(err, errHashCollision) || table.entries[serverOf("s-1")].id != "other" {
+		t.Errorf("%v, %+v", err, table.entries)
+	}
+}
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -12,26 +12,28 @@
 	"landingpaddle/internal/http1"
 )
 
-// What proves that it never ran is sent again; what may have run is, where its class allows, and an unsafe
-// request never.
-func TestAttempt_RetriesWhatItsClassAllows(t *testing.T) {
-	for name, c := range map[string]struct {
-		first  []byte // nil: the connection breaks after the whole request
-		class  string
-		status int
-		sends  int
-	}{
-		"read turned away": {http1.AppendResponse(nil, 503, "x",
+// firstResponse is how a disk server answers the first attempt at a request, and what becomes of the request.
+type firstResponse struct {
+	first  []byte // nil: the connection breaks after the whole request
+	class  string
+	status int
+	sends  int
+}
+
+// firstResponses are responses to the first attempt, by class and response.
+func firstResponses() map[string]firstResponse {
+	return map[string]firstResponse{
+		"read rejected": {http1.AppendResponse(nil, 503, "x",
 			http1.Header{{Name: "X-Rejected", Value: "1"}}, nil), "read", 200, 2},
-		"pay turned away": {http1.AppendResponse(nil, 504, "x",
+		"pay rejected": {http1.AppendResponse(nil, 504, "x",
 			http1.Header{{Name: "X-Rejected", Value: "1"}}, nil), "pay", 200, 2},
-		"503 without the mark": {http1.AppendResponse(nil, 503, "x", nil, nil), "pay", 502, 1},
-		"read broken":          {nil, "read", 200, 2},
-		"keyed write broken":   {nil, "write", 200, 2},
-		"unsafe broken":        {nil, "pay", 502, 1},
-		"unsafe error":         {http1.AppendResponse(nil, 500, "x", nil, nil), "pay", 502, 1},
-		"read spoilt":          {[]byte("\x00\x01 noise"), "read", 200, 2},
-		"unsafe spoilt": {[]byte("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" +
+		"503 without the mark":   {http1.AppendResponse(nil, 503, "x", nil, nil), "pay", 502, 1},
+		"read broken":            {nil, "read", 200, 2},
+		"keyed write broken":     {nil, "write", 200, 2},
+		"unsafe broken":          {nil, "pay", 502, 1},
+		"unsafe error":           {http1.AppendResponse(nil, 500, "x", nil, nil), "pay", 502, 1},
+		"read, invalid response": {[]byte("\x00\x01 noise"), "read", 200, 2},
+		"unsafe, invalid response": {[]byte("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" +
 			strings.Repeat("a", 9000)), "pay", 502, 1},
 		"unsafe, two framings": {[]byte("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n" +
 			"\r\naa"), "pay", 502, 1},
@@ -43,50 +45,49 @@
 		"chunked, then unsafe": {[]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n" +
 			"ok\r\n0\r\n\r\n"), "pay", 200, 1},
 		"not known, for nothing": {http1.AppendResponse(nil, 404, "x", nil, nil), "pay", 502, 1},
-	} {
+	}
+}
+
+// An attempt that provably never ran is retried; one that may have run is retried where its class allows
+// it, and a request that is not idempotent never.
+func TestAttempt_RetriesWhatItsClassAllows(t *testing.T) {
+	for name, test := range firstResponses() {
 		t.Run(name, func(t *testing.T) {
 			diskServer := newFakeDiskServer(t, func(n int, _ *receivedRequest) []byte {
 				if n == 0 {
-					return c.first
+					return test.first
 				}
 				return okResponse("ok")
 			})
 			client := startGateway(t, 256, diskServer).dial()
-			method, more := "PUT", []string(nil)
-			if c.class == "read" {
+			method, headerLines := "PUT", []string(nil)
+			if test.class == "read" {
 				method = "GET"
 			}
-			if c.class == "write" {
-				more = []string{"Idempotency-Key: k"}
+			if test.class == "write" {
+				headerLines = []string{"Idempotency-Key: k"}
 			}
-			client.send(requestText(method, c.class, "a1", 0, "", more...))
+			client.send(requestText(method, test.class, "a1", 0, "", headerLines...))
 			status, _, body := client.readAnswer()
-			if status != c.status || (status == 200 && body != "ok") ||
-				len(diskServer.received()) != c.sends {
-				t.Errorf(
-					"%d %q after %d sends; want %d after %d",
-					status,
-					body,
-					len(diskServer.received()),
-					c.status,
-					c.sends,
-				)
+			if status != test.status || (status == 200 && body != "ok") ||
+				len(diskServer.received()) != test.sends {
+				t.Errorf("%d %q after %d sends; want %d after %d", status, body,
+					len(diskServer.received()), test.status, test.sends)
 			}
 		})
 	}
 }
 
-// An answer that brings more than belongs to it is served, and the next client gets its own answer, not the
-// rest of that one.
+// A response with bytes behind it is passed on, and the next request gets its own answer, not these bytes.
 func TestAttempt_DropsConnectionWithUnsolicitedBytes(t *testing.T) {
 	diskServer := newFakeDiskServer(t, func(n int, request *receivedRequest) []byte {
-		id, _ := request.request.Header.Get("X-Call-Id")
+		id := request.field("X-Call-Id")
 		return append(okResponse(id), okResponse("second copy of "+id)...)
 	})
 	client := startGateway(t, 256, diskServer).dial()
 	for i := range 5 {
 		id := fmt.Sprintf("a%d", i)
-		client.send(requestText("GET", "read", id, 0, ""))
+		client.send(readText(id))
 		if status, _, body := client.readAnswer(); status != 200 || body != id {
 			t.Fatalf("%s got %d %q", id, status, body)
 		}
@@ -94,34 +95,31 @@
 	}
 	for i, request := range diskServer.received() {
 		if request.connection != i {
-			t.Errorf(
-				"request %d came on connection %d, on which something came unasked",
-				i,
-				request.connection,
-			)
+			t.Errorf("request %d came on connection %d, on which something came unasked", i,
+				request.connection)
 		}
 	}
 }
 
-// A disk server of another shard is never sent the request, and one that cannot be reached counts as never
-// run.
+// An attempt at a disk server that cannot be reached counts as never run: the request is rejected, not
+// failed.
 func TestAttempt_RejectsWhatNeverRan(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	diskServer.listener.Close()
 	client := fixture.dial()
-	client.send(requestText("PUT", "pay", "a1", 0, ""))
+	client.send(payText("a1", ""))
 	status, header, _ := client.readAnswer()
 	if status != 503 || header.Get("X-Reason") == "" || len(diskServer.received()) != 0 {
 		t.Errorf("%d %v; refused with a reason is what is true of a request that never ran", status, header)
 	}
 }
 
-// A connection that breaks before a request's last byte is written proves that it never ran: what may not be
-// repeated is sent again too.
+// A connection that breaks before a request's last byte is written proves that it never ran: it is retried
+// even if it is not idempotent.
 func TestAttempt_RetriesWhatBrokeBeforeLastByte(t *testing.T) {
-	for class, more := range map[string][]string{"pay": nil, "write": {"Idempotency-Key: k"}} {
-		diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+	for class, headerLines := range map[string][]string{"pay": nil, "write": {"Idempotency-Key: k"}} {
+		diskServer := newOKDiskServer(t)
 		fixture := startGateway(t, 256, diskServer)
 		ours, theirs := net.Pipe()
 		pool := fixture.gateway.upstream
@@ -136,7 +134,7 @@
 			theirs.Close()
 		})
 		client := fixture.dial()
-		client.send(requestText("PUT", class, "a1", 0, "hello", more...))
+		client.send(requestText("PUT", class, "a1", 0, "hello", headerLines...))
 		if status, _, body := client.readAnswer(); status != 200 || body != "ok" ||
 			len(diskServer.received()) != 1 {
 			t.Errorf("%s: %d %q after %d whole sends", class, status, body, len(diskServer.received()))
@@ -148,50 +146,43 @@
 	}
 }
 
-// The other order: the client goes once the request is at the disk server.
+// A client that goes once the request is at the disk server: the attempt is not repeated.
 func TestAttempt_SentOnceWhenClientGoneAfterFirstByte(t *testing.T) {
 	hold := make(chan struct{})
-	diskServer := newFakeDiskServer(
-		t,
-		func(int, *receivedRequest) []byte { <-hold; return okResponse("ok") },
-	)
+	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { <-hold; return okResponse("ok") })
 	fixture := startGateway(t, 256, diskServer)
 	held := holdConnections(fixture)
 	client := fixture.dial()
-	client.send(requestText("GET", "read", "a1", 0, ""))
+	client.send(readText("a1"))
 	<-held.requested
 	held.release <- struct{}{}
-	eventually(t, "it is out", func() bool { return len(diskServer.received()) == 1 })
+	diskServer.awaitRequests(t, 1)
 	client.conn.Close()
-	eventually(
-		t,
-		"it is known to have gone",
-		func() bool { return fixture.gateway.loop.Stats.ClientGone.Load() == 1 },
-	)
+	fixture.awaitClientGone()
 	close(hold)
-	awaitIdleConnections(fixture, 1)
+	fixture.awaitIdleConnections(1)
 	if n := len(diskServer.received()); n != 1 {
 		t.Errorf("%d sends", n)
 	}
 }
 
-// What an attempt tells its disk server is what is left when its first byte leaves, not when it was decided.
+// An attempt states the time that is left when its first byte is written, not when it was decided on.
 func TestAttempt_StatesTimeLeftAtFirstByte(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	held := holdConnections(fixture)
 	client := fixture.dial()
 	sent := time.Now()
-	client.send(requestText("PUT", "pay", "a1", 0, ""))
+	client.send(payText("a1", ""))
 	<-held.requested
 	time.Sleep(100 * time.Millisecond) // of the 250 ms that a connection may take
 	held.release <- struct{}{}
 	if status, _, _ := client.readAnswer(); status != 200 {
 		t.Fatal(status)
 	}
-	text, _ := diskServer.received()[0].request.Header.Get("X-Budget")
-	told, err := strconv.ParseFloat(text, 64)
-	if most := 1.5 - 0.1; err != nil || told > most || told < 1.5-time.Since(sent).Seconds()-0.02 {
-		t.Errorf("told %q, %v; at most %v are left", text, err, most)
+	text, _ := diskServer.received()[0].head.Header.Get("X-Budget")
+	left, err := strconv.ParseFloat(text, 64)
+	if most := 1.5 - 0.1; err != nil || left > most || left < 1.5-time.Since(sent).Seconds()-0.02 {
+		t.Errorf("stated %q, %v; at most %v are left", text, err, most)
 	}
 }
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -1,54 +1,85 @@
 package platform
 
 import (
-	"bytes"
+	"errors"
 	"log/slog"
 	"strings"
 	"testing"
 )
 
+// environment looks variables up in a map.
+func environment(variables map[string]string) LookupEnv {
+	return func(name string) string { return variables[name] }
+}
+
+// A value that cannot be used is reported in one line that names it.
 func TestConfig_ReportsInvalidValues(t *testing.T) {
-	doc := string(configDocument("127.0.0.1:1", nil, 256))
-	for change, want := range map[string]string{
-		`"listen":"127.0.0.1:0"|"listen":"here"`:      `"listen"`,
-		`"discovery":"127.0.0.1:1"|"discovery":"x"`:   `"discovery"`,
-		`"seed":"1f"|"seed":"zz"`:                     `"seed"`,
-		`"sockets":256|"sockets":8`:                   `limits.sockets`,
-		`"worth":2|"worth":"much"`:                    `classes.0.worth`,
-		`"settings":|"other":`:                        `"settings"`,
-		`"name":"n0"|"name":5`:                        `name`,
-		`"registry_mode":"ask"|"registry_mode":"say"`: `registry_mode`,
+	document := string(configDocument("127.0.0.1:1", nil, 256))
+	for _, test := range []struct{ from, to, want string }{
+		{`"listen":"127.0.0.1:0"`, `"listen":"here"`, `"listen"`},
+		{`"discovery":"127.0.0.1:1"`, `"discovery":"x"`, `"discovery"`},
+		{`"seed":"1f"`, `"seed":"zz"`, `"seed"`},
+		{`"sockets":256`, `"sockets":8`, `limits.sockets`},
+		{`"worth":2`, `"worth":"much"`, `classes.0.worth`},
+		{`"settings":`, `"other":`, `"settings"`},
+		{`"name":"n0"`, `"name":5`, `name`},
+		{`"registry_mode":"ask"`, `"registry_mode":"say"`, `registry_mode`},
 	} {
-		from, to, _ := strings.Cut(change, "|")
-		if !strings.Contains(doc, from) {
-			t.Fatalf("%s is not in the document", from)
+		if !strings.Contains(document, test.from) {
+			t.Fatalf("%s is not in the document", test.from)
 		}
-		_, err := parseConfig([]byte(strings.Replace(doc, from, to, 1)), noEnvironment)
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v; want one line with %s", to, err, want)
+		_, err := parseConfig([]byte(strings.Replace(document, test.from, test.to, 1)), noEnvironment)
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v; want one line with %s", test.to, err, test.want)
 		}
 	}
-	env := func(name string) string { return map[string]string{"BALANCER_NAME": "n1"}[name] }
-	if _, err := parseConfig([]byte(doc), env); err == nil ||
+	contradicting := environment(map[string]string{"BALANCER_NAME": "n1"})
+	if _, err := parseConfig([]byte(document), contradicting); err == nil ||
 		!strings.Contains(err.Error(), "BALANCER_NAME") {
 		t.Errorf("contradicting variables: %v", err)
 	}
 	if _, err := Load(noEnvironment); err == nil || !strings.Contains(err.Error(), "BALANCER_CONFIG") {
 		t.Errorf("no variable: %v", err)
 	}
-	if !bytes.Contains([]byte(doc), []byte("limits")) {
+	if !strings.Contains(document, "limits") {
 		t.Error("the document names no limits")
 	}
 }
 
+// The fault of a value can be told from the error's type.
+func TestConfig_ErrorNamesKeyAndValue(t *testing.T) {
+	document := string(configDocument("127.0.0.1:1", nil, 256))
+	for _, test := range []struct {
+		from, to, key string
+		value         string // "-": the fault is not in one value
+	}{
+		{`"listen":"127.0.0.1:0"`, `"listen":"here"`, "listen", "here"},
+		{`"listen":"127.0.0.1:0"`, `"listen":""`, "listen", ""},
+		{`"sockets":256`, `"sockets":8`, "limits.sockets", "-"},
+		{`"settings":`, `"other":`, "settings", "-"},
+	} {
+		_, err := parseConfig([]byte(strings.Replace(document, test.from, test.to, 1)), noEnvironment)
+		var fault *ConfigError
+		if !errors.As(err, &fault) || fault.Key != test.key {
+			t.Errorf("%s: %v; want a fault of %s", test.to, err, test.key)
+			continue
+		}
+		value := "-"
+		if fault.Value != nil {
+			value = *fault.Value
+		}
+		if value != test.value {
+			t.Errorf("%s: %v; want the value %s", test.to, err, test.value)
+		}
+	}
+}
+
 func TestConfig_LoadsExample(t *testing.T) {
-	cfg, err := Load(func(name string) string {
-		return map[string]string{"BALANCER_CONFIG": "../../examples/platform.json"}[name]
-	})
+	config, err := Load(environment(map[string]string{"BALANCER_CONFIG": "../../examples/platform.json"}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(cfg, slog.New(slog.DiscardHandler)); err != nil {
+	if _, err := New(config, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -11,17 +11,52 @@
 	"time"
 )
 
-// toldWithin is after how long what a watch misses counts as told, and toldAfterReload what a new discovery
-// has.
-const (
-	notifiedWithin      = 6 * time.Second
-	notifiedAfterReload = 4 * time.Second
-)
+// notifiedWithin is how long after a watch misses something the scheduler counts as notified of it.
+const notifiedWithin = 6 * time.Second
+
+// silentWatch is the script of a discovery whose first call, a watch, falls silent; the second call fails, if
+// fail is given, and further ones bring version 9 of the list.
+type silentWatch struct {
+	said string // before the watch falls silent
+	fail discoveryScript
+	list string
+
+	mu          sync.Mutex
+	silentSince time.Time
+}
+
+func (w *silentWatch) script(n int, target string, connection net.Conn, ended <-chan struct{}) {
+	switch {
+	case n == 0:
+		io.WriteString(connection, w.said)
+		w.mu.Lock()
+		w.silentSince = time.Now()
+		w.mu.Unlock()
+		<-ended
+	case n == 1 && w.fail != nil:
+		w.fail(n, target, connection, ended)
+	default:
+		writeMessage(connection, w.list)
+		<-ended
+	}
+}
 
-// A watch that falls silent, wherever in what it says, is opened anew in time for what it misses to be known
-// before it counts as told, also when the first call after it fails, in whatever way.
+// awaitSilence waits until the watch has fallen silent and returns when that was.
+func (w *silentWatch) awaitSilence(t *testing.T) (since time.Time) {
+	t.Helper()
+	eventually(t, "the watch has fallen silent", func() bool {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		since = w.silentSince
+		return !since.IsZero()
+	})
+	return since
+}
+
+// A watch that falls silent, at whatever point of its answer, is opened again in time for what it misses to
+// be known before the scheduler counts as notified, also when the first call after it fails in whatever
+// way.
 func TestDiscovery_ReopensSilentWatch(t *testing.T) {
-	forever := func(_ net.Conn, ended <-chan struct{}) { <-ended }
 	silences := map[string]string{
 		"before its head":    "",
 		"before its body":    chunkedHead,
@@ -30,112 +65,73 @@
 		"behind a message":   chunkedHead + chunk(listDocument(7, true)+"\n"),
 		"behind a heartbeat": chunkedHead + chunk("\n"),
 	}
-	failures := map[string]func(net.Conn, <-chan struct{}){
-		"none":   nil,
-		"silent": forever,
-		"refused": func(connection net.Conn, _ <-chan struct{}) {
-			io.WriteString(connection, "HTTP/1.1 503 x\r\n\r\n")
+	failures := map[string]discoveryScript{
+		"none":    nil,
+		"silent":  neverAnswer,
+		"refused": answerUnavailable,
+		"a reset": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
+			connection.(*net.TCPConn).SetLinger(0)
 		},
-		"a reset": func(connection net.Conn, _ <-chan struct{}) { connection.(*net.TCPConn).SetLinger(0) },
-		"nonsense": func(connection net.Conn, _ <-chan struct{}) {
+		"nonsense": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
 			io.WriteString(connection, chunkedHead+chunk("{["))
 		},
-		"half a go": func(connection net.Conn, _ <-chan struct{}) {
+		"half a go": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
 			io.WriteString(connection, chunkedHead+chunk("{"))
 		},
 	}
 	for where, said := range silences {
 		for how, fail := range failures {
 			if where != "behind a message" && how != "none" && how != "silent" {
-				continue // the two have nothing to do with each other
+				continue // where the watch fell silent has no bearing on these
 			}
 			t.Run(where+", then "+how, func(t *testing.T) {
 				t.Parallel()
-				diskServer := newFakeDiskServer(
-					t,
-					func(int, *receivedRequest) []byte { return okResponse("ok") },
-				)
-				var mu sync.Mutex
-				var silent time.Time
-				discovery := newScriptedDiscovery(
-					t,
-					func(n int, _ string, connection net.Conn, ended <-chan struct{}) {
-						switch {
-						case n == 0:
-							io.WriteString(connection, said)
-							mu.Lock()
-							silent = time.Now()
-							mu.Unlock()
-							<-ended
-						case n == 1 && fail != nil:
-							fail(connection, ended)
-						default:
-							io.WriteString(
-								connection,
-								chunkedHead+chunk(
-									listDocument(9, true, listedServer("s-0", diskServer, 0))+"\n",
-								),
-							)
-							<-ended
-						}
-					},
-				)
-				fixture := startGatewayAt(t, discovery.listener.Addr().String(), diskServer, nil)
-				var deadline time.Time
-				eventually(t, "the first call", func() bool {
-					mu.Lock()
-					defer mu.Unlock()
-					deadline = silent.Add(notifiedWithin)
-					return !silent.IsZero()
-				})
-				fixture.awaitListVersion(9, deadline)
+				diskServer := newOKDiskServer(t)
+				list := listDocument(9, true, listedServer("s-0", diskServer, 0))
+				watch := &silentWatch{said: said, fail: fail, list: list}
+				discovery := newScriptedDiscovery(t, watch.script)
+				fixture := startGatewayAt(t, discovery.address(), diskServer, nil)
+				fixture.awaitListVersion(9, watch.awaitSilence(t).Add(notifiedWithin))
 			})
 		}
 	}
 }
 
-// Lists come in every form that the protocol allows: whole, as changes, indented, several in one piece, one
-// in many, again, and out of turn.
-func TestDiscovery_ReadsEveryFormOfList(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
-	indent := func(text string) string {
-		var v any
-		if err := json.Unmarshal([]byte(text), &v); err != nil {
-			panic(err)
-		}
-		b, _ := json.MarshalIndent(v, "", "  ")
-		return string(b) + "\n"
+// indent is a JSON document as it might be written for a reader.
+func indent(t *testing.T, document string) string {
+	t.Helper()
+	var value any
+	if err := json.Unmarshal([]byte(document), &value); err != nil {
+		t.Fatal(err)
 	}
-	drains := listedServer("s-0", diskServer, 0)
-	drains.Lifecycle = "draining"
+	indented, _ := json.MarshalIndent(value, "", "  ")
+	return string(indented) + "\n"
+}
+
+// Lists come in every form that the protocol allows: full, as changes, indented, several in one piece, one in
+// many, twice, and out of order.
+func TestDiscovery_ReadsEveryFormOfList(t *testing.T) {
+	diskServer := newOKDiskServer(t)
+	change := listDocument(9, false, drainingServer("s-0", diskServer, 0))
+	full := listDocument(9, true, drainingServer("s-0", diskServer, 0))
+	older := listDocument(8, true, listedServer("s-0", diskServer, 0))
 	for name, pieces := range map[string][]string{
-		"indented":        {indent(listDocument(9, false, drains))},
-		"in pieces":       strings.SplitAfter(indent(listDocument(9, false, drains)), ","),
-		"byte by byte":    strings.Split(listDocument(9, false, drains)+"\n", ""),
-		"several at once": {listDocument(8, false) + "\n\n" + listDocument(9, false, drains) + "\n"},
-		"again": {listDocument(9, false, drains) + "\n" +
-			listDocument(9, false, drains) + "\n"},
-		"an older one after": {listDocument(9, true, drains) + "\n" +
-			listDocument(8, true, listedServer("s-0", diskServer, 0)) + "\n"},
-		"after heartbeats":     {"\n", "\r\n", " \n", listDocument(9, false, drains) + "\n"},
-		"without its last end": {listDocument(9, false, drains)},
+		"indented":             {indent(t, change)},
+		"in pieces":            strings.SplitAfter(indent(t, change), ","),
+		"byte by byte":         strings.Split(change+"\n", ""),
+		"several at once":      {listDocument(8, false) + "\n\n" + change + "\n"},
+		"again":                {change + "\n" + change + "\n"},
+		"an older one after":   {full + "\n" + older + "\n"},
+		"after heartbeats":     {"\n", "\r\n", " \n", change + "\n"},
+		"without its last end": {change},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			discovery := newScriptedDiscovery(
-				t,
-				func(_ int, _ string, connection net.Conn, ended <-chan struct{}) {
-					io.WriteString(connection, chunkedHead)
-					for _, p := range pieces {
-						io.WriteString(connection, chunk(p))
-					}
-					<-ended
-				},
-			)
-			fixture := startGatewayAt(t, discovery.listener.Addr().String(), diskServer, nil)
+			discovery := newScriptedDiscovery(t, writePieces(pieces))
+			fixture := startGatewayAt(t, discovery.address(), diskServer, nil)
 			fixture.awaitListVersion(9, time.Now().Add(time.Second))
 			client := fixture.dial()
-			client.send(requestText("PUT", "pay", "a1", 0, ""))
+			client.send(payText("a1", ""))
 			if status, _, _ := client.readAnswer(); status != 503 {
 				t.Errorf("%d from a shard whose one disk server drains", status)
 			}
@@ -146,49 +142,49 @@
 	}
 }
 
-// A change that builds on a list that is not held is a gap: the whole list is fetched, and a fetch that is
-// too long or too slow fails.
+// writePieces is the script of a watch that brings a text in pieces, a chunk for each, and then nothing more.
+func writePieces(pieces []string) discoveryScript {
+	return func(_ int, _ string, connection net.Conn, ended <-chan struct{}) {
+		io.WriteString(connection, chunkedHead)
+		for _, piece := range pieces {
+			io.WriteString(connection, chunk(piece))
+		}
+		<-ended
+	}
+}
+
+// withoutInitialList removes the initial list from a configuration file.
+func withoutInitialList(t *testing.T) func(string) string {
+	return func(config string) string { return replaceOnce(t, config, `"known":{`, `"unknown":{`) }
+}
+
+// A change that builds on a list that the scheduler does not have is a gap: the full list is fetched.
 func TestDiscovery_FetchesFullListAfterGap(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
-	discovery := newScriptedDiscovery(
-		t,
-		func(_ int, target string, connection net.Conn, ended <-chan struct{}) {
-			if !strings.Contains(target, "stream") {
-				text := listDocument(9, false, listedServer("s-0", diskServer, 0))
-				fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-				return
-			}
-			io.WriteString(connection, chunkedHead+chunk(listDocument(8, false)+"\n"))
-			<-ended
-		},
-	)
-	fixture := startGatewayAt(
-		t,
-		discovery.listener.Addr().String(),
-		diskServer,
-		func(s string) string { // nothing is known at the start
-			return replaceOnce(t, s, `"known":{`, `"unknown":{`)
-		},
-	)
+	diskServer := newOKDiskServer(t)
+	script := func(_ int, target string, connection net.Conn, ended <-chan struct{}) {
+		if !isWatch(target) {
+			writeDocument(connection, listDocument(9, false, listedServer("s-0", diskServer, 0)))
+			return
+		}
+		writeMessage(connection, listDocument(8, false))
+		<-ended
+	}
+	discovery := newScriptedDiscovery(t, script)
+	fixture := startGatewayAt(t, discovery.address(), diskServer, withoutInitialList(t))
 	fixture.awaitListVersion(9, time.Now().Add(2*time.Second))
 }
 
+// A disk server that the watch reports as draining is sent nothing more.
 func TestDiscovery_WatchReportsDraining(t *testing.T) {
 	old := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("old") })
 	next := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("next") })
 	fixture := startGateway(t, 256, old)
 	fixture.discovery.awaitWatches(t, 1)
-	gone, ready := listedServer("s-0", old, 0), listedServer("s-9", next, 0)
-	gone.Lifecycle = "draining"
-	fixture.discovery.push(gone, ready)
-	eventually(
-		t,
-		"the change is held",
-		func() bool { _, v := fixture.gateway.loop.ListVersion(); return v == 8 },
-	)
+	fixture.discovery.push(drainingServer("s-0", old, 0), listedServer("s-9", next, 0))
+	fixture.awaitListVersion(8, time.Now().Add(eventualTimeout))
 	client := fixture.dial()
 	for i := range 10 {
-		client.send(requestText("GET", "read", fmt.Sprintf("a%d", i), 0, ""))
+		client.send(readText(fmt.Sprintf("a%d", i)))
 		if status, _, body := client.readAnswer(); status != 200 || body != "next" {
 			t.Fatalf("%d %q", status, body)
 		}
@@ -198,32 +194,27 @@
 	}
 }
 
-// A scheduler is ready at once where lists are asked for, whatever its discovery does.
+// A scheduler that polls for its lists is ready at once, whatever its discovery does.
 func TestGateway_IsReadyWithoutDiscovery(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
-	for name, script := range map[string]func(connection net.Conn, ended <-chan struct{}){
-		"silent": func(_ net.Conn, ended <-chan struct{}) { <-ended },
-		"overloaded": func(connection net.Conn, _ <-chan struct{}) {
-			io.WriteString(connection, "HTTP/1.1 503 x\r\n\r\n")
-		},
-		"down": nil,
+	diskServer := newOKDiskServer(t)
+	for name, script := range map[string]discoveryScript{
+		"silent":     neverAnswer,
+		"overloaded": answerUnavailable,
+		"down":       nil,
 	} {
-		discovery := newScriptedDiscovery(
-			t,
-			func(_ int, _ string, connection net.Conn, ended <-chan struct{}) { script(connection, ended) },
-		)
+		discovery := newScriptedDiscovery(t, script)
 		if script == nil {
 			discovery.listener.Close()
 		}
 		began := time.Now()
-		client := startGatewayAt(t, discovery.listener.Addr().String(), diskServer, nil).dial()
+		client := startGatewayAt(t, discovery.address(), diskServer, nil).dial()
 		for status := 0; status != 200; {
-			client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+			client.send(healthRequest)
 			if status, _, _ = client.readAnswer(); status != 200 && time.Since(began) > time.Second {
 				t.Fatalf("discovery %s: %d after %v", name, status, time.Since(began))
 			}
 		}
-		client.send(requestText("GET", "read", "a1", 0, ""))
+		client.send(readText("a1"))
 		if status, _, _ := client.readAnswer(); status != 200 {
 			t.Errorf("discovery %s: %d", name, status)
 		}
--- a/internal/platform/eviction_test.go
+++ b/internal/platform/eviction_test.go
@@ -8,16 +8,16 @@
 )
 
 // A request that is there when its connection is asked to end is served, and its answer says that it is the
-// last. (roll+brink: it was read and sent on, and the connection closed under it.)
+// last. (Seen on roll+brink: it was forwarded, and its connection was closed before the answer.)
 func TestEviction_AnswersRequestThatCameBeforeEnd(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
-		diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+		diskServer := newOKDiskServer(t)
 		fixture := startGateway(t, 256, diskServer)
 		client := fixture.dial()
-		client.send(requestText("GET", "read", "a1", 0, ""))
+		client.send(readText("a1"))
 		client.readAnswer()
 		connection := fixture.awaitOnlyClient(stateIdle)
-		text := requestText("GET", "read", "a2", 0, "")
+		text := readText("a2")
 		frontend := fixture.gateway.frontend
 		frontend.mu.Lock() // its session is woken and can't go on: what comes now comes in that very moment
 		connection.closeRequested = true
@@ -38,22 +38,19 @@
 	}
 }
 
-// The other order: what comes once the sending side is shut is read off and never sent on; the connection
-// ends in order, so that its client tries elsewhere.
+// What comes once the sending side is shut down is read off and never forwarded; the connection ends
+// without a reset, so that the client tries elsewhere.
 func TestEviction_DropsRequestThatCameAfterEnd(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
-	client.send(requestText("GET", "read", "a1", 0, ""))
+	client.send(readText("a1"))
 	client.readAnswer()
-	if connection := fixture.awaitOnlyClient(stateIdle); !fixture.gateway.frontend.evict(
-		connection,
-		false,
-	) {
+	if connection := fixture.awaitOnlyClient(stateIdle); !fixture.gateway.frontend.evict(connection, false) {
 		t.Fatal("an idle connection was not asked to end")
 	}
 	client.expectGracefulClose() // shut for sending
-	client.send(requestText("GET", "read", "a2", 0, ""))
+	client.send(readText("a2"))
 	eventually(t, "the session is over", func() bool {
 		fixture.gateway.frontend.mu.Lock()
 		defer fixture.gateway.frontend.mu.Unlock()
@@ -64,14 +61,14 @@
 	}
 }
 
-// A connection whose request is in work is never asked to end, and one with bytes to read neither.
+// A connection with a request in flight is never asked to end.
 func TestEviction_SparesRequestInFlight(t *testing.T) {
 	diskServer, released := newHeldDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
-	client.send(requestText("GET", "read", "a1", 0, ""))
+	client.send(readText("a1"))
 	if fixture.gateway.frontend.evict(fixture.awaitOnlyClient(stateWorking), true) {
-		t.Error("a connection with a request in work was asked to end")
+		t.Error("a connection with a request in flight was asked to end")
 	}
 	released <- struct{}{}
 	if status, _, _ := client.readAnswer(); status != 200 {
@@ -79,13 +76,9 @@
 	}
 }
 
-// One that is slow to say its request and has to give way is told so.
+// A client that is slow to send its request and is evicted gets an answer that says so.
 func TestEviction_AnswersSlowRequestWithTimeout(t *testing.T) {
-	fixture := startGateway(
-		t,
-		256,
-		newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") }),
-	)
+	fixture := startGateway(t, 256, newOKDiskServer(t))
 	client := fixture.dial()
 	client.send("GET /api")
 	if !fixture.gateway.frontend.evict(fixture.awaitOnlyClient(stateReading), true) {
@@ -97,10 +90,10 @@
 	client.expectGracefulClose()
 }
 
-// Hundreds that connect and say nothing, and clients that ask once and keep their connections for good,
-// hold up nobody, and all is given back.
+// Clients that connect and send nothing, and clients that send one request and keep their connections for
+// good, delay nobody, and all their connections are closed.
 func TestEviction_ServesDespiteIdleClients(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 64, diskServer)
 	for range 3 * fixture.gateway.limits.clients {
 		conn, err := net.Dial("tcp4", fixture.address)
@@ -112,7 +105,7 @@
 	time.Sleep(20 * time.Millisecond)
 	for i := range 3 * fixture.gateway.limits.clients {
 		client := fixture.dial()
-		client.send(requestText("GET", "read", fmt.Sprintf("a%d", i), 0, ""))
+		client.send(readText(fmt.Sprintf("a%d", i)))
 		if status, _, _ := client.readAnswer(); status != 200 {
 			t.Fatalf("client %d: %d", i, status)
 		}
--- a/internal/platform/fake_discovery_test.go
+++ b/internal/platform/fake_discovery_test.go
@@ -14,126 +14,174 @@
 	"time"
 )
 
-// lists is a scripted discovery.
+const (
+	chunkedHead     = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	unavailableHead = "HTTP/1.1 503 x\r\n\r\n"
+)
+
+// fakeDiscovery is a discovery service that keeps the protocol.
 type fakeDiscovery struct {
-	server   *httptest.Server
+	server *httptest.Server
+
 	mu       sync.Mutex
 	current  List
 	watchers map[chan string]struct{}
 }
 
 func newFakeDiscovery(t *testing.T, list List) *fakeDiscovery {
+	t.Helper()
 	discovery := &fakeDiscovery{current: list, watchers: map[chan string]struct{}{}}
 	discovery.server = httptest.NewServer(http.HandlerFunc(discovery.serve))
-	t.Cleanup(func() { discovery.server.CloseClientConnections(); discovery.server.Close() })
+	t.Cleanup(func() {
+		discovery.server.CloseClientConnections()
+		discovery.server.Close()
+	})
 	return discovery
 }
 
-func (discovery *fakeDiscovery) serve(w http.ResponseWriter, r *http.Request) {
-	discovery.mu.Lock()
-	cur := discovery.current
-	cur.Reset = true
-	ch := make(chan string, 16)
-	discovery.watchers[ch] = struct{}{}
-	discovery.mu.Unlock()
-	defer func() { discovery.mu.Lock(); delete(discovery.watchers, ch); discovery.mu.Unlock() }()
-	doc, _ := json.Marshal(cur)
-	w.Write(append(doc, '\n'))
-	if r.URL.Query().Get("stream") == "" {
+func (d *fakeDiscovery) serve(response http.ResponseWriter, request *http.Request) {
+	d.mu.Lock()
+	current := d.current
+	current.Reset = true
+	messages := make(chan string, 16)
+	d.watchers[messages] = struct{}{}
+	d.mu.Unlock()
+	defer d.removeWatcher(messages)
+	document, _ := json.Marshal(current)
+	response.Write(append(document, '\n'))
+	if request.URL.Query().Get("stream") == "" {
 		return
 	}
-	w.(http.Flusher).Flush()
+	response.(http.Flusher).Flush()
 	for {
 		select {
-		case <-r.Context().Done():
+		case <-request.Context().Done():
 			return
-		case line := <-ch:
-			io.WriteString(w, line+"\n")
+		case message := <-messages:
+			io.WriteString(response, message+"\n")
 		case <-time.After(time.Second):
-			io.WriteString(w, "\n")
+			io.WriteString(response, "\n") // a heartbeat
 		}
-		w.(http.Flusher).Flush()
+		response.(http.Flusher).Flush()
 	}
 }
 
-// watching waits until as many watches stand.
-func (discovery *fakeDiscovery) awaitWatches(t *testing.T, n int) {
+func (d *fakeDiscovery) removeWatcher(messages chan string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.watchers, messages)
+}
+
+// awaitWatches waits until as many watches stand.
+func (d *fakeDiscovery) awaitWatches(t *testing.T, count int) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%d watches", n), func() bool {
-		discovery.mu.Lock()
-		defer discovery.mu.Unlock()
-		return len(discovery.watchers) == n
+	eventually(t, fmt.Sprintf("%d watches", count), func() bool {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return len(d.watchers) == count
 	})
 }
 
-func (discovery *fakeDiscovery) push(servers ...ListedServer) {
-	discovery.mu.Lock()
-	defer discovery.mu.Unlock()
-	discovery.current.Generation++
-	doc, _ := json.Marshal(List{Generation: discovery.current.Generation, Instances: servers})
-	for ch := range discovery.watchers {
-		ch <- string(doc)
+// push sends a change of the list, of the next version, on all watches.
+func (d *fakeDiscovery) push(servers ...ListedServer) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.current.Generation++
+	message := listDocument(d.current.Generation, false, servers...)
+	for messages := range d.watchers {
+		messages <- message
 	}
 }
 
-func (discovery *fakeDiscovery) address() string {
-	return strings.TrimPrefix(discovery.server.URL, "http://")
-}
+func (d *fakeDiscovery) address() string { return strings.TrimPrefix(d.server.URL, "http://") }
+
+// discoveryScript answers the n-th call, from 0, by writing to its connection, which ends when it returns.
+type discoveryScript func(n int, target string, connection net.Conn, ended <-chan struct{})
 
-// rawLists is a discovery written byte by byte: script answers the n-th call, and the connection ends with
-// it.
+// scriptedDiscovery is a discovery service that is written byte by byte.
 type scriptedDiscovery struct {
-	listener  net.Listener
-	wg        sync.WaitGroup
+	listener net.Listener
+	script   discoveryScript
+	wg       sync.WaitGroup
+	ended    chan struct{} // closed when the test ends
+
 	mu        sync.Mutex
-	callTimes []time.Time // of calls
-	ended     chan struct{}
+	callCount int
 }
 
-func newScriptedDiscovery(t *testing.T,
-	script func(n int, target string, connection net.Conn, ended <-chan struct{})) *scriptedDiscovery {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func newScriptedDiscovery(t *testing.T, script discoveryScript) *scriptedDiscovery {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	discovery := &scriptedDiscovery{listener: ln, ended: make(chan struct{})}
-	discovery.wg.Go(func() {
-		for n := 0; ; n++ {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			discovery.mu.Lock()
-			discovery.callTimes = append(discovery.callTimes, time.Now())
-			discovery.mu.Unlock()
-			discovery.wg.Go(func() {
-				defer conn.Close()
-				request, err := http.ReadRequest(bufio.NewReader(conn))
-				if err == nil {
-					script(n, request.URL.String(), conn, discovery.ended)
-				}
-			})
-		}
+	discovery := &scriptedDiscovery{listener: listener, script: script, ended: make(chan struct{})}
+	discovery.wg.Go(discovery.accept)
+	t.Cleanup(func() {
+		close(discovery.ended)
+		listener.Close()
+		discovery.wg.Wait()
 	})
-	t.Cleanup(func() { close(discovery.ended); ln.Close(); discovery.wg.Wait() })
 	return discovery
 }
 
-func (discovery *scriptedDiscovery) calls() int {
-	discovery.mu.Lock()
-	defer discovery.mu.Unlock()
-	return len(discovery.callTimes)
+func (d *scriptedDiscovery) accept() {
+	for n := 0; ; n++ {
+		conn, err := d.listener.Accept()
+		if err != nil {
+			return
+		}
+		d.mu.Lock()
+		d.callCount++
+		d.mu.Unlock()
+		d.wg.Go(func() { d.serve(conn, n) })
+	}
+}
+
+func (d *scriptedDiscovery) serve(conn net.Conn, n int) {
+	defer conn.Close()
+	request, err := http.ReadRequest(bufio.NewReader(conn))
+	if err == nil {
+		d.script(n, request.URL.String(), conn, d.ended)
+	}
+}
+
+func (d *scriptedDiscovery) address() string { return d.listener.Addr().String() }
+
+func (d *scriptedDiscovery) calls() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.callCount
+}
+
+// neverAnswer is the script of a discovery that accepts calls and stays silent.
+func neverAnswer(_ int, _ string, _ net.Conn, ended <-chan struct{}) { <-ended }
+
+// answerUnavailable is the script of a discovery that is overloaded.
+func answerUnavailable(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
+	io.WriteString(connection, unavailableHead)
 }
 
-const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+// isWatch reports whether a call's target is that of a watch.
+func isWatch(target string) bool { return strings.Contains(target, "stream") }
+
+// writeMessage begins the answer to a watch with one message.
+func writeMessage(connection net.Conn, message string) {
+	io.WriteString(connection, chunkedHead+chunk(message+"\n"))
+}
+
+// writeDocument answers a fetch.
+func writeDocument(connection net.Conn, document string) {
+	fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(document), document)
+}
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// doc is a list in discovery's form.
-func listDocument(generation uint64, whole bool, entries ...ListedServer) string {
-	b, err := json.Marshal(List{Generation: generation, Reset: whole, Instances: entries})
+// listDocument is a list in discovery's form.
+func listDocument(generation uint64, isFull bool, servers ...ListedServer) string {
+	document, err := json.Marshal(List{Generation: generation, Reset: isFull, Instances: servers})
 	if err != nil {
 		panic(err)
 	}
-	return string(b)
+	return string(document)
 }
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -16,83 +16,73 @@
 	"landingpaddle/internal/wire"
 )
 
+// formsRecorder writes down what clients are sent.
+type formsRecorder struct {
+	frontend *frontend
+	out      strings.Builder
+}
+
+func newFormsRecorder(loop *daemon.EventLoop) *formsRecorder {
+	limits := resourceLimits{clients: 1, lingering: 1, openRequests: 1}
+	return &formsRecorder{frontend: newFrontend(loop, &wire.Site{}, slog.New(slog.DiscardHandler), limits)}
+}
+
+// record writes down what a function sends on a client's connection.
+func (r *formsRecorder) record(what string, send func(client *clientConn)) {
+	here, there := net.Pipe()
+	sent := make(chan []byte)
+	go func() {
+		content, _ := io.ReadAll(there)
+		sent <- content
+	}()
+	limits := http1.Limits{MaxHead: maxClientHead, MaxBody: maxBody}
+	send(&clientConn{conn: here, reader: http1.NewReader(here, limits)})
+	here.Close()
+	fmt.Fprintf(&r.out, "%s: %q\n", what, <-sent)
+}
+
+func (r *formsRecorder) recordHealth(what string) {
+	r.record(what, func(client *clientConn) { r.frontend.answerHealth(client, true) })
+}
+
+func (r *formsRecorder) recordAnswer(answer proto.Answer, isLast bool) {
+	what := fmt.Sprintf("answer %d %q after %v, last %t", answer.Code, answer.Reason, answer.RetryAfter,
+		isLast)
+	r.record(what, func(client *clientConn) {
+		request := &inFlightRequest{frontend: r.frontend, client: client, closeWanted: isLast,
+			answered: make(chan struct{})}
+		request.writeAnswer(answer, []byte("payload"))
+	})
+}
+
 // What reaches clients and disk servers is spelt out in testdata/forms.txt: answers by outcome and reason,
-// what the health path says, and the names of header fields.
+// what the health endpoint answers, and the names of header fields.
 func TestForms_AreWrittenAsPinned(t *testing.T) {
-	var out strings.Builder
-	core := daemon.NewEventLoop(daemon.EventLoopConfig{})
-	frontend := newFrontend(
-		core,
-		&wire.Site{},
-		slog.New(slog.DiscardHandler),
-		resourceLimits{clients: 1, lingering: 1, openRequests: 1},
-	)
-	// written is what a connection is sent by do.
-	written := func(what string, do func(connection *clientConn)) {
-		here, there := net.Pipe()
-		read := make(chan []byte)
-		go func() {
-			b, _ := io.ReadAll(there)
-			read <- b
-		}()
-		connection := &clientConn{
-			conn:   here,
-			reader: http1.NewReader(here, http1.Limits{MaxHead: maxClientHead, MaxBody: maxBody}),
-		}
-		do(connection)
-		here.Close()
-		fmt.Fprintf(&out, "%s: %q\n", what, <-read)
-	}
-	written(
-		"health before the list is there",
-		func(connection *clientConn) { frontend.answerHealth(connection, true) },
-	)
-	answer := func(a proto.Answer, last bool) {
-		what := fmt.Sprintf("answer %d %q after %v, last %t", a.Code, a.Reason, a.RetryAfter, last)
-		written(what, func(connection *clientConn) {
-			request := &inFlightRequest{
-				frontend:    frontend,
-				client:      connection,
-				closeWanted: last,
-				answered:    make(chan struct{}),
-			}
-			request.writeAnswer(a, []byte("payload"))
-		})
-	}
-	answer(proto.Answer{Code: proto.OK}, false)
-	answer(proto.Answer{Code: proto.OK}, true)
-	answer(
-		proto.Answer{
-			Code:       proto.Rejected,
-			Reason:     daemon.ReasonNotInTime,
-			RetryAfter: 250 * time.Millisecond,
-		},
-		false,
-	)
-	answer(proto.Answer{Code: proto.Rejected, Reason: daemon.ReasonOverload}, true)
+	loop := daemon.NewEventLoop(daemon.EventLoopConfig{})
+	recorder := newFormsRecorder(loop)
+	recorder.recordHealth("health before the list is there")
+	recorder.recordAnswer(proto.Answer{Code: proto.OK}, false)
+	recorder.recordAnswer(proto.Answer{Code: proto.OK}, true)
+	recorder.recordAnswer(proto.Answer{Code: proto.Rejected, Reason: daemon.ReasonNotInTime,
+		RetryAfter: 250 * time.Millisecond}, false)
+	recorder.recordAnswer(proto.Answer{Code: proto.Rejected, Reason: daemon.ReasonOverload}, true)
 	for _, reason := range []string{daemon.ReasonNodeTimeout, daemon.ReasonNotInTime, daemon.ReasonOverdue,
-		daemon.ReasonNodeReset,
-		daemon.ReasonNodeUnreachable, daemon.ReasonNodeError, daemon.ReasonNodeOverloaded,
-		daemon.ReasonNotApplicable,
-		daemon.ReasonStopping} {
-		answer(proto.Answer{Code: proto.Failed, Reason: reason}, false)
+		daemon.ReasonNodeReset, daemon.ReasonNodeUnreachable, daemon.ReasonNodeError,
+		daemon.ReasonNodeOverloaded, daemon.ReasonNotApplicable, daemon.ReasonStopping} {
+		recorder.recordAnswer(proto.Answer{Code: proto.Failed, Reason: reason}, false)
 	}
-	core.Stop()
-	written(
-		"health while stopping",
-		func(connection *clientConn) { frontend.answerHealth(connection, true) },
-	)
+	loop.Stop()
+	recorder.recordHealth("health while stopping")
 	for _, name := range []string{fieldID, fieldClass, fieldPlan, fieldBudget, fieldExtent, fieldRetry,
-		fieldKey,
-		queryExtent, pathHealth, fieldMeter, fieldDelta, fieldRejected, pathServers} {
-		fmt.Fprintln(&out, name)
+		fieldKey, queryExtent, pathHealth, fieldMeter, fieldDelta, fieldRejected, pathServers} {
+		fmt.Fprintln(&recorder.out, name)
 	}
 	const path = "testdata/forms.txt"
 	want, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := out.String(); got != string(want) {
+	if got := recorder.out.String(); got != string(want) {
 		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
 	}
 }
--- a/internal/platform/frontend_test.go
+++ b/internal/platform/frontend_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
+// Requests and answers pass unchanged, and the connection to the disk server is used again.
 func TestFrontend_ServesRequestsUnchanged(t *testing.T) {
 	answer := string([]byte{0, 1, 2, '\r', '\n', 255})
 	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse(answer) })
-	fixture := startGateway(t, 256, diskServer)
-	client := fixture.dial()
-	client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+	client := startGateway(t, 256, diskServer).dial()
+	client.send(healthRequest)
 	if status, _, _ := client.readAnswer(); status != 200 {
 		t.Fatalf("healthz: %d", status)
 	}
-	client.send(requestText("GET", "read", "a1", 0, ""))
+	client.send(readText("a1"))
 	if status, _, body := client.readAnswer(); status != 200 || body != answer {
 		t.Fatalf("read: %d %q", status, body)
 	}
@@ -27,111 +27,101 @@
 	if status, _, got := client.readAnswer(); status != 200 || got != answer {
 		t.Fatalf("write: %d %q", status, got)
 	}
-	for i, want := range []struct{ method, body, id, key string }{{"GET", "", "a1", ""}, {"PUT", body, "a2",
-		"k"}} {
-		request := diskServer.received()[i]
-		id, _ := request.request.Header.Get("X-Call-Id")
-		key, _ := request.request.Header.Get("Idempotency-Key")
-		if request.request.Method != want.method ||
-			request.request.Target != "/api?extent=7f3a9c21e0b4d655" ||
-			string(request.body) != want.body ||
-			id != want.id ||
-			key != want.key {
-			t.Errorf("request %d came as %+v with %d bytes", i, request.request, len(request.body))
-		}
-		if v, n := request.request.Header.Get("X-Budget"); n != 1 || !(v > "0.3" && v < "1.6") {
-			t.Errorf("request %d: X-Budget %q", i, v)
-		}
+	received := diskServer.received()
+	received[0].expect(t, expectedRequest{method: "GET", id: "a1"})
+	received[1].expect(t, expectedRequest{method: "PUT", body: body, id: "a2", key: "k"})
+	if len(received) != 2 || received[0].connection != received[1].connection {
+		t.Errorf("%d requests; the connection was not kept", len(received))
+	}
+}
+
+// expectedRequest is what a disk server should receive.
+type expectedRequest struct{ method, body, id, key string }
+
+// expect checks a request that a disk server received.
+func (r *receivedRequest) expect(t *testing.T, want expectedRequest) {
+	t.Helper()
+	got := expectedRequest{r.head.Method, string(r.body), r.field("X-Call-Id"), r.field("Idempotency-Key")}
+	if got != want || r.head.Target != "/api?extent=7f3a9c21e0b4d655" {
+		t.Errorf("%s came as %+v with %d bytes", want.id, r.head, len(r.body))
 	}
-	if g := diskServer.received(); len(g) != 2 || g[0].connection != g[1].connection {
-		t.Errorf("%d requests; the connection was not kept", len(g))
+	if budget, count := r.head.Header.Get("X-Budget"); count != 1 || !(budget > "0.3" && budget < "1.6") {
+		t.Errorf("%s: X-Budget %q", want.id, budget)
 	}
 }
 
-// The id of an open request is not taken a second time, and the open one goes on.
+// A request with the id of one in flight is rejected, and the one in flight goes on.
 func TestFrontend_RejectsDuplicateID(t *testing.T) {
-	hold := make(chan struct{})
-	diskServer := newFakeDiskServer(
-		t,
-		func(int, *receivedRequest) []byte { <-hold; return okResponse("ok") },
-	)
+	diskServer, released := newHeldDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	first, second := fixture.dial(), fixture.dial()
-	first.send(requestText("GET", "read", "a1", 0, ""))
-	eventually(t, "the first is out", func() bool { return len(diskServer.received()) == 1 })
-	second.send(requestText("GET", "read", "a1", 0, ""))
+	first.send(readText("a1"))
+	diskServer.awaitRequests(t, 1)
+	second.send(readText("a1"))
 	if status, _, _ := second.readAnswer(); status != 409 {
 		t.Errorf("the same id: %d", status)
 	}
-	close(hold)
+	released <- struct{}{}
 	if status, _, _ := first.readAnswer(); status != 200 || len(diskServer.received()) != 1 {
-		t.Errorf("the open one: %d after %d sends", status, len(diskServer.received()))
+		t.Errorf("the one in flight: %d after %d sends", status, len(diskServer.received()))
+	}
+}
+
+// serveOnce has one request served on a connection of its own.
+func (f *gatewayFixture) serveOnce(i int) {
+	f.t.Helper()
+	client := f.dial()
+	client.send(readText(fmt.Sprintf("a%d", i)))
+	if status, _, _ := client.readAnswer(); status != 200 {
+		f.t.Fatalf("client %d: %d", i, status)
 	}
+	client.conn.Close()
+}
+
+func heapBytes() uint64 {
+	var memory runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&memory)
+	return memory.HeapAlloc
 }
 
 // Ever new clients, ids and disk servers leave nothing behind.
 func TestGateway_ReleasesAllResources(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
+	frontend, upstream := fixture.gateway.frontend, fixture.gateway.upstream
 	fixture.discovery.awaitWatches(t, 1)
-	ask1 := func(i int) {
-		client := fixture.dial()
-		client.send(requestText("GET", "read", fmt.Sprintf("a%d", i), 0, ""))
-		if status, _, _ := client.readAnswer(); status != 200 {
-			t.Fatalf("client %d: %d", i, status)
-		}
-		client.conn.Close()
-	}
 	for i := range 50 { // until there are as many connections to the disk server as take turns
-		ask1(-1 - i)
+		fixture.serveOnce(-1 - i)
 	}
-	fixture.gateway.upstream.mu.Lock()
-	held := fixture.gateway.upstream.connections
-	fixture.gateway.upstream.mu.Unlock()
+	openBefore, _ := upstream.countConnections()
 	eventually(t, "the first have gone", func() bool {
-		counts := fixture.gateway.frontend.countByState()
+		counts := frontend.countByState()
 		return counts.idle+counts.working == 0
 	})
-	heap := func() uint64 {
-		var m runtime.MemStats
-		runtime.GC()
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
-	}
-	before, bytes := runtime.NumGoroutine(), heap()
+	goroutinesBefore, heapBefore := runtime.NumGoroutine(), heapBytes()
 	for i := range 2000 {
-		ask1(i)
+		fixture.serveOnce(i)
 		if i%100 == 0 {
-			gone := listedServer(fmt.Sprintf("t-%d", i), diskServer, 1)
-			fixture.discovery.push(gone)
-			gone.Lifecycle = "gone"
-			fixture.discovery.push(gone)
+			listed := listedServer(fmt.Sprintf("t-%d", i), diskServer, 1)
+			fixture.discovery.push(listed)
+			listed.Lifecycle = "gone"
+			fixture.discovery.push(listed)
 		}
 	}
 	eventually(t, "all clients have gone", func() bool {
-		return fixture.gateway.frontend.countByState() == connectionCounts{} &&
-			runtime.NumGoroutine() <= before+2
+		return frontend.countByState() == connectionCounts{} && runtime.NumGoroutine() <= goroutinesBefore+2
 	})
-	diskServer.mu.Lock()
-	diskServer.requests = nil
-	diskServer.mu.Unlock()
-	if after := heap(); after > bytes+(3<<20) {
-		t.Errorf("%d bytes of heap before, %d after", bytes, after)
+	diskServer.forgetRequests()
+	if heapAfter := heapBytes(); heapAfter > heapBefore+(3<<20) {
+		t.Errorf("%d bytes of heap before, %d after", heapBefore, heapAfter)
 	}
-	fixture.gateway.frontend.mu.Lock()
-	defer fixture.gateway.frontend.mu.Unlock()
-	if len(fixture.gateway.frontend.openIDs) != 0 || fixture.gateway.frontend.bodyBytes.Load() != 0 {
-		t.Errorf(
-			"%d ids and %d bytes are still held",
-			len(fixture.gateway.frontend.openIDs),
-			fixture.gateway.frontend.bodyBytes.Load(),
-		)
+	frontend.mu.Lock()
+	defer frontend.mu.Unlock()
+	if len(frontend.openIDs) != 0 || frontend.bodyBytes.Load() != 0 {
+		t.Errorf("%d ids and %d bytes are still held", len(frontend.openIDs), frontend.bodyBytes.Load())
 	}
-	if fixture.gateway.upstream.connections > held+2 {
-		t.Errorf(
-			"%d connections to disk servers were held, then %d",
-			held,
-			fixture.gateway.upstream.connections,
-		)
+	if open, _ := upstream.countConnections(); open > openBefore+2 {
+		t.Errorf("%d connections to disk servers before, then %d", openBefore, open)
 	}
 }
--- a/internal/platform/gateway_fixture_test.go
+++ b/internal/platform/gateway_fixture_test.go
@@ -17,6 +17,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+const (
+	eventualTimeout      = 5 * time.Second
+	eventualPollInterval = 2 * time.Millisecond
+)
+
 const testSettings = `{"classes":[
  {"name":"read","deadline_ns":2000000000,"on_time_ns":400000000,"repeat":"read_like","worth":2},
  {"name":"write","deadline_ns":2000000000,"on_time_ns":500000000,"repeat":"idempotency_key","group":"cell",
@@ -30,50 +35,69 @@
 "me":0,"peers_total":1,"registry_mode":"ask","round_ns":1000000,
 "rules":{"answer_slack_ns":8000000,"ask_within_ns":10000000000,"drain_grace_ns":1000000000},"zone":0}`
 
+// configDocument is a configuration file with testSettings.
 func configDocument(discovery string, known *List, sockets int) []byte {
-	doc, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery,
-		"seed":   "1f",
-		"limits": Limits{Cores: 1, MemoryMB: 64, Sockets: sockets}, "known": known,
-		"settings": json.RawMessage(testSettings)})
+	document, err := json.Marshal(map[string]any{
+		"name":      "n0",
+		"listen":    "127.0.0.1:0",
+		"discovery": discovery,
+		"seed":      "1f",
+		"limits":    Limits{Cores: 1, MemoryMB: 64, Sockets: sockets},
+		"known":     known,
+		"settings":  json.RawMessage(testSettings),
+	})
 	if err != nil {
 		panic(err)
 	}
-	return doc
+	return document
 }
 
 func noEnvironment(string) string { return "" }
 
-// rig is a scheduler with one disk server a shard.
+// parseTestConfig is the configuration of configDocument without an initial list.
+func parseTestConfig(t *testing.T, discovery string) *Config {
+	t.Helper()
+	config, err := parseConfig(configDocument(discovery, nil, 256), noEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return config
+}
+
+// gatewayFixture is a running scheduler.
 type gatewayFixture struct {
 	t         *testing.T
 	gateway   *Gateway
 	address   string
-	discovery *fakeDiscovery
-	done      chan error
+	discovery *fakeDiscovery // nil: the test has a discovery of its own
+	done      chan error     // receives what Run returns
 	logBuffer *safeBuffer
 }
 
+// safeBuffer is a buffer for concurrent use.
 type safeBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (buffer *safeBuffer) Write(p []byte) (int, error) {
-	buffer.mu.Lock()
-	defer buffer.mu.Unlock()
-	return buffer.b.Write(p)
+func (b *safeBuffer) Write(text []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.Write(text)
 }
 
-func (buffer *safeBuffer) String() string {
-	buffer.mu.Lock()
-	defer buffer.mu.Unlock()
-	return buffer.b.String()
+func (b *safeBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.String()
 }
 
-func startGateway(t *testing.T, sockets int, disks ...*fakeDiskServer) *gatewayFixture {
-	var list List
-	list.Generation, list.Reset = 7, true
-	for i, diskServer := range disks {
+// startGateway starts a scheduler with one disk server for each shard, named s-0, s-1 and so on, and waits
+// until it is ready. Its list has version 7.
+func startGateway(t *testing.T, sockets int, diskServers ...*fakeDiskServer) *gatewayFixture {
+	t.Helper()
+	list := List{Generation: 7, Reset: true}
+	for i, diskServer := range diskServers {
 		list.Instances = append(list.Instances, listedServer(fmt.Sprintf("s-%d", i), diskServer, i))
 	}
 	discovery := newFakeDiscovery(t, list)
@@ -83,13 +107,11 @@
 	return fixture
 }
 
-// startAt starts a scheduler whose discovery is at an address; its list of the start names one disk server.
-func startGatewayAt(
-	t *testing.T,
-	discovery string,
-	diskServer *fakeDiskServer,
-	change func(string) string,
-) *gatewayFixture {
+// startGatewayAt starts a scheduler with a discovery at an address. Its initial list, of version 7, names one
+// disk server. The configuration file is passed through change, if that is given.
+func startGatewayAt(t *testing.T, discovery string, diskServer *fakeDiskServer,
+	change func(string) string) *gatewayFixture {
+	t.Helper()
 	list := List{Generation: 7, Reset: true, Instances: []ListedServer{listedServer("s-0", diskServer, 0)}}
 	text := string(configDocument(discovery, &list, 256))
 	if change != nil {
@@ -98,15 +120,16 @@
 	return runGateway(t, []byte(text))
 }
 
-// launch runs a scheduler with a configuration until the test ends; its log is shown if that fails.
-func runGateway(t *testing.T, config []byte) *gatewayFixture {
-	cfg, err := parseConfig(config, noEnvironment)
+// runGateway runs a scheduler with a configuration until the test ends; its log is shown if that fails.
+func runGateway(t *testing.T, document []byte) *gatewayFixture {
+	t.Helper()
+	config, err := parseConfig(document, noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fixture := &gatewayFixture{t: t, done: make(chan error, 1), logBuffer: &safeBuffer{}}
-	if fixture.gateway, err = New(cfg, slog.New(slog.NewTextHandler(fixture.logBuffer,
-		&slog.HandlerOptions{Level: slog.LevelDebug}))); err != nil {
+	handler := slog.NewTextHandler(fixture.logBuffer, &slog.HandlerOptions{Level: slog.LevelDebug})
+	if fixture.gateway, err = New(config, slog.New(handler)); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -126,77 +149,87 @@
 	return fixture
 }
 
-func (fixture *gatewayFixture) awaitListVersion(version uint64, deadline time.Time) {
-	fixture.t.Helper()
+// awaitListVersion waits until the scheduler has a version of the endpoint list, until a deadline at most.
+func (f *gatewayFixture) awaitListVersion(version uint64, deadline time.Time) {
+	f.t.Helper()
 	for {
-		if _, v := fixture.gateway.loop.ListVersion(); v == version {
+		_, current := f.gateway.loop.ListVersion()
+		if current == version {
 			return
 		}
 		if time.Now().After(deadline) {
-			_, v := fixture.gateway.loop.ListVersion()
-			fixture.t.Fatalf("version %d is held, not %d", v, version)
+			f.t.Fatalf("version %d is held, not %d", current, version)
 		}
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(eventualPollInterval)
 	}
 }
 
-// only is the one client's connection that is open, once it is in a state.
-func (fixture *gatewayFixture) awaitOnlyClient(state connState) *clientConn {
-	fixture.t.Helper()
+// awaitClientGone waits until the scheduler knows that one request's client has gone.
+func (f *gatewayFixture) awaitClientGone() {
+	f.t.Helper()
+	eventually(f.t, "the client is known to have gone", func() bool {
+		return f.gateway.loop.Stats.ClientGone.Load() == 1
+	})
+}
+
+// awaitOnlyClient is the one client connection that is open, once it is in a state.
+func (f *gatewayFixture) awaitOnlyClient(state connState) *clientConn {
+	f.t.Helper()
+	frontend := f.gateway.frontend
 	var only *clientConn
-	eventually(fixture.t, "one client's connection is as expected", func() bool {
-		fixture.gateway.frontend.mu.Lock()
-		defer fixture.gateway.frontend.mu.Unlock()
-		for connection := range fixture.gateway.frontend.connections {
+	eventually(f.t, "one client connection is in the state expected", func() bool {
+		frontend.mu.Lock()
+		defer frontend.mu.Unlock()
+		for connection := range frontend.connections {
 			only = connection
 		}
-		return len(fixture.gateway.frontend.connections) == 1 && only.state == state
+		return len(frontend.connections) == 1 && only.state == state
 	})
 	return only
 }
 
-// stops begins a stop at its end: nothing new is taken, connections end as soon as nothing is on them.
-func (fixture *gatewayFixture) stopAcceptingRequests() {
-	fixture.gateway.shutdownAt = time.Now()
-	fixture.gateway.frontend.closeGracefully()
-	fixture.gateway.loop.Stop()
-}
-
-// idleConns waits until as many connections to disk servers idle and none is in work.
-func awaitIdleConnections(fixture *gatewayFixture, want int) {
-	fixture.t.Helper()
-	eventually(fixture.t, "connections idle and no attempt is on its way", func() bool {
-		pool := fixture.gateway.upstream
+// awaitIdleConnections waits until as many connections to disk servers idle and no attempt is in flight.
+func (f *gatewayFixture) awaitIdleConnections(want int) {
+	f.t.Helper()
+	eventually(f.t, fmt.Sprintf("%d connections idle and no attempt is in flight", want), func() bool {
+		pool := f.gateway.upstream
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
 		idle := 0
-		for _, row := range pool.idle {
-			idle += len(row)
+		for _, connections := range pool.idle {
+			idle += len(connections)
 		}
 		return idle == want && len(pool.attempts) == 0 && pool.connections == want
 	})
 }
 
-// idleOrNone waits until no attempt is on its way.
-func awaitNoAttempts(fixture *gatewayFixture) {
-	fixture.t.Helper()
-	eventually(fixture.t, "no attempt is on its way", func() bool {
-		fixture.gateway.upstream.mu.Lock()
-		defer fixture.gateway.upstream.mu.Unlock()
-		return len(fixture.gateway.upstream.attempts) == 0
+// awaitNoAttempts waits until no attempt is in flight.
+func (f *gatewayFixture) awaitNoAttempts() {
+	f.t.Helper()
+	eventually(f.t, "no attempt is in flight", func() bool {
+		return len(f.gateway.upstream.attemptsByNode()) == 0
 	})
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+// stopAcceptingRequests goes to the end of a graceful shutdown: no request is accepted any more, and
+// connections end as soon as no request is on them.
+func (f *gatewayFixture) stopAcceptingRequests() {
+	f.gateway.shutdownAt = time.Now()
+	f.gateway.frontend.closeGracefully()
+	f.gateway.loop.Stop()
+}
+
+// eventually waits until a condition holds and fails the test if it does not in time.
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(5 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
+	for deadline := time.Now().Add(eventualTimeout); !holds(); time.Sleep(eventualPollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within 5 s: %s", what)
+			t.Fatalf("not within %v: %s", eventualTimeout, what)
 		}
 	}
 }
 
-// replaceOnce changes what stands once in a text.
+// replaceOnce replaces what stands once in a text.
 func replaceOnce(t *testing.T, text, from, to string) string {
 	t.Helper()
 	if strings.Count(text, from) != 1 {
--- a/internal/platform/limits_test.go
+++ b/internal/platform/limits_test.go
@@ -1,16 +1,14 @@
 package platform
 
-import (
-	"testing"
-)
+import "testing"
 
-// Whatever the limit, clients, those that linger, disk servers and what is set aside fit into it together.
+// Whatever the limit of descriptors, all connections and the reserved ones fit into it together.
 func TestLimits_FitTheDescriptors(t *testing.T) {
 	for sockets := minSockets; sockets <= 4096; sockets++ {
-		b := limitsFor(&Config{Limits: Limits{Sockets: sockets, MemoryMB: 64}})
-		if b.clients+b.lingering+b.upstream+reservedSockets > sockets || b.clients < 1 || b.upstream < 1 ||
-			b.lingering < 2 {
-			t.Fatalf("%d descriptors: %+v and %d set aside", sockets, b, reservedSockets)
+		limits := limitsFor(&Config{Limits: Limits{Sockets: sockets, MemoryMB: 64}})
+		if limits.clients+limits.lingering+limits.upstream+reservedSockets > sockets || limits.clients < 1 ||
+			limits.upstream < 1 || limits.lingering < 2 {
+			t.Fatalf("%d descriptors: %+v and %d reserved", sockets, limits, reservedSockets)
 		}
 	}
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// After Term clients are served on their connections for as long as there is time before the kill; then all
-// that came is answered and the scheduler ends by itself.
+// After Shutdown clients are served for as long as there is time before the kill; then every request that
+// came is answered and the scheduler ends by itself.
 func TestShutdown_ServesThenEnds(t *testing.T) {
-	diskServer := newFakeDiskServer(
-		t,
-		func(int, *receivedRequest) []byte { time.Sleep(20 * time.Millisecond); return okResponse("ok") },
-	)
+	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte {
+		time.Sleep(20 * time.Millisecond)
+		return okResponse("ok")
+	})
 	fixture := startGateway(t, 256, diskServer)
 	schedule := shutdownScheduleFor(&fixture.gateway.config.Site.Settings)
 	client := fixture.dial()
@@ -21,7 +21,7 @@
 	fixture.gateway.Shutdown()
 	served := 0
 	for i := 0; ; i++ {
-		text := requestText("GET", "read", fmt.Sprintf("a%d", i), 0, "")
+		text := readText(fmt.Sprintf("a%d", i))
 		if _, err := client.conn.Write([]byte(text)); err != nil {
 			break
 		}
@@ -30,7 +30,7 @@
 			break // it was closed between requests
 		}
 		if string(head) == "HTTP/1.1 503" && time.Since(began) >= schedule.acceptFor {
-			break // it came as the scheduler had just stopped taking
+			break // it came as the scheduler had just stopped accepting
 		}
 		if string(head) != "HTTP/1.1 200" {
 			t.Fatalf("%q, %v after the signal", head, time.Since(began))
@@ -51,15 +51,14 @@
 	fixture.done <- nil
 }
 
-// At a stop every request that came has its answer, also those behind another on their connection, and the
-// last answer alone ends it.
+// At a shutdown every request that came has its answer, pipelined ones too, and only the last answer ends the
+// connection.
 func TestShutdown_AnswersPipelinedRequests(t *testing.T) {
 	diskServer, released := newHeldDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
-	client.send(requestText("GET", "read", "a1", 0, "") + requestText("PUT", "pay", "a2", 0, "hello") +
-		requestText("GET", "read", "a3", 0, ""))
-	eventually(t, "the first is out", func() bool { return len(diskServer.received()) == 1 })
+	client.send(readText("a1") + payText("a2", "hello") + readText("a3"))
+	diskServer.awaitRequests(t, 1)
 	eventually(t, "those behind it are there", func() bool {
 		fixture.gateway.frontend.mu.Lock()
 		defer fixture.gateway.frontend.mu.Unlock()
@@ -85,22 +84,22 @@
 	}
 }
 
-// A request that is half there when a scheduler stops, and one that comes on a resting connection or a new
-// one in that moment, is refused; a connection with nothing on it just ends.
+// A request of which half has come when the scheduler stops accepting is rejected; an idle connection just
+// ends.
 func TestShutdown_RejectsHalfReadRequest(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
+	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
-	half, resting := fixture.dial(), fixture.dial()
-	resting.send(requestText("GET", "read", "a1", 0, ""))
-	resting.readAnswer()
-	text := requestText("GET", "read", "a2", 0, "")
+	half, idle := fixture.dial(), fixture.dial()
+	idle.send(readText("a1"))
+	idle.readAnswer()
+	text := readText("a2")
 	half.send(text[:40])
 	eventually(t, "half of it is there", func() bool {
 		counts := fixture.gateway.frontend.countByState()
 		return counts.reading == 1 && counts.idle == 1
 	})
 	fixture.stopAcceptingRequests()
-	resting.expectGracefulClose()
+	idle.expectGracefulClose()
 	half.send(text[40:])
 	if status, header, _ := half.readAnswer(); status != 503 || header.Get("Connection") != "close" {
 		t.Errorf("half there: %d %v", status, header)
@@ -112,16 +111,16 @@
 	fixture.done <- nil
 }
 
-// A connection that was accepted in the very moment of the stop: with a request it is answered, without one
-// it ends.
+// A connection that is accepted at the very moment of the shutdown: a request on it is rejected, and
+// without one it ends.
 func TestShutdown_RejectsNewConnections(t *testing.T) {
 	diskServer, released := newHeldDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	busy := fixture.dial() // keeps the loop going
-	busy.send(requestText("GET", "read", "a1", 0, ""))
-	eventually(t, "it is out", func() bool { return len(diskServer.received()) == 1 })
+	busy.send(readText("a1"))
+	diskServer.awaitRequests(t, 1)
 	fixture.stopAcceptingRequests()
-	for _, text := range []string{requestText("GET", "read", "a2", 0, ""), ""} {
+	for _, text := range []string{readText("a2"), ""} {
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -135,7 +134,7 @@
 			client.send(text)
 		}
 		accepted := make(chan struct{})
-		go func() { // as the front's own listener would hand it over
+		go func() { // as the frontend's own listener would hand it over
 			defer close(accepted)
 			fixture.gateway.frontend.serve(ln)
 		}()
@@ -151,17 +150,17 @@
 	}
 	released <- struct{}{}
 	if status, header, _ := busy.readAnswer(); status != 200 || header.Get("Connection") != "close" {
-		t.Errorf("the one in work: %d %v", status, header)
+		t.Errorf("the one in flight: %d %v", status, header)
 	}
 }
 
-// A stopping scheduler does not say that it is ready.
+// A scheduler that is shutting down does not report that it is ready.
 func TestShutdown_ReportsUnhealthy(t *testing.T) {
 	diskServer, released := newHeldDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
-	client.send(requestText("GET", "read", "a1", 0, "") + "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-	eventually(t, "it is out", func() bool { return len(diskServer.received()) == 1 })
+	client.send(readText("a1") + healthRequest)
+	diskServer.awaitRequests(t, 1)
 	fixture.stopAcceptingRequests()
 	released <- struct{}{}
 	client.readAnswer()
--- a/internal/platform/test_client_test.go
+++ b/internal/platform/test_client_test.go
@@ -11,76 +11,89 @@
 	"time"
 )
 
-// caller is a client's connection.
+const (
+	testClientTimeout = 10 * time.Second
+	healthRequest     = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
+)
+
+// testClient is a client's connection.
 type testClient struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func (fixture *gatewayFixture) dial() *testClient {
-	fixture.t.Helper()
-	conn, err := net.Dial("tcp4", fixture.address)
+func (f *gatewayFixture) dial() *testClient {
+	f.t.Helper()
+	conn, err := net.Dial("tcp4", f.address)
 	if err != nil {
-		fixture.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	return newTestClient(fixture.t, conn)
+	return newTestClient(f.t, conn)
 }
 
 func newTestClient(t *testing.T, conn net.Conn) *testClient {
+	t.Helper()
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	conn.SetDeadline(time.Now().Add(testClientTimeout))
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-func (client *testClient) send(text string) {
-	client.t.Helper()
-	if _, err := io.WriteString(client.conn, text); err != nil {
-		client.t.Fatal(err)
+func (c *testClient) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.conn, text); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-// answer reads one answer with the standard library's reader, which is not ours.
-func (client *testClient) readAnswer() (int, http.Header, string) {
-	client.t.Helper()
-	response, err := http.ReadResponse(client.reader, nil)
+// readAnswer reads one answer with the standard library's reader, which is not ours.
+func (c *testClient) readAnswer() (status int, header http.Header, body string) {
+	c.t.Helper()
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		client.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		client.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	if response.Close { // the reader takes the field away
+	if response.Close { // the reader removes the field
 		response.Header.Set("Connection", "close")
 	}
-	return response.StatusCode, response.Header, string(body)
+	return response.StatusCode, response.Header, string(content)
 }
 
-func (client *testClient) isClosed() bool {
-	_, err := client.reader.ReadByte()
+// isClosed reports whether the connection has ended, in whatever way, when nothing more can be read.
+func (c *testClient) isClosed() bool {
+	_, err := c.reader.ReadByte()
 	return err != nil
 }
 
-// end checks that a connection ends in order: nothing more comes, and it is not reset.
-func (client *testClient) expectGracefulClose() {
-	client.t.Helper()
-	if b, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		client.t.Errorf("the connection goes on with %q, %v; want its end in order", b, err)
+// expectGracefulClose checks that nothing more comes on the connection and that it is not reset.
+func (c *testClient) expectGracefulClose() {
+	c.t.Helper()
+	if b, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		c.t.Errorf("the connection goes on with %q, %v; want its end in order", b, err)
 	}
 }
 
-// ask is a request as clients send it; more are further header lines.
-func requestText(method, class, id string, shard int, body string, more ...string) string {
-	b := method + " /api?extent=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: " + id +
+// requestText is a request as clients send it, with further header lines.
+func requestText(method, class, id string, shard int, body string, headerLines ...string) string {
+	text := method + " /api?extent=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: " + id +
 		"\r\nX-Call-Class: " + class + "\r\nX-Storage-Class: gold\r\nX-Budget: 1.500\r\n" +
 		fmt.Sprintf("X-Extent: volume=00000003b4d60021,units=2,shard=%d,hosts=1\r\n", shard)
-	for _, m := range more {
-		b += m + "\r\n"
+	for _, line := range headerLines {
+		text += line + "\r\n"
 	}
 	if method == "PUT" {
-		b += fmt.Sprintf("Content-Length: %d\r\n", len(body))
+		text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
-	return b + "\r\n" + body
+	return text + "\r\n" + body
 }
+
+// readText is a request of the class read, which is idempotent.
+func readText(id string) string { return requestText("GET", "read", id, 0, "") }
+
+// payText is a request of the class pay, which is not idempotent.
+func payText(id, body string) string { return requestText("PUT", "pay", id, 0, body) }
--- a/internal/platform/validation_test.go
+++ b/internal/platform/validation_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// Clients that cannot be understood get an error at once, and nothing of them reaches a disk server.
-func TestValidation_RefusesInvalidRequests(t *testing.T) {
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
-	fixture := startGateway(t, 256, diskServer)
-	good := requestText("GET", "read", "a1", 0, "")
-	for name, c := range map[string]struct {
-		text   string
-		status int
-	}{
+// invalidRequest is a request and the status that answers it.
+type invalidRequest struct {
+	text   string
+	status int
+}
+
+// invalidRequests are requests that differ from a valid one in one respect, by what is wrong with them.
+func invalidRequests(good string) map[string]invalidRequest {
+	return map[string]invalidRequest{
 		"noise":               {"\x00\x01\x02\r\n\r\n", 400},
 		"unknown class":       {strings.Replace(good, "Class: read", "Class: none", 1), 400},
 		"unknown plan":        {strings.Replace(good, "gold", "tin", 1), 400},
@@ -38,25 +38,34 @@
 		"POST":              {strings.Replace(good, "GET", "POST", 1), 405},
 		"GET with a body": {strings.Replace(good, "\r\n\r\n", "\r\nContent-Length: 5\r\n\r\nhello", 1),
 			400},
-		"body too long": {strings.Replace(requestText("PUT", "pay", "a1", 0, ""), "Length: 0",
+		"body too long": {strings.Replace(payText("a1", ""), "Length: 0",
 			"Length: 60000000", 1), 413},
-		"hidden request": {strings.Replace(requestText("PUT", "pay", "a1", 0, ""), "Length: 0",
+		"hidden request": {strings.Replace(payText("a1", ""), "Length: 0",
 			"Length: 4\r\nTransfer-Encoding: chunked", 1) + "0\r\n\r\n" + good, 400},
 		"head without end": {"GET /api HTTP/1.1\r\n" +
 			strings.Repeat("X-A: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n", 300), 431},
-	} {
+	}
+}
+
+// A request that cannot be understood is answered with an error at once and ends its connection, and
+// nothing of it reaches a disk server.
+func TestValidation_RefusesInvalidRequests(t *testing.T) {
+	diskServer := newOKDiskServer(t)
+	fixture := startGateway(t, 256, diskServer)
+	good := readText("a1")
+	for name, test := range invalidRequests(good) {
 		client := fixture.dial()
-		client.send(c.text)
+		client.send(test.text)
 		status, header, _ := client.readAnswer()
-		if status != c.status || header.Get("Connection") != "close" {
-			t.Errorf("%s: %d %v; want %d and a close", name, status, header, c.status)
+		if status != test.status || header.Get("Connection") != "close" {
+			t.Errorf("%s: %d %v; want %d and a close", name, status, header, test.status)
 		}
 		if !client.isClosed() {
 			t.Errorf("%s: the connection goes on", name)
 		}
 	}
 	if n := len(diskServer.received()); n != 0 {
-		t.Errorf("%d of them reached a disk server: %+v", n, diskServer.received()[0].request)
+		t.Errorf("%d of them reached a disk server: %+v", n, diskServer.received()[0].head)
 	}
 	client := fixture.dial()
 	client.send(good)
