--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -56,6 +56,8 @@
 	cancelFetch context.CancelFunc // of the fetch that is under way; nil: there is none
 }
 
+var _ daemon.EndpointSource = (*discovery)(nil)
+
 func newDiscovery(ctx context.Context, loop *daemon.EventLoop, site *wire.Site, address string,
 	addresses *addressTable) *discovery {
 	client := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext,
--- a/internal/platform/gossip.go
+++ b/internal/platform/gossip.go
@@ -28,6 +28,8 @@
 	conn   *net.UDPConn
 }
 
+var _ daemon.PeerSender = (*gossip)(nil)
+
 // newGossip listens for datagrams. Its error is a *ConfigError for the listening address.
 func newGossip(config *Config) (*gossip, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(config.PeerListen))
--- a/internal/platform/http_fields.go
+++ b/internal/platform/http_fields.go
@@ -27,12 +27,6 @@
 	pathHealth      = "/healthz"
 )
 
-const (
-	maxBody         = 64 << 10 // bytes of requests and answers, by the protocol
-	maxClientHead   = 8 << 10  // bytes of a request's head
-	maxUpstreamHead = 8 << 10  // bytes of an answer's head
-)
-
 // withConnectionClose adds Connection: close to the fields of a connection's last answer.
 func withConnectionClose(header http1.Header, isLast bool) http1.Header {
 	if isLast {
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -6,6 +6,13 @@
 	"runtime/debug"
 )
 
+// Bounds of HTTP messages, in bytes.
+const (
+	maxBody         = 64 << 10 // of requests and answers, by the protocol
+	maxClientHead   = 8 << 10  // of a request's head
+	maxUpstreamHead = 8 << 10  // of an answer's head
+)
+
 // resourceLimits divides the machine's limits among their uses.
 type resourceLimits struct {
 	clients      int   // open client connections
--- a/internal/platform/linger.go
+++ b/internal/platform/linger.go
@@ -1,12 +1,8 @@
 package platform
 
 import (
-	"errors"
 	"net"
-	"net/http"
 	"time"
-
-	"landingpaddle/internal/http1"
 )
 
 const (
@@ -55,22 +51,3 @@
 
 // isLingeringFull reports whether as many connections linger as may.
 func (f *frontend) isLingeringFull() bool { return f.lingeringCount() >= f.limits.lingering }
-
-// refuse answers a request that cannot be accepted with its error and ends the connection. A client that has
-// gone gets no answer.
-func (f *frontend) refuse(client *clientConn, cause error) {
-	var invalid *http1.Error
-	switch {
-	case errors.As(cause, &invalid):
-	case isTimeout(cause):
-		invalid = &http1.Error{Status: http.StatusRequestTimeout, Reason: "the request did not come in time"}
-	default:
-		return
-	}
-	f.counters.invalid.Add(1)
-	f.log.Debug(messageInvalidRequest, attrStatus, invalid.Status, attrReason, invalid.Reason)
-	body := []byte(invalid.Reason + "\n")
-	if client.writeResponse(invalid.Status, withConnectionClose(nil, true), body) == nil {
-		f.linger(client)
-	}
-}
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -2,22 +2,17 @@
 
 import (
 	"net/http"
-	"strconv"
 	"strings"
-	"time"
 
 	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/http1"
 	"landingpaddle/internal/proto"
 )
 
-const (
-	continueResponse   = "HTTP/1.1 100 Continue\r\n\r\n"
-	retryAfterDecimals = 3
-)
+const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// inFlightRequest is one client's request from its last byte to the end of its answer. It is the loop's
-// responder for the call.
+// inFlightRequest is one client's request from its last byte to the end of its answer. It is the responder
+// of its call.
 type inFlightRequest struct {
 	frontend    *frontend
 	client      *clientConn
@@ -129,56 +124,3 @@
 	delete(f.openIDs, request.id)
 	f.mu.Unlock()
 }
-
-// Respond gives the request its one final answer. It is called on the loop's goroutine and does not wait
-// until the answer is written.
-func (r *inFlightRequest) Respond(answer proto.Answer, payload []byte) {
-	r.frontend.releaseID(r)
-	go r.writeAnswer(answer, payload)
-}
-
-// writeAnswer writes the answer to the client's connection and wakes the session.
-func (r *inFlightRequest) writeAnswer(answer proto.Answer, payload []byte) {
-	f := r.frontend
-	r.isLast = f.isLastAnswer(r.client, r.closeWanted)
-	status, header := statusOf(answer), answerHeader(answer)
-	if answer.Code != proto.OK {
-		payload = nil
-	}
-	if r.client.writeResponse(status, withConnectionClose(header, r.isLast), payload) != nil {
-		r.isLast = true
-	}
-	f.endProcessing(r.client, r.isLast)
-	close(r.answered)
-}
-
-// statusOf is the HTTP status of an answer.
-func statusOf(answer proto.Answer) int {
-	switch answer.Code {
-	case proto.OK:
-		return http.StatusOK
-	case proto.Rejected:
-		return http.StatusServiceUnavailable
-	}
-	switch answer.Reason {
-	case daemon.ReasonNodeTimeout, daemon.ReasonNotInTime, daemon.ReasonOverdue:
-		return http.StatusGatewayTimeout
-	}
-	return http.StatusBadGateway
-}
-
-// answerHeader is the fields of an answer that is not OK: when to come back, and why.
-func answerHeader(answer proto.Answer) (header http1.Header) {
-	if answer.Code == proto.OK {
-		return nil
-	}
-	if answer.Code == proto.Rejected && answer.RetryAfter > 0 {
-		retryAfter := formatSeconds(answer.RetryAfter, retryAfterDecimals)
-		header = append(header, http1.Field{Name: fieldRetryAfter, Value: retryAfter})
-	}
-	return append(header, http1.Field{Name: fieldReason, Value: answer.Reason})
-}
-
-func formatSeconds(duration time.Duration, decimals int) string {
-	return strconv.FormatFloat(duration.Seconds(), 'f', decimals, 64)
-}
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -103,7 +103,7 @@
 // nothing more can be read ahead, and false when the client has gone.
 func (f *frontend) readAheadUntilAnswered(client *clientConn) bool {
 	for {
-		if f.isAnswered(client) {
+		if isAnswered := f.notePipelined(client); isAnswered {
 			return true
 		}
 		buffered := client.reader.Buffered()
@@ -125,9 +125,9 @@
 	}
 }
 
-// isAnswered notes whether something of a next request has come, and reports whether the one in flight has
+// notePipelined notes whether something of a next request has come, and reports whether the one in flight has
 // been answered.
-func (f *frontend) isAnswered(client *clientConn) bool {
+func (f *frontend) notePipelined(client *clientConn) (isAnswered bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	client.hasPipelined = client.reader.Buffered() > 0
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -20,6 +20,9 @@
 	exitMargin         = killMargin / 2         // before the kill the process ends
 )
 
+// shutdownCauseRequested is how the log names the one cause of a graceful shutdown: a call of Shutdown.
+const shutdownCauseRequested = "requested"
+
 // shutdownSchedule is the course of a graceful shutdown; both times count from its start.
 type shutdownSchedule struct {
 	acceptFor    time.Duration // then no more requests are accepted
--- a/internal/platform/status.go
+++ b/internal/platform/status.go
@@ -13,9 +13,6 @@
 // statusInterval is how often the state of connections and nodes is logged.
 const statusInterval = 5 * time.Second
 
-// shutdownCauseRequested is the one cause of a graceful shutdown.
-const shutdownCauseRequested = "requested"
-
 // nodeLatencyPrecision is the precision to which latencies are logged.
 const nodeLatencyPrecision = 100 * time.Microsecond
 
--- a/internal/platform/upstream.go
+++ b/internal/platform/upstream.go
@@ -42,6 +42,8 @@
 	exhausted   atomic.Uint64 // attempts that found no connection free
 }
 
+var _ daemon.Upstream = (*upstreamPool)(nil)
+
 func newUpstreamPool(ctx context.Context, loop *daemon.EventLoop, config *Config, addresses *addressTable,
 	log *slog.Logger, maxConnections int) *upstreamPool {
 	return &upstreamPool{
