--- a/internal/platform/eviction.go
+++ b/internal/platform/eviction.go
@@ -30,6 +30,13 @@
 	rankIdle
 )
 
+// Ranks among idle connections; a lower one is closed first. One that has sent no request yet counts as used
+// once.
+const (
+	rankUsedOnce = iota
+	rankUsedRepeatedly
+)
+
 // evictionRank is which connection goes first where room is wanted, and after how long in its state it may
 // go. It does not hold for one with a request in flight, which is never evicted.
 func (c *clientConn) evictionRank() (rank int, after time.Duration) {
@@ -125,8 +132,9 @@
 		if client.requests > 0 {
 			used++
 		}
+		rank = rankUsedOnce
 		if client.requests > 1 {
-			rank = 1
+			rank = rankUsedRepeatedly
 		}
 		return rank, client.state == stateIdle && time.Since(client.stateSince) >= idleFor
 	})
--- a/internal/platform/eviction_test.go
+++ b/internal/platform/eviction_test.go
@@ -49,7 +49,7 @@
 	if connection := fixture.awaitOnlyClient(stateIdle); !fixture.gateway.frontend.evict(connection, false) {
 		t.Fatal("an idle connection was not asked to end")
 	}
-	client.expectGracefulClose() // shut for sending
+	client.expectGracefulClose() // it is shut down for sending
 	client.send(readText("a2"))
 	eventually(t, "the session is over", func() bool {
 		fixture.gateway.frontend.mu.Lock()
@@ -57,7 +57,7 @@
 		return len(fixture.gateway.frontend.connections)+fixture.gateway.frontend.lingering == 0
 	})
 	if n := len(diskServer.received()); n != 1 || fixture.gateway.loop.Stats.Admitted.Load() != 1 {
-		t.Errorf("%d sends, %d taken", n, fixture.gateway.loop.Stats.Admitted.Load())
+		t.Errorf("%d sends, %d admitted", n, fixture.gateway.loop.Stats.Admitted.Load())
 	}
 }
 
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -88,7 +88,8 @@
 }
 
 // Run serves until a graceful shutdown is complete or ctx ends; both return nil. All goroutines that it
-// started have ended when it returns. A listening address that cannot be used is a [*ConfigError].
+// started have ended then. An address that cannot be listened at, for clients or for datagrams, is a
+// [*ConfigError].
 func (g *Gateway) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -35,7 +35,7 @@
 	attrAcceptFor    = "accept_for"
 	attrAnswerWithin = "answer_within"
 
-	attrStatistics = "all"
+	attrStatistics = "statistics"
 
 	// Client connections by state.
 	attrClientsSilent    = "clients_silent"
