--- /dev/null
+++ b/internal/platform/reload.go
@@ -0,0 +1,15 @@
+package platform
+
+import ()
+
+// Reload takes over from a new configuration what may change while the scheduler runs: the address of the
+// discovery service. Everything else in it is ignored.
+func (g *Gateway) Reload(config *Config) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.discoveryAddress = config.Discovery
+	if g.discovery != nil {
+		g.discovery.MoveTo(config.Discovery)
+	}
+	g.log.Info(messageReloaded, attrDiscovery, config.Discovery)
+}
