--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"landingpaddle/endpoints"
 	"landingpaddle/internal/daemon"
 )
 
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -1,7 +1,5 @@
 package platform
 
-import ()
-
 // Reload takes over from a new configuration what may change while the scheduler runs: the address of the
 // discovery service. Everything else in it is ignored.
 func (g *Gateway) Reload(config *Config) {
