--- /dev/null
+++ b/internal/http1/body.go
@@ -0,0 +1,42 @@
+package http1
+
+import (
+	"errors"
+	"io"
+)
+
+// Body reads a body of a length in bytes that a head stated. One over Limits.MaxBody is an *Error and is not
+// read.
+func (r *Reader) Body(length int64) ([]byte, error) {
+	if length > int64(r.limits.MaxBody) {
+		return nil, errBodyTooLong
+	}
+	body := make([]byte, length)
+	count := copy(body, r.buffer[r.start:r.end])
+	r.start += count
+	if count == len(body) {
+		return body, nil
+	}
+	r.readCount++
+	if _, err := io.ReadFull(r.source, body[count:]); err != nil {
+		return nil, unexpectedEOF(err)
+	}
+	return body, nil
+}
+
+// readToEnd reads a body that ends with the connection.
+func (r *Reader) readToEnd() ([]byte, error) {
+	var body []byte
+	for {
+		body = append(body, r.buffer[r.start:r.end]...)
+		r.start = r.end
+		if len(body) > r.limits.MaxBody {
+			return nil, errBodyTooLong
+		}
+		if err := r.fillHead(); errors.Is(err, io.EOF) {
+			return body, nil
+		} else if err != nil {
+			return nil, err
+		}
+	}
+}
--- /dev/null
+++ b/internal/http1/request.go
@@ -0,0 +1,106 @@
+package http1
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+)
+
+// Versions that are read. Only version11 is written.
+const (
+	version10 = "HTTP/1.0"
+	version11 = "HTTP/1.1"
+)
+
+// Request is the head of a client's request.
+type Request struct {
+	Method, Target string
+	Header         Header
+	Length         int64 // bytes of the body, as stated
+	Close          bool  // the client sends no more requests on this connection
+}
+
+// Request reads the head of a request. Its body, of Length bytes, is read by Body next. io.EOF means that
+// the connection ended before a request began; a request that is not accepted is an *Error.
+func (r *Reader) Request() (*Request, error) {
+	if err := r.WaitReadable(); err != nil {
+		return nil, err
+	}
+	if !isTokenChar(r.buffer[r.start]) {
+		return nil, malformed("no request begins so")
+	}
+	budget := r.limits.MaxHead
+	text, err := r.readLine(&budget)
+	if err != nil {
+		return nil, err
+	}
+	line, err := parseRequestLine(text)
+	if err != nil {
+		return nil, err
+	}
+	header, err := r.readHeader(&budget)
+	if err != nil {
+		return nil, err
+	}
+	length, err := requestLength(line.method, header, r.limits)
+	if err != nil {
+		return nil, err
+	}
+	if _, hosts := header.Get("Host"); hosts > 1 || hosts == 0 && line.version == version11 {
+		return nil, malformed("a request names one Host")
+	}
+	return &Request{
+		Method: line.method,
+		Target: line.target,
+		Header: header,
+		Length: length,
+		Close:  header.closesConnection(line.version),
+	}, nil
+}
+
+// requestLine is the first line of a request.
+type requestLine struct{ method, target, version string }
+
+func parseRequestLine(text string) (requestLine, error) {
+	method, rest, _ := strings.Cut(text, " ")
+	target, version, complete := strings.Cut(rest, " ")
+	if !complete || !isToken(method) || target == "" {
+		return requestLine{}, malformed("the request line is not method, target, version")
+	}
+	if version != version11 && version != version10 {
+		return requestLine{}, errUnknownVersion
+	}
+	if err := validateTarget(target); err != nil {
+		return requestLine{}, err
+	}
+	return requestLine{method: method, target: target, version: version}, nil
+}
+
+func validateTarget(target string) error {
+	if target[0] != '/' {
+		return malformed("the target does not begin with /")
+	}
+	for i := range len(target) {
+		if char := target[i]; char <= ' ' || char >= 0x7f || char == '#' {
+			return malformed("the target holds a character that it may not")
+		}
+	}
+	return nil
+}
+
+// requestLength returns the length of a request's body in bytes; none is stated for an empty one.
+func requestLength(method string, header Header, limits Limits) (int64, error) {
+	stated, err := header.framing()
+	switch {
+	case err != nil:
+		return 0, err
+	case stated.chunked:
+		return 0, errLengthRequired
+	case stated.length > int64(limits.MaxBody):
+		reason := fmt.Sprintf("the body is over %d bytes", limits.MaxBody)
+		return 0, newError(http.StatusRequestEntityTooLarge, reason)
+	case stated.length > 0 && (method == http.MethodGet || method == http.MethodHead):
+		return 0, malformed("a " + method + " has a body")
+	}
+	return max(0, stated.length), nil
+}
--- /dev/null
+++ b/internal/http1/response.go
@@ -0,0 +1,116 @@
+package http1
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+// Response is a complete response of a server.
+type Response struct {
+	Status int
+	Header Header
+	Body   []byte
+	Close  bool // the connection cannot be used again
+}
+
+// Response reads a complete response to a request other than HEAD. Interim responses (status 1xx) ahead of
+// it are skipped. A response that is not accepted is an *Error.
+func (r *Reader) Response() (*Response, error) {
+	for range maxInterimResponses + 1 {
+		response, err := r.readResponse()
+		if err != nil || !response.isInterim() {
+			return response, err
+		}
+	}
+	return nil, malformed("too many interim answers")
+}
+
+func (response *Response) isInterim() bool { return response.Status < http.StatusOK }
+
+// readResponse reads one response, interim or final.
+func (r *Reader) readResponse() (*Response, error) {
+	if err := r.expectPrefix("HTTP/1."); err != nil {
+		return nil, err
+	}
+	budget := r.limits.MaxHead
+	text, err := r.readLine(&budget)
+	if err != nil {
+		return nil, err
+	}
+	line, err := parseStatusLine(text)
+	if err != nil {
+		return nil, err
+	}
+	response := &Response{Status: line.status}
+	if response.Header, err = r.readHeader(&budget); err != nil {
+		return nil, err
+	}
+	if response.Status == http.StatusSwitchingProtocols {
+		return nil, malformed("nobody asked for another protocol")
+	}
+	if response.isInterim() {
+		return response, nil
+	}
+	response.Close = response.Header.closesConnection(line.version)
+	if err := r.readResponseBody(response); err != nil {
+		return nil, err
+	}
+	return response, nil
+}
+
+// expectPrefix fails as soon as what has come cannot begin a response: noise need not end in a line.
+func (r *Reader) expectPrefix(prefix string) error {
+	for {
+		count := min(len(prefix), r.Buffered())
+		if string(r.buffer[r.start:r.start+count]) != prefix[:count] {
+			return malformed("no answer begins so")
+		}
+		if count == len(prefix) {
+			return nil
+		}
+		if err := r.fillHead(); err != nil {
+			if count > 0 {
+				err = unexpectedEOF(err)
+			}
+			return err
+		}
+	}
+}
+
+// statusLine is the first line of a response, without its reason phrase.
+type statusLine struct {
+	version string
+	status  int
+}
+
+func parseStatusLine(text string) (statusLine, error) {
+	version, rest, _ := strings.Cut(text, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, err := strconv.Atoi(code)
+	validCode := err == nil && len(code) == 3 && status >= http.StatusContinue
+	if !validCode || (version != version11 && version != version10) {
+		return statusLine{}, malformed("the status line is not version, status, reason")
+	}
+	return statusLine{version: version, status: status}, nil
+}
+
+// readResponseBody reads the body in the framing that the response's head states. Without any it ends with
+// the connection.
+func (r *Reader) readResponseBody(response *Response) error {
+	stated, err := response.Header.framing()
+	switch {
+	case err != nil:
+		return err
+	case response.Status == http.StatusNoContent || response.Status == http.StatusNotModified:
+		return nil
+	case stated.chunked:
+		response.Body, err = r.readChunks()
+	case stated.length == lengthUnstated:
+		response.Close = true
+		response.Body, err = r.readToEnd()
+	default:
+		response.Body, err = r.Body(stated.length)
+	}
+	return err
+}
