--- a/internal/http1/benchmark_test.go
+++ b/internal/http1/benchmark_test.go
@@ -6,10 +6,10 @@
 )
 
 func BenchmarkReader_Request(b *testing.B) {
-	source := []byte("PUT /api?extent=01 HTTP/1.1\r\n" + head + "Content-Length: 3\r\n\r\nabc")
+	source := []byte("PUT /api?extent=01 HTTP/1.1\r\n" + requestFields + "Content-Length: 3\r\n\r\nabc")
 	b.ReportAllocs()
 	for b.Loop() {
-		reader := NewReader(bytes.NewReader(source), lim)
+		reader := NewReader(bytes.NewReader(source), testLimits)
 		request, err := reader.Request()
 		if err != nil {
 			b.Fatal(err)
@@ -29,7 +29,7 @@
 			source := []byte(message.source)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := NewReader(bytes.NewReader(source), lim).Response(); err != nil {
+				if _, err := NewReader(bytes.NewReader(source), testLimits).Response(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- /dev/null
+++ b/internal/http1/fuzz_test.go
@@ -0,0 +1,64 @@
+package http1
+
+import (
+	"strings"
+	"testing"
+)
+
+func FuzzRequest(f *testing.F) {
+	f.Add([]byte("PUT /a?b=c HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhiGET / HTTP/1.1\r\nHost: " +
+		"a\r\n\r\n"))
+	f.Add([]byte("PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		reader := readerOf(string(text))
+		for range 4 {
+			request, err := reader.Request()
+			if err != nil {
+				return
+			}
+			body, err := reader.Body(request.Length)
+			if err != nil {
+				return
+			}
+			if _, hosts := request.Header.Get("Host"); hosts == 0 {
+				return // of HTTP/1.0, which is written again as 1.1
+			}
+			checkRoundTrip(t, request, body)
+		}
+	})
+}
+
+// checkRoundTrip verifies that an accepted request, written again, is read as the same request.
+func checkRoundTrip(t *testing.T, request *Request, body []byte) {
+	t.Helper()
+	var header Header
+	for _, field := range request.Header {
+		if !strings.EqualFold(field.Name, "Content-Length") {
+			header = append(header, field)
+		}
+	}
+	written := string(AppendRequest(nil, request.Method, request.Target, header, body))
+	again, err := NewReader(strings.NewReader(written), Limits{MaxHead: 4096, MaxBody: 4096}).Request()
+	if err != nil || again.Method != request.Method || again.Target != request.Target ||
+		again.Length != request.Length {
+		t.Fatalf("%+v became %+v, %v", request, again, err)
+	}
+}
+
+func FuzzResponse(f *testing.F) {
+	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"))
+	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		response, err := readerOf(string(text)).Response()
+		if err != nil {
+			return
+		}
+		if len(response.Body) > testLimits.MaxBody || response.Status < 200 {
+			t.Fatalf("status %d with %d bytes", response.Status, len(response.Body))
+		}
+		again, err := readerOf(string(AppendResponse(nil, 200, "OK", nil, response.Body))).Response()
+		if err != nil || string(again.Body) != string(response.Body) {
+			t.Fatalf("a body of %d bytes became %v, %v", len(response.Body), again, err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/http1/reader_test.go
@@ -0,0 +1,53 @@
+package http1
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+)
+
+// Pipelined requests are buffered within a bound of their own, over that of a head, and the end of the source
+// is reported while messages are still in the buffer.
+func TestReader_ReadsAheadWithinItsBound(t *testing.T) {
+	const requests = 300
+	text := strings.Repeat("GET /a HTTP/1.1\r\nHost: a\r\n\r\n", requests) // 8,100 bytes
+	reader := readerOf(text)
+	if err := reader.ReadAhead(100); err != nil || reader.Buffered() == 0 {
+		t.Fatalf("%d bytes, %v", reader.Buffered(), err)
+	}
+	for reader.Buffered() < len(text) {
+		if err := reader.ReadAhead(len(text)); err != nil {
+			t.Fatalf("after %d bytes: %v", reader.Buffered(), err)
+		}
+	}
+	if err := reader.ReadAhead(len(text)); !errors.Is(err, ErrBufferFull) {
+		t.Fatalf("beyond the bound: %v", err)
+	}
+	if err := reader.ReadAhead(2 * len(text)); !errors.Is(err, io.EOF) || reader.Buffered() != len(text) {
+		t.Fatalf("at the end: %v with %d bytes", err, reader.Buffered())
+	}
+	reads := reader.ReadCount()
+	for number := range requests {
+		if request, err := reader.Request(); err != nil || request.Target != "/a" {
+			t.Fatalf("request %d: %+v, %v", number, request, err)
+		}
+	}
+	if reader.ReadCount() != reads {
+		t.Errorf("%d reads for requests that were buffered", reader.ReadCount()-reads)
+	}
+	reader.Shrink()
+	if reader.BufferSize() != 0 {
+		t.Errorf("the buffer keeps %d bytes", reader.BufferSize())
+	}
+}
+
+func TestReader_RejectsALongHeadThatWasReadAhead(t *testing.T) {
+	reader := readerOf(strings.Repeat("a", 2*testLimits.MaxHead))
+	for reader.ReadAhead(2*testLimits.MaxHead) == nil {
+	}
+	if _, err := reader.Request(); !hasStatus(t, err, http.StatusRequestHeaderFieldsTooLarge) {
+		t.Error(err)
+	}
+}
