--- /dev/null
+++ b/internal/proto/conn_read.go
@@ -0,0 +1,99 @@
+package proto
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"time"
+)
+
+// silenceCheckInterval is how often a silent connection is checked: requests that are opened or closed
+// meanwhile change how long it may be silent.
+const silenceCheckInterval = time.Second
+
+// goodbyeIdle is the reason of a goodbye on a connection that was idle for too long.
+const goodbyeIdle = "idle"
+
+// readFrames passes frames to handle until the connection or handle fails; it never returns nil.
+func (c *Conn) readFrames(handle func(Frame) error) error {
+	frames := NewReader(c.reader, c.cfg.Limits)
+	for {
+		if err := c.waitForFrame(); err != nil {
+			return err
+		}
+		if c.cfg.Gate != nil {
+			c.cfg.Gate()
+		}
+		frame, err := frames.Next()
+		if err != nil {
+			return err
+		}
+		if frame.Type == TypeGoodbye {
+			return errGoodbye
+		}
+		if err := handle(frame); err != nil {
+			return err
+		}
+	}
+}
+
+// waitForFrame waits for the first byte of a frame. A connection with nothing in flight may be silent for
+// Idle, one with requests in flight for Silence; the rest of a frame must come within Silence too.
+func (c *Conn) waitForFrame() error {
+	if c.reader.Buffered() >= prefixSize {
+		return nil // deadlines are set once for a burst of frames, not for each
+	}
+	started := time.Now()
+	for {
+		allowed := c.allowedSilence(started)
+		if time.Since(allowed.since) >= allowed.limit {
+			return c.endSilentConnection(allowed)
+		}
+		step := min(allowed.limit, silenceCheckInterval)
+		if err := c.netConn.SetReadDeadline(time.Now().Add(step)); err != nil {
+			return err
+		}
+		_, err := c.reader.Peek(1)
+		switch {
+		case err == nil:
+			return c.netConn.SetReadDeadline(time.Now().Add(c.cfg.Silence))
+		case errors.Is(err, os.ErrDeadlineExceeded): // silent so far
+		case errors.Is(err, io.EOF):
+			return errGoodbye
+		default:
+			return err
+		}
+	}
+}
+
+// silence is how long the other side may send nothing.
+type silence struct {
+	idle  bool // nothing is in flight
+	limit time.Duration
+	since time.Time
+}
+
+// allowedSilence returns what is allowed at present to a connection on which nothing was received since a
+// time.
+func (c *Conn) allowedSilence(since time.Time) silence {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.openStreams) == 0 {
+		return silence{idle: true, limit: c.cfg.Idle, since: since}
+	}
+	if c.busySince.After(since) {
+		since = c.busySince // the connection was idle before
+	}
+	return silence{limit: c.cfg.Silence, since: since}
+}
+
+// endSilentConnection returns the error of a connection that was silent for too long; an idle one is closed
+// gracefully.
+func (c *Conn) endSilentConnection(allowed silence) error {
+	if allowed.idle {
+		c.CloseGracefully(goodbyeIdle)
+		return io.EOF
+	}
+	return fmt.Errorf("%w: %v", ErrSilent, allowed.limit)
+}
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -1,82 +1,54 @@
-// Package proto is the protocol between clients, instances, nodes and the list service: frames over TCP, many
-// requests in flight on one connection, answers in any order. docs/protocol.md describes it for others.
 package proto
 
 import (
-	"bytes"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"hash/crc32"
-	"io"
-
-	"github.com/fxamacker/cbor/v2"
 )
 
-// Version of the protocol, told in the greeting. Both sides must speak the same.
+// Version is the protocol's version, stated in the greeting. Both sides must speak the same.
 const Version = 1
 
-// Type tells what a frame is.
+// Type is the type of a frame.
 type Type uint8
 
-// The frame types.
+// The frame types. The numbers must not change.
 const (
 	TypeHello           Type = 1 // the greeting, first on each side; header Hello
 	TypeRequest         Type = 2 // header Request, payload of a write
 	TypeAnswer          Type = 3 // the one final answer of a stream; header Answer, payload of a read
 	TypeResponseStarted Type = 4 // a streamed answer has begun; no header
-	// the stream's answer is no longer wanted; it still comes; no header or Cancel
+	// TypeCancel says that a stream's answer is no longer wanted; it is still sent. No header, or Cancel.
 	TypeCancel            Type = 5
-	TypeHealthCheck       Type = 6  // asks whether the other side lives; no header
-	TypeHealthCheckResult Type = 7  // its answer; header Answer
-	TypeDrain             Type = 8  // the sender takes nothing new from now on
-	TypeGoodbye           Type = 9  // the sender closes the connection in order; header Bye
-	TypeWatch             Type = 10 // to the list service: header Ask; News until the connection ends
-	TypeFetch             Type = 11 // to the list service: header Ask; one News or Answer
-	TypeUpdate            Type = 12 // from the list service: header is the list's own
-	TypeAcknowledge       Type = 13 // to the list service: the News of this stream has been taken in
-	TypeRegister          Type = 14 // to the list service, from a node: header is the list's own
+	TypeHealthCheck       Type = 6  // asks whether the other side serves; no header
+	TypeHealthCheckResult Type = 7  // answers a health check; header Answer
+	TypeDrain             Type = 8  // the sender is draining: it takes nothing new
+	TypeGoodbye           Type = 9  // the sender closes the connection gracefully; header Goodbye
+	TypeWatch             Type = 10 // to the registry: header ListVersion; updates until the connection ends
+	TypeFetch             Type = 11 // to the registry: header ListVersion; one update or answer
+	TypeUpdate            Type = 12 // from the registry: header registry.Message
+	TypeAcknowledge       Type = 13 // to the registry: the update whose version is the stream was applied
+	TypeRegister          Type = 14 // from a node to the registry: header registry.Message
+
+	lastType = TypeRegister
 )
 
+// typeNames are the frame types' names in docs/protocol.md and in logs.
+var typeNames = [...]string{
+	"none", "hello", "request", "answer", "first", "cancel", "probe", "probed", "drain", "bye",
+	"watch", "fetch", "news", "heard", "register",
+}
+
+// String returns the type's name in the protocol's description.
 func (t Type) String() string {
-	names := [...]string{"none", "hello", "request", "answer", "first", "cancel", "probe", "probed", "drain",
-		"bye", "watch", "fetch", "news", "heard", "register"}
-	if int(t) < len(names) {
-		return names[t]
+	if int(t) < len(typeNames) {
+		return typeNames[t]
 	}
 	return fmt.Sprintf("type %d", uint8(t))
 }
 
-// The fixed part in front of each frame, little-endian:
-//
-//	0  u32  length of the header
-//	4  u32  length of the payload
-//	8  u8   type
-//	9  u8   0
-//	10 u16  0
-//	12 u64  stream
-//	20 u32  CRC-32C of bytes 0 to 19, the header and the payload
-const headerSize = 24
-
-// Limits bound what one connection takes from the other side.
-type Limits struct {
-	Header  int // bytes of one header
-	Payload int // bytes of one payload
-	Streams int // requests in flight
-	Backlog int // bytes waiting to be written
-}
-
-// DefaultLimits fit object reads and writes of a few MiB.
-var DefaultLimits = Limits{Header: 4 << 10, Payload: 8 << 20, Streams: 1024, Backlog: 32 << 20}
-
-// LimitsFor fit payloads of a stated size: a few of them may wait to be written.
-func LimitsFor(payload, streams int) Limits {
-	return Limits{Header: DefaultLimits.Header, Payload: payload, Streams: streams, Backlog: 4*payload +
-		1<<20}
-}
-
-// Frame is one frame as read. The header is only valid until the next read; the payload is the reader's to
-// keep.
+// Frame is one frame as read. Header is valid until the next read only; Payload belongs to the caller.
 type Frame struct {
 	Type    Type
 	Stream  uint64
@@ -84,7 +56,7 @@
 	Payload []byte
 }
 
-// Errors of frames. Each ends the connection on which it came, and no other.
+// Errors of frames. One in a frame that was received ends its connection, and no other.
 var (
 	ErrChecksum  = errors.New("checksum does not match")
 	ErrHeader    = errors.New("header is over the limit")
@@ -94,121 +66,72 @@
 	ErrTruncated = errors.New("frame is cut short")
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-// Encoding of headers: CBOR by RFC 8949 with small whole numbers as keys. What is read is bounded, may not
-// double a key, and may hold keys that are not known, so that later versions can add some.
-var (
-	encMode = func() cbor.UserBufferEncMode {
-		m, err := cbor.CoreDetEncOptions().UserBufferEncMode()
-		if err != nil {
-			panic(err)
-		}
-		return m
-	}()
-	decMode = func() cbor.DecMode {
-		m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 16, MaxMapPairs: 256,
-			DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
-		if err != nil {
-			panic(err)
-		}
-		return m
-	}()
+// Layout of the prefix of fixed size in front of each frame's header. Numbers are little-endian.
+const (
+	headerLengthOffset  = 0  // u32, bytes
+	payloadLengthOffset = 4  // u32, bytes
+	typeOffset          = 8  // u8
+	reservedOffset      = 9  // three bytes, 0
+	streamOffset        = 12 // u64
+	checksumOffset      = 20 // u32, CRC-32C of the prefix before it, the header and the payload
+	prefixSize          = 24
 )
 
-// Decode reads a frame's header into v.
-func (f Frame) Decode(v any) error {
-	if err := decMode.Unmarshal(f.Header, v); err != nil {
-		return fmt.Errorf("%v header: %w", f.Type, err)
-	}
-	return nil
+// prefix is a frame's prefix without its checksum.
+type prefix struct {
+	frameType     Type
+	stream        uint64
+	headerLength  uint32
+	payloadLength uint32
+	reservedSet   bool // any reserved byte is not zero
 }
 
-// appendFrame adds a frame to b. A nil header is none.
-func appendFrame(b *bytes.Buffer, t Type, stream uint64, header any, payload []byte, lim Limits) error {
-	start := b.Len()
-	var lead [headerSize]byte
-	b.Write(lead[:])
-	if header != nil {
-		if err := encMode.MarshalToBuffer(header, b); err != nil {
-			b.Truncate(start)
-			return fmt.Errorf("%v header: %w", t, err)
-		}
+func parsePrefix(encoded *[prefixSize]byte) prefix {
+	reserved := encoded[reservedOffset:streamOffset]
+	return prefix{
+		frameType:     Type(encoded[typeOffset]),
+		stream:        binary.LittleEndian.Uint64(encoded[streamOffset:]),
+		headerLength:  binary.LittleEndian.Uint32(encoded[headerLengthOffset:]),
+		payloadLength: binary.LittleEndian.Uint32(encoded[payloadLengthOffset:]),
+		reservedSet:   reserved[0] != 0 || reserved[1] != 0 || reserved[2] != 0,
 	}
-	size := b.Len() - start - headerSize
-	if size > lim.Header || len(payload) > lim.Payload {
-		b.Truncate(start)
-		if size > lim.Header {
-			return fmt.Errorf("%v: %w: %d bytes of %d", t, ErrHeader, size, lim.Header)
-		}
-		return fmt.Errorf("%v: %w: %d bytes of %d", t, ErrPayload, len(payload), lim.Payload)
-	}
-	b.Write(payload)
-	out := b.Bytes()[start:]
-	binary.LittleEndian.PutUint32(out[0:], uint32(size))
-	binary.LittleEndian.PutUint32(out[4:], uint32(len(payload)))
-	out[8] = byte(t)
-	binary.LittleEndian.PutUint64(out[12:], stream)
-	sum := crc32.Update(crc32.Checksum(out[:20], castagnoli), castagnoli, out[headerSize:])
-	binary.LittleEndian.PutUint32(out[20:], sum)
-	return nil
 }
 
-// Reader reads frames. It allocates payloads, and no more for one than the limit.
-type Reader struct {
-	r      io.Reader
-	lim    Limits
-	lead   [headerSize]byte
-	header []byte
+// put encodes the prefix, but for its checksum, into zeroed bytes.
+func (p prefix) put(encoded []byte) {
+	binary.LittleEndian.PutUint32(encoded[headerLengthOffset:], p.headerLength)
+	binary.LittleEndian.PutUint32(encoded[payloadLengthOffset:], p.payloadLength)
+	encoded[typeOffset] = byte(p.frameType)
+	binary.LittleEndian.PutUint64(encoded[streamOffset:], p.stream)
 }
 
-// NewReader reads frames from r, which should be buffered.
-func NewReader(r io.Reader, lim Limits) *Reader { return &Reader{r: r, lim: lim} }
-
-// Next reads one frame. io.EOF means that the input ended between two frames.
-func (r *Reader) Next() (Frame, error) {
-	if n, err := io.ReadFull(r.r, r.lead[:]); err != nil {
-		if n > 0 && errors.Is(err, io.ErrUnexpectedEOF) {
-			return Frame{}, fmt.Errorf("%w: %d of %d bytes of its fixed part", ErrTruncated, n, headerSize)
-		}
-		return Frame{}, err
-	}
-	header, payload := binary.LittleEndian.Uint32(r.lead[0:]), binary.LittleEndian.Uint32(r.lead[4:])
-	f := Frame{Type: Type(r.lead[8]), Stream: binary.LittleEndian.Uint64(r.lead[12:])}
+// validate checks what can be known of a received frame before its header and payload are read.
+func (p prefix) validate(limits Limits) error {
 	switch {
-	case f.Type == 0 || f.Type > TypeRegister:
-		return Frame{}, fmt.Errorf("%w: %d", ErrType, r.lead[8])
-	case r.lead[9] != 0 || r.lead[10] != 0 || r.lead[11] != 0:
-		return Frame{}, fmt.Errorf("%v: %w", f.Type, ErrReserved)
-	case uint64(header) > uint64(r.lim.Header):
-		return Frame{}, fmt.Errorf("%v: %w: %d bytes of %d", f.Type, ErrHeader, header, r.lim.Header)
-	case uint64(payload) > uint64(r.lim.Payload):
-		return Frame{}, fmt.Errorf("%v: %w: %d bytes of %d", f.Type, ErrPayload, payload, r.lim.Payload)
-	}
-	if cap(r.header) < int(header) {
-		r.header = make([]byte, header)
-	}
-	f.Header = r.header[:header]
-	if err := r.full(f.Type, f.Header); err != nil {
-		return Frame{}, err
-	}
-	if payload > 0 {
-		f.Payload = make([]byte, payload)
-		if err := r.full(f.Type, f.Payload); err != nil {
-			return Frame{}, err
-		}
+	case p.frameType == 0 || p.frameType > lastType:
+		return fmt.Errorf("%w: %d", ErrType, uint8(p.frameType))
+	case p.reservedSet:
+		return fmt.Errorf("%v: %w", p.frameType, ErrReserved)
 	}
-	sum := crc32.Update(crc32.Checksum(r.lead[:20], castagnoli), castagnoli, f.Header)
-	if crc32.Update(sum, castagnoli, f.Payload) != binary.LittleEndian.Uint32(r.lead[20:]) {
-		return Frame{}, fmt.Errorf("%v: %w", f.Type, ErrChecksum)
-	}
-	return f, nil
+	return checkLengths(p.frameType, uint64(p.headerLength), uint64(p.payloadLength), limits)
 }
 
-func (r *Reader) full(t Type, into []byte) error {
-	n, err := io.ReadFull(r.r, into)
-	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return fmt.Errorf("%v: %w: %d of %d bytes", t, ErrTruncated, n, len(into))
+// checkLengths checks the bytes of a header and of a payload against the limits.
+func checkLengths(frameType Type, header, payload uint64, limits Limits) error {
+	switch {
+	case header > uint64(limits.Header):
+		return fmt.Errorf("%v: %w: %d bytes of %d", frameType, ErrHeader, header, limits.Header)
+	case payload > uint64(limits.Payload):
+		return fmt.Errorf("%v: %w: %d bytes of %d", frameType, ErrPayload, payload, limits.Payload)
 	}
-	return err
+	return nil
+}
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// checksum returns the CRC-32C of a frame; prefix is the encoded one.
+func checksum(prefix, header, payload []byte) uint32 {
+	sum := crc32.Checksum(prefix[:checksumOffset], castagnoli)
+	sum = crc32.Update(sum, castagnoli, header)
+	return crc32.Update(sum, castagnoli, payload)
 }
--- /dev/null
+++ b/internal/proto/handshake.go
@@ -0,0 +1,79 @@
+package proto
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+)
+
+// Dial connects to a TCP address and exchanges greetings.
+func Dial(ctx context.Context, addr string, cfg Config) (*Conn, error) {
+	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	return Greet(ctx, netConn, cfg)
+}
+
+// Greet exchanges greetings on a new connection, which either side may have opened. It takes netConn over,
+// and closes it if the exchange fails or ctx ends.
+func Greet(ctx context.Context, netConn net.Conn, cfg Config) (*Conn, error) {
+	conn := newConn(netConn, cfg.Defaults())
+	stop := context.AfterFunc(ctx, func() { netConn.Close() })
+	err := conn.greet()
+	if !stop() || err != nil {
+		netConn.Close()
+		return nil, errors.Join(err, context.Cause(ctx))
+	}
+	return conn, nil
+}
+
+func (c *Conn) greet() error {
+	if err := c.netConn.SetDeadline(time.Now().Add(c.cfg.Handshake)); err != nil {
+		return err
+	}
+	if err := c.sendHello(); err != nil {
+		return err
+	}
+	if err := c.receiveHello(); err != nil {
+		return err
+	}
+	c.peerLimits = Limits{
+		Header:  min(int(c.peerHello.Header), c.cfg.Limits.Header),
+		Payload: min(int(c.peerHello.Payload), c.cfg.Limits.Payload),
+		Streams: min(int(c.peerHello.Streams), c.cfg.Limits.Streams),
+		Backlog: c.cfg.Limits.Backlog,
+	}
+	return c.netConn.SetDeadline(time.Time{})
+}
+
+func (c *Conn) sendHello() error {
+	var buffer bytes.Buffer
+	if err := appendFrame(&buffer, TypeHello, 0, c.cfg.Hello, nil, DefaultLimits); err != nil {
+		return err
+	}
+	if _, err := c.netConn.Write(buffer.Bytes()); err != nil {
+		return fmt.Errorf("greeting: %w", err)
+	}
+	return nil
+}
+
+func (c *Conn) receiveHello() error {
+	frame, err := NewReader(c.reader, Limits{Header: DefaultLimits.Header}).Next()
+	if err != nil {
+		return fmt.Errorf("greeting: %w", err)
+	}
+	if frame.Type != TypeHello {
+		return fmt.Errorf("greeting: found a frame of type %v; want %v", frame.Type, TypeHello)
+	}
+	if err := frame.Decode(&c.peerHello); err != nil {
+		return err
+	}
+	if c.peerHello.Version != Version {
+		return fmt.Errorf("%w: %d, not %d", ErrVersion, c.peerHello.Version, Version)
+	}
+	return nil
+}
--- a/internal/proto/proto_test.go
+++ b/internal/proto/proto_test.go
@@ -78,7 +78,7 @@
 	if err := appendFrame(&b, TypeRequest, 1, q, nil, DefaultLimits); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes of %d", b.Len()-headerSize, DefaultLimits.Header)
+	t.Logf("%d bytes of %d", b.Len()-prefixSize, DefaultLimits.Header)
 }
 
 // A frame that is cut anywhere, changed anywhere or over a limit is one clear error.
@@ -226,8 +226,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		bad.nc.Write(c.send)
-		bad.nc.(*net.TCPConn).CloseWrite()
+		bad.netConn.Write(c.send)
+		bad.netConn.(*net.TCPConn).CloseWrite()
 		if err := <-ended; !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
@@ -294,8 +294,8 @@
 	client, _ := pair(t, Config{Limits: Limits{Header: 4096, Payload: 1, Streams: 2, Backlog: 1 << 20}},
 		func(*Conn, Frame) error { return nil })
 	err := errors.Join(client.OpenStream(1), client.OpenStream(2))
-	if err != nil || !errors.Is(client.OpenStream(2), ErrStream) ||
-		!errors.Is(client.OpenStream(3), ErrStreams) {
+	if err != nil || !errors.Is(client.OpenStream(2), ErrStreamInUse) ||
+		!errors.Is(client.OpenStream(3), ErrTooManyStreams) {
 		t.Errorf("%v, then %v and %v", err, client.OpenStream(2), client.OpenStream(3))
 	}
 	if client.CloseStream(1); client.OpenStream(3) != nil {
--- /dev/null
+++ b/internal/proto/streams.go
@@ -0,0 +1,44 @@
+package proto
+
+import (
+	"fmt"
+	"time"
+)
+
+// Streams returns how many requests may be in flight.
+func (c *Conn) Streams() int { return c.peerLimits.Streams }
+
+// InFlight returns how many streams are open.
+func (c *Conn) InFlight() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.openStreams)
+}
+
+// OpenStream notes that a stream is in flight. Both sides count: the one that sends requests never exceeds
+// what was agreed, and the other closes the connection on an error, which is ErrStreamInUse or
+// ErrTooManyStreams.
+func (c *Conn) OpenStream(stream uint64) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, inUse := c.openStreams[stream]; inUse {
+		return fmt.Errorf("%w: %d", ErrStreamInUse, stream)
+	}
+	if len(c.openStreams) >= c.peerLimits.Streams {
+		return fmt.Errorf("%w: %d", ErrTooManyStreams, c.peerLimits.Streams)
+	}
+	if len(c.openStreams) == 0 {
+		c.busySince = time.Now()
+	}
+	c.openStreams[stream] = struct{}{}
+	return nil
+}
+
+// CloseStream notes that a stream is no longer in flight, and reports whether it was.
+func (c *Conn) CloseStream(stream uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, inUse := c.openStreams[stream]
+	delete(c.openStreams, stream)
+	return inUse
+}
