--- a/internal/proto/bytes_test.go
+++ b/internal/proto/bytes_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Each frame's bytes are part of the protocol: version 1 is what testdata/frames.txt says.
-func TestFrameBytes(t *testing.T) {
-	request := Request{
+// A request and an answer with all fields set, each to a value of its own.
+var (
+	fullRequest = Request{
 		Token:           1,
 		Class:           2,
 		Plan:            3,
@@ -34,7 +34,7 @@
 		Members: []Member{{Token: 1, Volume: 2, Key: 3, Plan: 4, Units: 5, Offset: 6, Length: 7,
 			Piece: 8, Try: 9, Client: 10}},
 	}
-	answer := Answer{
+	fullAnswer = Answer{
 		Code:           Rejected,
 		MeteredRate:    2,
 		ElsewhereUnits: 3,
@@ -47,17 +47,21 @@
 		Uncertain:      10,
 		Unsent:         11,
 	}
+)
+
+// Each frame's bytes are part of the protocol: version 1 is what testdata/frames.txt says.
+func TestAppendFrame_WritesTheBytesOfVersion1(t *testing.T) {
 	var out strings.Builder
 	for _, frame := range []struct {
-		kind    Type
-		header  any
-		payload []byte
+		frameType Type
+		header    any
+		payload   []byte
 	}{
 		{TypeHello, Hello{Version: 1, Role: "client", Number: 3, StartedAt: 4, Header: 5, Payload: 6,
 			Streams: 7}, nil},
-		{TypeRequest, request, []byte("bytes")},
+		{TypeRequest, fullRequest, []byte("bytes")},
 		{TypeRequest, Request{Token: 1}, nil},
-		{TypeAnswer, answer, []byte("bytes")},
+		{TypeAnswer, fullAnswer, []byte("bytes")},
 		{TypeAnswer, Answer{Code: OK}, nil},
 		{TypeResponseStarted, nil, nil},
 		{TypeCancel, Cancel{Members: []uint16{1, 2}}, nil},
@@ -71,20 +75,21 @@
 		{TypeAcknowledge, nil, nil},
 		{TypeRegister, nil, nil},
 	} {
-		var b bytes.Buffer
-		if err := appendFrame(&b, frame.kind, 0x0102, frame.header, frame.payload,
-			DefaultLimits); err != nil {
+		var buffer bytes.Buffer
+		err := appendFrame(&buffer, frame.frameType, 0x0102, frame.header, frame.payload, DefaultLimits)
+		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&out, "%d %x\n", frame.kind, b.Bytes())
+		fmt.Fprintf(&out, "%d %x\n", frame.frameType, buffer.Bytes())
 	}
 	for _, code := range []Code{OK, Error, Overloaded, Cancelled, NotApplicable, Rejected, Failed} {
 		fmt.Fprintf(&out, "code %d\n", code)
 	}
-	golden(t, "testdata/frames.txt", out.String())
+	checkGolden(t, "testdata/frames.txt", out.String())
 }
 
-func golden(t *testing.T, path, got string) {
+// checkGolden compares text with the content of a file.
+func checkGolden(t *testing.T, path, got string) {
 	t.Helper()
 	want, err := os.ReadFile(path)
 	if err != nil {
--- /dev/null
+++ b/internal/proto/serve_test.go
@@ -0,0 +1,49 @@
+package proto
+
+import (
+	"context"
+	"errors"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// What goes wrong on one connection ends that one, with its cause, and no other.
+func TestServe_EndsABadConnectionAlone(t *testing.T) {
+	cfg := Config{Handshake: 300 * time.Millisecond}
+	addr, ended := startServer(t, cfg, 8, func(conn *Conn, frame Frame) error {
+		return conn.Send(TypeAnswer, frame.Stream, Answer{Code: OK}, nil)
+	})
+	good := dial(t, addr, Config{})
+	for _, test := range []struct {
+		name string
+		sent []byte
+		want error
+	}{
+		{"garbage", []byte(strings.Repeat("garbage ", 10)), ErrType},
+		{"cut", frameBytes(t, TypeRequest, 1, Request{}, []byte("abc"))[:30], ErrTruncated},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			bad := dial(t, addr, Config{})
+			bad.netConn.Write(test.sent)
+			bad.netConn.(*net.TCPConn).CloseWrite()
+			if err := <-ended; !errors.Is(err, test.want) {
+				t.Error(err)
+			}
+		})
+	}
+	silent, err := net.Dial("tcp4", addr) // never sends a greeting
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer silent.Close()
+	answered := errors.New("answered")
+	if err := good.Send(TypeRequest, 1, Request{}, nil); err != nil {
+		t.Fatal(err)
+	}
+	err = good.Run(context.Background(), func(Frame) error { return answered })
+	if !errors.Is(err, answered) {
+		t.Errorf("the good connection: %v", err)
+	}
+}
