--- a/internal/peer/bytes_test.go
+++ b/internal/peer/bytes_test.go
@@ -6,13 +6,13 @@
 )
 
 // A datagram's bytes are part of the protocol.
-func TestDatagramBytes(t *testing.T) {
+func TestEncode_WritesTheBytesOfTheProtocol(t *testing.T) {
 	const want = "4c50503107000000626f6479a8eac565"
-	b, err := Encode(7, []byte("body"))
+	datagram, err := Encode(7, []byte("body"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := hex.EncodeToString(b); got != want {
+	if got := hex.EncodeToString(datagram); got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
--- /dev/null
+++ b/internal/peer/datagram_test.go
@@ -0,0 +1,21 @@
+package peer
+
+import (
+	"bytes"
+	"testing"
+)
+
+func FuzzDecode(f *testing.F) {
+	valid, _ := Encode(3, []byte("body"))
+	f.Add(valid)
+	f.Fuzz(func(t *testing.T, datagram []byte) {
+		sender, body, err := Decode(datagram)
+		if err != nil {
+			return
+		}
+		again, err := Encode(sender, body)
+		if err != nil || !bytes.Equal(again, datagram) {
+			t.Fatalf("%x reads back as %x, %v", datagram, again, err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/peer/link_test.go
@@ -0,0 +1,91 @@
+package peer
+
+import (
+	"bytes"
+	"context"
+	"net"
+	"net/netip"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"landingpaddle/scheduler"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// linkPair returns the running links of instances 0 and 1, and the messages that instance 1 accepts. They run
+// until the test ends.
+func linkPair(t *testing.T) (sender, receiver *Link, received chan scheduler.PeerMessage) {
+	t.Helper()
+	peers := map[uint32]netip.AddrPort{}
+	sender = listen(t, 0, peers)
+	receiver = listen(t, 1, peers)
+	peers[0], peers[1] = sender.Addr(), receiver.Addr()
+	received = make(chan scheduler.PeerMessage, 8)
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { _ = sender.Run(ctx, func(scheduler.PeerMessage) {}) })
+	running.Go(func() {
+		_ = receiver.Run(ctx, func(message scheduler.PeerMessage) { received <- message })
+	})
+	t.Cleanup(func() { cancel(); running.Wait() })
+	return sender, receiver, received
+}
+
+func listen(t *testing.T, instance uint32, peers map[uint32]netip.AddrPort) *Link {
+	t.Helper()
+	link, err := Listen("127.0.0.1:0", instance, peers, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return link
+}
+
+// sendGarbage sends datagrams that a link must not accept.
+func sendGarbage(t *testing.T, addr netip.AddrPort) {
+	t.Helper()
+	conn, err := net.Dial("udp4", addr.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	stranger, _ := Encode(7, []byte("x"))
+	changed, _ := Encode(0, []byte("abc"))
+	changed[9] ^= 1
+	tooLong := bytes.Repeat([]byte("LPP1"), 400)
+	for _, datagram := range [][]byte{{}, []byte("garbage"), stranger, changed, tooLong} {
+		if _, err := conn.Write(datagram); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// Messages are delivered; garbage, messages of strangers and changed bytes are counted and go no further.
+func TestLink_DeliversMessagesAndRejectsGarbage(t *testing.T) {
+	sender, receiver, received := linkPair(t)
+	sendGarbage(t, receiver.Addr())
+	if err := sender.Send(scheduler.AllPeers, []byte("hello")); err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case message := <-received:
+		if message.From != 0 || string(message.Body) != "hello" {
+			t.Errorf("got %+v", message)
+		}
+	case <-time.After(5 * time.Second):
+		t.Fatal("nothing came")
+	}
+	if rejected := receiver.Rejected.Load(); rejected < 4 || len(received) > 0 {
+		t.Errorf("%d bad ones counted, %d let through", rejected, len(received))
+	}
+}
+
+func TestLink_DoesNotSendOversizedMessages(t *testing.T) {
+	sender, _, _ := linkPair(t)
+	if err := sender.Send(1, make([]byte, MaxBody+1)); err == nil {
+		t.Error("an oversized message is sent")
+	}
+}
