--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -57,7 +57,7 @@
 // framing reads the framing that a head states. Two statements are an error, as two readers could find
 // different ends of the message.
 func (h Header) framing() (framing, error) {
-	length, lengths := h.Get("Content-Length")
+	lengthText, lengths := h.Get("Content-Length")
 	coding, codings := h.Get("Transfer-Encoding")
 	switch {
 	case lengths > 1:
@@ -74,8 +74,8 @@
 	case lengths == 0:
 		return framing{length: lengthUnstated}, nil
 	}
-	bytes, err := parseContentLength(length)
-	return framing{length: bytes}, err
+	length, err := parseContentLength(lengthText)
+	return framing{length: length}, err
 }
 
 // parseContentLength takes digits only: strconv would accept a sign.
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -77,7 +77,7 @@
 	r.readCount++
 	r.end += count
 	if count > 0 {
-		return nil // an error that came along is returned by the next read
+		return nil // an error that came with bytes comes again at the next read
 	}
 	if err == nil {
 		return io.ErrNoProgress
