--- a/cmd/storage-gateway/day.go
+++ b/cmd/storage-gateway/day.go
@@ -125,7 +125,7 @@
 func (r *dayResult) print(out io.Writer, asJSON bool) error {
 	broken := 0
 	for _, v := range r.Verdicts {
-		if !v.Kept {
+		if !v.Holds {
 			broken++
 		}
 	}
@@ -159,8 +159,8 @@
 func printVerdicts(out io.Writer, verdicts []testbed.Verdict) {
 	for _, v := range verdicts {
 		word := "kept"
-		if !v.Kept {
-			word = fmt.Sprintf("BROKEN %d times, first: %s", v.Breaks, v.First)
+		if !v.Holds {
+			word = fmt.Sprintf("BROKEN %d times, first: %s", v.Violations, v.FirstViolation)
 		}
 		fmt.Fprintf(out, "  %-8s judged %6d  %s\n", v.Rule, v.Judged, word)
 	}
@@ -172,9 +172,9 @@
 			"%d without answer; %d sends, %d of them for nothing\n"+
 			"  %s  %d operations at the nodes; served within %.0f ms (median), %.0f ms (p99); "+
 			"%.0f us CPU a request, clients and nodes included\n",
-		what, w.Share, w.Asked, w.InTime, w.Late,
-		w.Refused, w.Failed, w.None, w.Sends, w.Wasted,
-		strings.Repeat(" ", len(what)), w.Ops, w.P50, w.P99, w.CPU)
+		what, w.EarnedShare, w.Asked, w.InTime, w.Late,
+		w.Rejected, w.Failed, w.Unanswered, w.Attempts, w.Wasted,
+		strings.Repeat(" ", len(what)), w.Operations, w.P50, w.P99, w.CPU)
 }
 
 type auditCmd struct {
--- a/cmd/storage-gateway/standins.go
+++ b/cmd/storage-gateway/standins.go
@@ -74,8 +74,8 @@
 	told := func(instance uint32, e endpoints.Endpoint) {
 		addr := registry.AddrPortOf(e.Server).String()
 		events.Add(
-			testbed.Event{Kind: testbed.KindAcknowledged, Inst: int(instance), Node: -1, Boot: e.StartedAt,
-				Status: e.Status.String(), Reason: addr},
+			testbed.Event{Kind: testbed.KindAcknowledged, Instance: int(instance), Node: -1,
+				StartedAt: e.StartedAt, Status: e.Status.String(), Reason: addr},
 		)
 	}
 	s := registry.NewServer(registry.ServerConfig{Epoch: uint64(time.Now().UnixNano()), Delay: set.Delay,
--- a/cmd/storage-gateway/sweep.go
+++ b/cmd/storage-gateway/sweep.go
@@ -75,13 +75,14 @@
 			return err
 		}
 		for _, v := range testbed.CheckInvariants(&day.Site, played.Events) {
-			if !v.Kept {
-				return errBroken{fmt.Sprintf("%s %s: %s broken: %s", c.Bound, value, v.Rule, v.First)}
+			if !v.Holds {
+				return errBroken{fmt.Sprintf("%s %s: %s broken: %s", c.Bound, value, v.Rule,
+					v.FirstViolation)}
 			}
 		}
 		w := testbed.Summarize(&day.Site, played)
-		fmt.Fprintf(out, "%-10s %8.3f %8d %8d %12.2f %8.0f %8.0f\n", value, w.Share, w.Served(), w.Ops,
-			w.OpsEach(), w.P50, w.P99)
+		fmt.Fprintf(out, "%-10s %8.3f %8d %8d %12.2f %8.0f %8.0f\n", value, w.EarnedShare, w.Served(),
+			w.Operations, w.OperationsPerServed(), w.P50, w.P99)
 		all = append(all, swept{value, w})
 	}
 	if c.SVG == "" {
@@ -101,8 +102,8 @@
 	worth, ops := make(plotter.XYs, len(all)), make(plotter.XYs, len(all))
 	for i, s := range all {
 		names = append(names, s.value)
-		worth[i] = plotter.XY{X: float64(i), Y: s.Share}
-		ops[i] = plotter.XY{X: float64(i), Y: s.OpsEach()}
+		worth[i] = plotter.XY{X: float64(i), Y: s.EarnedShare}
+		ops[i] = plotter.XY{X: float64(i), Y: s.OperationsPerServed()}
 	}
 	if err := plotutil.AddLinePoints(p, "worth served, of what was asked", worth,
 		"operations for each request served", ops); err != nil {
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -131,7 +131,7 @@
 	delete(cc.calls, f.Stream)
 	cc.mu.Unlock()
 	cc.conn.CloseStream(f.Stream)
-	cc.c.log.Add(Event{Kind: KindAnswer, Inst: cc.inst, Client: cc.c.number, Conn: cc.nth, Seq: f.Stream,
+	cc.c.log.Add(Event{Kind: KindAnswer, Instance: cc.inst, Client: cc.c.number, Conn: cc.nth, Seq: f.Stream,
 		Token: q.Token, Try: int(q.Try), Class: int(q.Class), Plan: int(q.Plan), Volume: q.Volume, Key: q.Key,
 		Units: int(q.Units), Code: a.Code, Reason: a.Reason, Wait: int64(a.RetryAfter), Cell: int(a.Cell) - 1,
 		Sum: sumOf(q.Offset, f.Payload), Data: rangedOf(&q), Offset: q.Offset,
@@ -217,7 +217,7 @@
 	stream := cc.next
 	done := make(chan proto.Answer, 1)
 	cc.calls[stream], cc.sent[stream] = done, q
-	e := Event{Kind: KindSent, Inst: inst, Client: c.number, Conn: cc.nth, Seq: stream, Token: q.Token,
+	e := Event{Kind: KindSent, Instance: inst, Client: c.number, Conn: cc.nth, Seq: stream, Token: q.Token,
 		Try: int(q.Try), Class: int(q.Class), Plan: int(q.Plan), Volume: q.Volume, Key: q.Key,
 		Units: int(q.Units), Wait: int64(q.Timeout), Cell: int(q.Cell), Write: q.Write}
 	var payload []byte
--- a/internal/testbed/day.go
+++ b/internal/testbed/day.go
@@ -257,8 +257,8 @@
 	if !ok {
 		return
 	}
-	p.log.Add(Event{Kind: KindAcknowledged, Inst: int(inst), Node: node, Status: e.Status.String(),
-		Boot: e.StartedAt})
+	p.log.Add(Event{Kind: KindAcknowledged, Instance: int(inst), Node: node, Status: e.Status.String(),
+		StartedAt: e.StartedAt})
 }
 
 func (p *player) runNode(ctx context.Context, g *errgroup.Group, n *Node) {
@@ -295,7 +295,7 @@
 	h.mu.Lock()
 	h.cancel = cancel
 	h.mu.Unlock()
-	p.log.Add(Event{Kind: KindInstanceStarted, Inst: h.n})
+	p.log.Add(Event{Kind: KindInstanceStarted, Instance: h.n})
 	g.Go(func() error {
 		defer cancel()
 		if err := inst.Run(life); err != nil && life.Err() == nil {
@@ -310,7 +310,7 @@
 func (p *player) crash(ctx, traffic context.Context, g *errgroup.Group, n int, back time.Duration) {
 	h := p.insts[n]
 	h.mu.Lock()
-	p.log.Add(Event{Kind: KindInstanceKilled, Inst: n})
+	p.log.Add(Event{Kind: KindInstanceKilled, Instance: n})
 	h.cancel()
 	h.mu.Unlock()
 	if back <= 0 || !sleep(traffic, back) {
@@ -562,7 +562,7 @@
 		}
 	case t.Stall != nil:
 		for _, n := range t.Stall.Instances {
-			p.log.Add(Event{Kind: KindInstanceStalled, Inst: n, Wait: int64(t.Stall.For)})
+			p.log.Add(Event{Kind: KindInstanceStalled, Instance: n, Wait: int64(t.Stall.For)})
 			p.insts[n].gate.close(t.Stall.For)
 		}
 	case t.Burst != nil:
--- a/internal/testbed/day_test.go
+++ b/internal/testbed/day_test.go
@@ -16,8 +16,8 @@
 	}
 	for _, v := range CheckInvariants(&day.Site, p.Events) {
 		t.Logf("%+v", v)
-		if !v.Kept || v.Judged == 0 && v.Rule != RuleBudget {
-			t.Errorf("%s: %s", v.Rule, v.First)
+		if !v.Holds || v.Judged == 0 && v.Rule != RuleBudget {
+			t.Errorf("%s: %s", v.Rule, v.FirstViolation)
 		}
 	}
 	t.Logf("%+v", Summarize(&day.Site, p))
--- a/internal/testbed/fields_test.go
+++ b/internal/testbed/fields_test.go
@@ -30,10 +30,11 @@
 	t.Parallel()
 	d := fieldsDay(t)
 	events := play(t, d)
-	merged, split, shared := 0, 0, map[[2]uint64]int{}
+	merged, split, shared := 0, 0, map[operationKey]int{}
 	for _, e := range events {
 		if e.Kind == KindArrive && e.Data != 0 {
-			if shared[[2]uint64{uint64(e.Node), e.Op}]++; shared[[2]uint64{uint64(e.Node), e.Op}] == 2 {
+			key := operationKey{e.Node, e.Operation}
+			if shared[key]++; shared[key] == 2 {
 				merged++
 			}
 			if e.Piece > 0 {
@@ -66,7 +67,7 @@
 			}
 		}
 		for _, v := range CheckInvariants(&d.Site, bent) {
-			if v.Rule == RuleBytes && v.Kept {
+			if v.Rule == RuleBytes && v.Holds {
 				t.Errorf("%s: not caught", name)
 			}
 		}
@@ -78,11 +79,11 @@
 	t.Parallel()
 	d := fieldsDay(t)
 	d.Site.Extents.MergingDisabled = true
-	seen := map[[2]uint64]bool{}
+	seen := map[operationKey]bool{}
 	for _, e := range play(t, d) {
-		if id := [2]uint64{uint64(e.Node), e.Op}; e.Kind == KindArrive {
+		if id := (operationKey{e.Node, e.Operation}); e.Kind == KindArrive {
 			if seen[id] {
-				t.Fatalf("operation %d of node %d has two members", e.Op, e.Node)
+				t.Fatalf("operation %d of node %d has two members", e.Operation, e.Node)
 			}
 			seen[id] = true
 		}
--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -18,8 +18,8 @@
 		t.Fatal(err)
 	}
 	for _, v := range CheckInvariants(&d.Site, p.Events) {
-		if !v.Kept {
-			t.Errorf("%s: %s", v.Rule, v.First)
+		if !v.Holds {
+			t.Errorf("%s: %s", v.Rule, v.FirstViolation)
 		}
 	}
 	return p.Events
@@ -38,16 +38,16 @@
 		switch e.Kind {
 		case KindSent:
 			if first[e.Token] == 0 {
-				first[e.Token] = e.T
+				first[e.Token] = e.Time
 			}
 		case KindBroken:
 			lost[e.Token] = true
 		case KindAnswer:
 			if lost[e.Token] && e.Code == proto.OK {
-				if served++; e.Inst != 1 {
+				if served++; e.Instance != 1 {
 					t.Errorf("request %d was served by the killed instance", e.Token)
 				}
-				if took := time.Duration(e.T - first[e.Token]); took > time.Second+transit {
+				if took := time.Duration(e.Time - first[e.Token]); took > time.Second+transitTime {
 					t.Errorf("request %d was served after %v", e.Token, took)
 				}
 			}
@@ -69,10 +69,10 @@
 	after := 0
 	for _, e := range play(t, d) {
 		if e.Kind == KindInstanceStalled {
-			woke = e.T + e.Wait
+			woke = e.Time + e.Wait
 		}
-		served := e.Kind == KindAnswer && e.Inst == 0 && e.Code == proto.OK
-		if served && woke > 0 && e.T > woke+int64(time.Second/2) {
+		served := e.Kind == KindAnswer && e.Instance == 0 && e.Code == proto.OK
+		if served && woke > 0 && e.Time > woke+int64(time.Second/2) {
 			after++
 		}
 	}
@@ -94,11 +94,11 @@
 	cold, warm := 0, 0
 	for _, e := range play(t, d) {
 		switch {
-		case e.Kind == KindNodeStarted && e.Node == 1 && e.Boot != 0:
-			back = e.T
-		case e.Kind == KindArrive && e.Node == 1 && back > 0 && e.T < back+int64(time.Second/2):
+		case e.Kind == KindNodeStarted && e.Node == 1 && e.StartedAt != 0:
+			back = e.Time
+		case e.Kind == KindArrive && e.Node == 1 && back > 0 && e.Time < back+int64(time.Second/2):
 			cold += e.Units
-		case e.Kind == KindArrive && e.Node == 1 && back > 0 && e.T > back+int64(1700*time.Millisecond):
+		case e.Kind == KindArrive && e.Node == 1 && back > 0 && e.Time > back+int64(1700*time.Millisecond):
 			warm += e.Units
 		}
 	}
@@ -116,13 +116,10 @@
 		(at 400ms (reset (nodes 0 1 2))) (at 800ms (reset (nodes 0 1 2))) (at 1200ms (reset (nodes 0 1 2)))
 		(at 1500ms (corrupt (nodes 0 1))) (at 1600ms (lose-answers (nodes 2) (share 0.5) (for 500ms)))
 		(at 2200ms (kill-node (nodes 0) (back 100ms)))`)
-	a := &audit{site: &d.Site, events: play(t, d), out: map[string]*Verdict{}, stalls: map[int][]span{},
-		stuck: map[int][]span{},
-		kills: map[int][]int64{}, zones: map[int]int{}, nodes: map[string]int{}, tries: map[tryID]*tryLog{}}
-	a.gather()
-	for _, s := range a.sent {
+	checker := newInvariantChecker(&d.Site, play(t, d))
+	for _, s := range checker.requests.sent {
 		for _, at := range s.attempts {
-			if at.replied == 0 && at.called == 0 {
+			if at.repliedAt == 0 && at.cancelledAt == 0 {
 				t.Errorf("request %d at node %d: neither replied nor called off", at.arrive.Token,
 					at.arrive.Node)
 			}
--- /dev/null
+++ b/internal/testbed/invariant_bytes.go
@@ -0,0 +1,93 @@
+package testbed
+
+import "landingpaddle/internal/proto"
+
+// writeLog is what nodes were asked to write, and wrote.
+type writeLog struct {
+	volumes map[uint64]bool           // that a write arrived for
+	sums    map[uint64]map[int]uint64 // checksums of what took effect, by token and piece
+}
+
+// checkBytes compares what clients got and gave with what nodes read and wrote. Checksums of a range's
+// pieces add up to the whole's. What was never written must read as the pattern.
+func (c *invariantChecker) checkBytes() {
+	writes := c.collectWrites()
+	for _, request := range c.requests.sent {
+		answer, answered := request.answer()
+		if !answered || answer.Code != proto.OK || request.sent.Data == 0 {
+			continue
+		}
+		c.verdicts[RuleBytes].Judged++
+		if request.sent.Write {
+			c.checkWrittenBytes(request, answer, writes)
+		} else {
+			c.checkReadBytes(request, answer, writes)
+		}
+	}
+}
+
+func (c *invariantChecker) collectWrites() writeLog {
+	writes := writeLog{volumes: map[uint64]bool{}, sums: map[uint64]map[int]uint64{}}
+	for _, request := range c.requests.sent {
+		for _, attempt := range request.attempts {
+			arrive := attempt.arrive
+			if arrive.Data == 0 || !arrive.Write {
+				continue
+			}
+			writes.volumes[arrive.Data] = true
+			if !attempt.tookEffect {
+				continue
+			}
+			if writes.sums[arrive.Token] == nil {
+				writes.sums[arrive.Token] = map[int]uint64{}
+			}
+			writes.sums[arrive.Token][arrive.Piece] = attempt.sum
+		}
+	}
+	return writes
+}
+
+func (c *invariantChecker) checkWrittenBytes(request *requestTrace, answer Event, writes writeLog) {
+	sum := uint64(0)
+	for _, pieceSum := range writes.sums[request.sent.Token] {
+		sum += pieceSum
+	}
+	if sum != request.sent.Sum {
+		c.violation(RuleBytes, answer, "the nodes hold other bytes than were written")
+	}
+}
+
+func (c *invariantChecker) checkReadBytes(request *requestTrace, answer Event, writes writeLog) {
+	sent := request.sent
+	switch {
+	case answer.Length != sent.Length:
+		c.violation(RuleBytes, answer, "%d bytes of %d", answer.Length, sent.Length)
+	case !request.possibleReadSums()[answer.Sum]:
+		c.violation(RuleBytes, answer, "other bytes than the nodes read")
+	case !writes.volumes[sent.Data] && answer.Sum != patternSum(sent.Data, sent.Offset, sent.Length):
+		c.violation(RuleBytes, answer, "bytes that were never there")
+	}
+}
+
+// possibleReadSums are the checksums that a request's answer can have: a piece that was read by several
+// attempts may come from any one of them.
+func (t *requestTrace) possibleReadSums() map[uint64]bool {
+	sumsByPiece := map[int][]uint64{}
+	for _, attempt := range t.attempts {
+		if attempt.ended {
+			piece := attempt.arrive.Piece
+			sumsByPiece[piece] = append(sumsByPiece[piece], attempt.sum)
+		}
+	}
+	possible := map[uint64]bool{0: true}
+	for _, pieceSums := range sumsByPiece {
+		next := map[uint64]bool{}
+		for sum := range possible {
+			for _, pieceSum := range pieceSums {
+				next[sum+pieceSum] = true
+			}
+		}
+		possible = next
+	}
+	return possible
+}
--- /dev/null
+++ b/internal/testbed/invariant_rates.go
@@ -0,0 +1,101 @@
+package testbed
+
+import (
+	"slices"
+	"time"
+
+	"landingpaddle/internal/config"
+	"landingpaddle/internal/proto"
+)
+
+// retryCounts are the times (Unix nanoseconds) of what one incarnation of an instance took and retried.
+type retryCounts struct {
+	requests []int64
+	retries  []int64
+}
+
+// checkBudget judges that instances stay within their retry budget.
+func (c *invariantChecker) checkBudget() {
+	budget := c.site.Rules.RetryBudget
+	if budget == nil {
+		return
+	}
+	byInstance := map[int]*retryCounts{}
+	for _, event := range c.events {
+		if byInstance[event.Instance] == nil || event.Kind == KindInstanceStarted {
+			byInstance[event.Instance] = &retryCounts{}
+		}
+		counts := byInstance[event.Instance]
+		switch {
+		case event.Kind == KindSent:
+			counts.requests = append(counts.requests, event.Time)
+		case event.Kind == KindArrive && event.Attempt > 0:
+			c.verdicts[RuleBudget].Judged++
+			counts.retries = append(counts.retries, event.Time)
+			windowStart := event.Time - int64(budget.Window)
+			allowance := int64(transitTime +
+				c.outages.allowance(event.Instance, event.Node, windowStart, event.Time))
+			retries := countSince(counts.retries, windowStart+allowance)
+			requests := countSince(counts.requests, windowStart-allowance)
+			if allowed := budget.Floor + budget.Ratio*float64(requests); float64(retries) > allowed {
+				c.violation(RuleBudget, event, "%d attempts beyond the first in %v, %.1f allowed", retries,
+					budget.Window, allowed)
+			}
+		}
+	}
+}
+
+// countSince is how many of the times, in order, are not before one.
+func countSince(times []int64, since int64) int {
+	first, _ := slices.BinarySearch(times, since)
+	return len(times) - first
+}
+
+// rateLimitBucket is the token bucket of one volume's rate limit.
+type rateLimitBucket struct {
+	level float64 // units; below zero what was sent over the limit
+	at    int64   // Unix nanoseconds
+}
+
+// take refills the bucket up to a time and takes units out.
+func (b *rateLimitBucket) take(plan config.Plan, at int64, units float64) {
+	b.level = min(plan.Burst, b.level+plan.Limit*time.Duration(at-b.at).Seconds())
+	b.at = at
+	b.level -= units
+}
+
+// pieceKey names one piece of a request.
+type pieceKey struct {
+	request requestKey
+	piece   int
+}
+
+// checkLimits judges that what all instances send for a volume is within its plan's rate limit. Retries of a
+// piece are not counted, nor requests whose first attempt was not applicable.
+func (c *invariantChecker) checkLimits() {
+	buckets, counted := map[uint64]*rateLimitBucket{}, map[pieceKey]bool{}
+	for _, event := range c.events {
+		key := pieceKey{keyOf(event), event.Piece}
+		if event.Kind != KindArrive || c.site.Plans[event.Plan].Limit <= 0 || counted[key] {
+			continue
+		}
+		request := c.requests.byKey[key.request]
+		if request != nil && request.attempts[0].code == proto.NotApplicable {
+			continue
+		}
+		counted[key] = true
+		c.verdicts[RuleLimits].Judged++
+		plan := c.site.Plans[event.Plan]
+		bucket := buckets[event.Volume]
+		if bucket == nil {
+			bucket = &rateLimitBucket{plan.Burst, event.Time}
+			buckets[event.Volume] = bucket
+		}
+		bucket.take(plan, event.Time, float64(event.Units))
+		allowance := transitTime + c.outages.allowance(event.Instance, event.Node, event.Time, event.Time)
+		if bucket.level < -plan.LimitSlack-plan.Limit*allowance.Seconds() {
+			c.violation(RuleLimits, event, "volume %d is %.1f units over its limit, %.1f are allowed",
+				event.Volume, -bucket.level, plan.LimitSlack)
+		}
+	}
+}
--- a/internal/testbed/audit_test.go
+++ b/internal/testbed/invariants_test.go
@@ -82,12 +82,12 @@
 					switch {
 					case v.Rule == c.rule && v.Judged == 0:
 						t.Errorf("mutant %v: nothing judged", mutant)
-					case !mutant && !v.Kept:
-						t.Errorf("the module breaks %s: %s", v.Rule, v.First)
-					case mutant && v.Rule == c.rule && v.Kept:
+					case !mutant && !v.Holds:
+						t.Errorf("the module breaks %s: %s", v.Rule, v.FirstViolation)
+					case mutant && v.Rule == c.rule && v.Holds:
 						t.Errorf("the mutant is not caught; judged %d", v.Judged)
-					case mutant && v.Rule == c.rule && !strings.Contains(v.First, "request"):
-						t.Errorf("the first break names no request: %s", v.First)
+					case mutant && v.Rule == c.rule && !strings.Contains(v.FirstViolation, "request"):
+						t.Errorf("the first break names no request: %s", v.FirstViolation)
 					}
 				}
 			}
@@ -102,17 +102,17 @@
 	ms := func(n int64) int64 { return n * int64(time.Millisecond) }
 	at := func(n int64) int64 { return ms(1000 + n) }
 	sent := func(t int64, token uint64, class int, seq uint64) Event {
-		return Event{T: at(t), Kind: KindSent, Token: token, Class: class, Seq: seq, Key: 9, Wait: ms(500)}
+		return Event{Time: at(t), Kind: KindSent, Token: token, Class: class, Seq: seq, Key: 9, Wait: ms(500)}
 	}
 	arrive := func(t int64, token uint64, class, node, attempt int) Event {
-		return Event{T: at(t), Kind: KindArrive, Token: token, Class: class, Node: node, Attempt: attempt,
+		return Event{Time: at(t), Kind: KindArrive, Token: token, Class: class, Node: node, Attempt: attempt,
 			Cell: node,
 			Key:  9, Units: 1}
 	}
 	note := func(t int64, k Kind, token uint64, node, attempt int) Event {
-		return Event{T: at(t), Kind: k, Token: token, Node: node, Attempt: attempt, Write: true, Code: 100}
+		return Event{Time: at(t), Kind: k, Token: token, Node: node, Attempt: attempt, Write: true, Code: 100}
 	}
-	end := Event{T: at(9000), Kind: KindInstanceStarted, Inst: 99}
+	end := Event{Time: at(9000), Kind: KindInstanceStarted, Instance: 99}
 	for _, c := range []struct {
 		name   string
 		rule   string // "": all are kept
@@ -121,11 +121,11 @@
 		{"answered", "", []Event{sent(0, 1, 0, 1), note(100, KindAnswer, 1, 0, 0)}},
 		{"never answered", RuleAnswers, []Event{sent(0, 1, 0, 1), note(700, KindTimedOut, 1, 0, 0)}},
 		{"never answered by an instance that was killed", "", []Event{sent(0, 1, 0, 1),
-			{T: at(50), Kind: KindInstanceKilled}, note(60, KindBroken, 1, 0, 0)}},
+			{Time: at(50), Kind: KindInstanceKilled}, note(60, KindBroken, 1, 0, 0)}},
 		{"its connection broke by itself", RuleAnswers, []Event{sent(0, 1, 0, 1), note(60, KindBroken, 1, 0,
 			0)}},
 		{"late", RuleAnswers, []Event{sent(0, 1, 0, 1), note(600, KindAnswer, 1, 0, 0)}},
-		{"late while it stood still", "", []Event{sent(0, 1, 0, 1), {T: at(300), Kind: KindInstanceStalled,
+		{"late while it stood still", "", []Event{sent(0, 1, 0, 1), {Time: at(300), Kind: KindInstanceStalled,
 			Wait: ms(300)},
 			note(620, KindAnswer, 1, 0, 0)}},
 		{"sent after its answer", RuleAnswers, []Event{sent(0, 1, 0, 1), note(100, KindAnswer, 1, 0, 0),
@@ -133,26 +133,27 @@
 		{"an unsafe one sent again", RuleEffects, []Event{sent(0, 1, 2, 1), arrive(10, 1, 2, 0, 0),
 			arrive(20, 1, 2, 0, 1), note(100, KindAnswer, 1, 0, 0)}},
 		{"an unsafe one sent again after it was turned away", "", []Event{sent(0, 1, 2, 1),
-			arrive(10, 1, 2, 0, 0), {T: at(11), Kind: KindOverloaded, Token: 1, Code: 302}, arrive(20, 1,
+			arrive(10, 1, 2, 0, 0), {Time: at(11), Kind: KindOverloaded, Token: 1, Code: 302}, arrive(20, 1,
 				2, 0, 1),
 			note(100, KindAnswer, 1, 0, 0)}},
 		{"a keyed one took effect twice", RuleEffects, []Event{sent(0, 1, 1, 1), arrive(10, 1, 1, 0, 0),
 			note(20, KindEnd, 1, 0, 0), note(21, KindReplied, 1, 0, 0), arrive(30, 1, 1, 0, 1),
 			note(40, KindEnd, 1, 0, 1), note(41, KindReplied, 1, 0, 1), note(100, KindAnswer, 1, 0, 0)}},
 		{"refused while it may have run", RuleEffects, []Event{sent(0, 1, 1, 1), arrive(10, 1, 1, 0, 0),
-			note(12, KindReplied, 1, 0, 0), {T: at(100), Kind: KindAnswer, Token: 1, Code: 400}}},
-		{"drained, within the grace", "", []Event{{T: at(0), Kind: KindAcknowledged, Status: "draining"},
+			note(12, KindReplied, 1, 0, 0), {Time: at(100), Kind: KindAnswer, Token: 1, Code: 400}}},
+		{"drained, within the grace", "", []Event{{Time: at(0), Kind: KindAcknowledged, Status: "draining"},
 			sent(0, 1,
 				0,
 				1),
 			arrive(200, 1, 0, 0, 0), note(300, KindAnswer, 1, 0, 0)}},
-		{"drained, after the grace", RuleDrains, []Event{{T: at(0), Kind: KindAcknowledged,
+		{"drained, after the grace", RuleDrains, []Event{{Time: at(0), Kind: KindAcknowledged,
 			Status: "draining"},
 			sent(0, 1, 0, 1), arrive(450, 1, 0, 0, 0), note(460, KindAnswer, 1, 0, 0)}},
-		{"a late list after the node's own notice", RuleDrains, []Event{{T: at(0), Kind: KindNotice, Boot: 5},
-			{T: at(1), Kind: KindAcknowledged, Status: "ready", Boot: 5}, sent(0, 1, 0, 1),
-			{T: at(450), Kind: KindArrive, Token: 1, Boot: 5}, note(460, KindAnswer, 1, 0, 0)}},
-		{"fell over", RuleCold, []Event{{T: at(1), Kind: KindCollapsed, Token: 1}}},
+		{"a late list after the node's own notice", RuleDrains, []Event{
+			{Time: at(0), Kind: KindNotice, StartedAt: 5},
+			{Time: at(1), Kind: KindAcknowledged, Status: "ready", StartedAt: 5}, sent(0, 1, 0, 1),
+			{Time: at(450), Kind: KindArrive, Token: 1, StartedAt: 5}, note(460, KindAnswer, 1, 0, 0)}},
+		{"fell over", RuleCold, []Event{{Time: at(1), Kind: KindCollapsed, Token: 1}}},
 		{"keys in order", "", []Event{sent(0, 1, 1, 1), sent(1, 2, 1, 2), arrive(10, 1, 1, 0, 0),
 			note(20, KindReplied, 1, 0, 0), arrive(30, 2, 1, 0, 0), note(40, KindReplied, 2, 0, 0),
 			note(50, KindAnswer, 1, 0, 0), note(50, KindAnswer, 2, 0, 0)}},
@@ -171,8 +172,8 @@
 			arrive(90, 1, 0, 0, 1), arrive(180, 1, 0, 0, 2), note(190, KindAnswer, 1, 0, 0)}},
 	} {
 		for _, v := range CheckInvariants(&d.Site, append(c.events, end)) {
-			if v.Kept == (v.Rule == c.rule) {
-				t.Errorf("%s: %s kept is %v (%s)", c.name, v.Rule, v.Kept, v.First)
+			if v.Holds == (v.Rule == c.rule) {
+				t.Errorf("%s: %s kept is %v (%s)", c.name, v.Rule, v.Holds, v.FirstViolation)
 			}
 		}
 	}
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -256,8 +256,8 @@
 	n.mu.Lock()
 	n.life = l
 	n.mu.Unlock()
-	l.log(Event{Kind: KindNodeStarted, Boot: l.told, Reason: n.cfg.Addr.String()})
-	defer l.log(Event{Kind: KindNodeStopped, Boot: l.told})
+	l.log(Event{Kind: KindNodeStarted, StartedAt: l.told, Reason: n.cfg.Addr.String()})
+	defer l.log(Event{Kind: KindNodeStopped, StartedAt: l.told})
 	g, ctx := errgroup.WithContext(ctx)
 	lim := proto.Limits{Header: 4 << 10, Payload: int(n.cfg.Site.Limits.MaxPayload),
 		Streams: n.cfg.Site.Limits.Streams, Backlog: 64 << 20}
@@ -320,9 +320,10 @@
 		if m.repeat && (k == KindStart || k == KindEnd || k == KindCancel) {
 			continue
 		}
-		e := Event{Kind: k, Inst: o.inst, Token: m.Token, Try: int(m.Try), Attempt: int(q.Attempt),
+		e := Event{Kind: k, Instance: o.inst, Token: m.Token, Try: int(m.Try), Attempt: int(q.Attempt),
 			Class: int(q.Class), Plan: int(m.Plan), Volume: m.Volume, Key: m.Key, Units: int(m.Units),
-			Code: code, Write: q.Write, Client: int(m.Client), Boot: l.told, Op: o.nth, Piece: int(m.Piece)}
+			Code: code, Write: q.Write, Client: int(m.Client), StartedAt: l.told,
+			Operation: o.nth, Piece: int(m.Piece)}
 		if q.Ranged {
 			e.Data, e.Offset, e.Length = q.DataVolume(), q.Offset+uint64(m.Offset), uint64(m.Length)
 			if k == KindEnd && i < len(o.sums) {
@@ -370,7 +371,7 @@
 
 func (l *life) notice(c *proto.Conn) {
 	if c.Send(proto.TypeDrain, 0, nil, nil) == nil {
-		l.log(Event{Kind: KindNotice, Inst: int(c.PeerHello().Number), Boot: l.told})
+		l.log(Event{Kind: KindNotice, Instance: int(c.PeerHello().Number), StartedAt: l.told})
 	}
 }
 
@@ -586,7 +587,7 @@
 	l.mu.Unlock()
 	switch {
 	case fell:
-		l.log(Event{Kind: KindCollapsed, Inst: o.inst, Token: o.req.Token, Boot: l.told})
+		l.log(Event{Kind: KindCollapsed, Instance: o.inst, Token: o.req.Token, StartedAt: l.told})
 		l.kill()
 	case o.req.Cell >= 0 && o.req.Cell != int32(l.n.cfg.Cell):
 		l.answer(o, KindNotApplicable, proto.NotApplicable)
--- a/internal/testbed/repeat_test.go
+++ b/internal/testbed/repeat_test.go
@@ -14,13 +14,17 @@
 // the first attempt's connection breaks before, it takes no effect, and the repeat is carried out: it must
 // not have been answered as done by then.
 func TestNode_AnswersARepeatOnlyOnceTheEffectIsThere(t *testing.T) {
-	for name, breakFirst := range map[string]bool{"the first attempt ends": false, "its connection breaks": true} {
+	for name, breakFirst := range map[string]bool{
+		"the first attempt ends": false,
+		"its connection breaks":  true,
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			node, dial := startNode(t)
 			first, _ := dial()
 			second, answers := dial()
-			write := proto.Request{Token: 1, Class: 0, Volume: 1, Units: 40, Timeout: time.Second, Write: true}
+			write := proto.Request{Token: 1, Class: 0, Volume: 1, Units: 40, Timeout: time.Second,
+				Write: true}
 			send := func(c *proto.Conn) {
 				if err := c.OpenStream(1); err != nil {
 					t.Fatal(err)
