--- a/cmd/storage-gateway/standins.go
+++ b/cmd/storage-gateway/standins.go
@@ -30,12 +30,12 @@
 	if err := config.Load(c.Config, "node", &set); err != nil {
 		return err
 	}
-	events, group := testbed.NewLog(), testbed.NewGroup()
+	events, group := testbed.NewLog(), testbed.NewDedupGroup()
 	n, err := testbed.NewNode(testbed.NodeConfig{Number: set.Number, Cell: set.Cell,
-		Zone: uint8(set.Site.Zone(set.Zone)), Kind: set.Model, Site: &set.Site, List: set.Registry.String(),
-		Addr: set.Listen.AddrPort, Seed: set.Seed,
-		Log: events, Meter: testbed.NewMeter(set.Site.MeterPeriod), Cold: true,
-		Groups: func(scheduler.DedupScope) *testbed.Group { return group }})
+		Zone: uint8(set.Site.Zone(set.Zone)), Model: set.Model, Site: &set.Site,
+		Registry: set.Registry.String(), Addr: set.Listen.AddrPort, Seed: set.Seed,
+		Log: events, Meter: testbed.NewMeter(set.Site.MeterPeriod), StartsCold: true,
+		DedupGroups: func(scheduler.DedupScope) *testbed.DedupGroup { return group }})
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -134,7 +134,7 @@
 	cc.c.log.Add(Event{Kind: KindAnswer, Instance: cc.inst, Client: cc.c.number, Conn: cc.nth, Seq: f.Stream,
 		Token: q.Token, Try: int(q.Try), Class: int(q.Class), Plan: int(q.Plan), Volume: q.Volume, Key: q.Key,
 		Units: int(q.Units), Code: a.Code, Reason: a.Reason, Wait: int64(a.RetryAfter), Cell: int(a.Cell) - 1,
-		Sum: sumOf(q.Offset, f.Payload), Data: rangedOf(&q), Offset: q.Offset,
+		Sum: checksum(q.Offset, f.Payload), Data: rangedOf(&q), Offset: q.Offset,
 		Length: uint64(len(f.Payload)), Write: q.Write})
 	if done != nil {
 		done <- a
@@ -228,7 +228,7 @@
 			for i := range payload {
 				payload[i] = writtenByte(q.Token, q.Offset+uint64(i))
 			}
-			e.Sum = sumOf(q.Offset, payload)
+			e.Sum = checksum(q.Offset, payload)
 		}
 	}
 	// Logged and posted under one lock: the order in the log is the order on the connection.
--- a/internal/testbed/day.go
+++ b/internal/testbed/day.go
@@ -21,7 +21,6 @@
 	"landingpaddle/internal/daemon"
 	"landingpaddle/internal/proto"
 	"landingpaddle/internal/registry"
-	"landingpaddle/scheduler"
 )
 
 // Options are how a day is played.
@@ -188,12 +187,12 @@
 	p.list = registry.NewServer(registry.ServerConfig{Epoch: 1 + p.opt.Seed, Delay: d.List.Delay,
 		Workers: d.List.Workers, CallTime: d.List.CallTime, MaxWait: d.List.MaxWait, OnAcknowledged: p.told})
 	g.Go(func() error { return p.list.Serve(ctx, ln) })
-	groups, meter := newGroups(), NewMeter(d.Site.MeterPeriod)
+	groups, meter := newDedupGroups(), NewMeter(d.Site.MeterPeriod)
 	for i := range d.Nodes.Count {
 		zone := uint8(i % len(d.Site.Zones))
-		n, err := NewNode(NodeConfig{Number: i, Cell: uint16(i), Zone: zone, Kind: d.Nodes.Kind,
-			Site: &d.Site, List: ln.Addr().String(), Seed: p.opt.Seed + uint64(i)*7919, Log: p.log,
-			Meter: meter, Groups: groups.of(zone, uint16(i)), Ahead: d.Nodes.Ahead})
+		n, err := NewNode(NodeConfig{Number: i, Cell: uint16(i), Zone: zone, Model: d.Nodes.Kind,
+			Site: &d.Site, Registry: ln.Addr().String(), Seed: p.opt.Seed + uint64(i)*7919, Log: p.log,
+			Meter: meter, DedupGroups: groups.forNode(zone, uint16(i)), ClockAhead: d.Nodes.Ahead})
 		if err != nil {
 			return err
 		}
@@ -226,32 +225,6 @@
 	return nil
 }
 
-// groups hands out which nodes drop each other's repeats.
-type groups struct {
-	mu sync.Mutex
-	by map[[2]int]*Group
-}
-
-func newGroups() *groups { return &groups{by: map[[2]int]*Group{}} }
-
-func (g *groups) of(zone uint8, cell uint16) func(scheduler.DedupScope) *Group {
-	return func(kind scheduler.DedupScope) *Group {
-		id := [2]int{int(kind), 0}
-		switch kind {
-		case scheduler.DedupZone:
-			id[1] = int(zone)
-		case scheduler.DedupCell:
-			id[1] = int(cell)
-		}
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		if g.by[id] == nil {
-			g.by[id] = NewGroup()
-		}
-		return g.by[id]
-	}
-}
-
 func (p *player) told(inst uint32, e endpoints.Endpoint) {
 	node, ok := p.byAdr[registry.AddrPortOf(e.Server)]
 	if !ok {
@@ -316,7 +289,7 @@
 	if back <= 0 || !sleep(traffic, back) {
 		return
 	}
-	if err := p.up(ctx, g, h, p.nodes[0].cfg.List); err != nil && ctx.Err() == nil {
+	if err := p.up(ctx, g, h, p.nodes[0].cfg.Registry); err != nil && ctx.Err() == nil {
 		p.opt.Log.Warn("instance not back", "instance", n, "error", err)
 	}
 }
@@ -611,22 +584,22 @@
 			again(t.Drain.Nodes, t.Drain.Back)
 		}
 	case t.Lose != nil:
-		each(t.Lose.Nodes, t.Lose.For, func(n *Node) { n.Faults.SetLose(t.Lose.Share) },
-			func(n *Node) { n.Faults.SetLose(0) })
+		each(t.Lose.Nodes, t.Lose.For, func(n *Node) { n.Faults.SetLoseAnswers(t.Lose.Share) },
+			func(n *Node) { n.Faults.SetLoseAnswers(0) })
 	case t.Hang != nil:
 		each(t.Hang.Nodes, t.Hang.For, func(n *Node) { n.Faults.SetHang(true) },
 			func(n *Node) { n.Faults.SetHang(false) })
 	case t.Reset != nil:
 		each(t.Reset.Nodes, 0, (*Node).ResetConns, none)
 	case t.Corrupt != nil:
-		each(t.Corrupt.Nodes, 0, func(n *Node) { n.Faults.Corrupt(1) }, none)
+		each(t.Corrupt.Nodes, 0, func(n *Node) { n.Faults.CorruptAnswers(1) }, none)
 	case t.Stuck != nil:
 		each(t.Stuck.Nodes, 0, func(n *Node) {
 			p.log.Add(Event{Kind: KindConnectionsStuck, Node: n.cfg.Number, Wait: int64(t.Stuck.For)})
-			n.Faults.Stick(t.Stuck.For)
+			n.Faults.StickConnections(t.Stuck.For)
 		}, none)
 	case t.Still != nil:
-		each(t.Still.Nodes, 0, func(n *Node) { n.Faults.Still(t.Still.For) }, none)
+		each(t.Still.Nodes, 0, func(n *Node) { n.Faults.Pause(t.Still.For) }, none)
 	}
 }
 
--- a/internal/testbed/fields_test.go
+++ b/internal/testbed/fields_test.go
@@ -92,12 +92,12 @@
 
 // What is written to a node's machine reads back at any offsets, and what was not as the pattern.
 func TestDisk(t *testing.T) {
-	d := disk{blocks: map[[2]uint64][]byte{}}
+	d := newDisk()
 	d.write(7, 4000, []byte("written over the edge of a block, and then some")[:])
 	got := d.read(7, 3990, 80)
 	for i, b := range got {
 		at := uint64(3990 + i)
-		want := pattern(7, at)
+		want := patternByte(7, at)
 		if at >= 4000 && at < 4047 {
 			want = "written over the edge of a block, and then some"[at-4000]
 		}
@@ -105,10 +105,10 @@
 			t.Fatalf("byte %d is %d, want %d", at, b, want)
 		}
 	}
-	if sumOf(3990, got[:30])+sumOf(4020, got[30:]) != sumOf(3990, got) {
+	if checksum(3990, got[:30])+checksum(4020, got[30:]) != checksum(3990, got) {
 		t.Error("sums of parts do not add up")
 	}
-	if sumOf(5000, d.read(7, 5000, 100)) != patternSum(7, 5000, 100) {
+	if checksum(5000, d.read(7, 5000, 100)) != patternSum(7, 5000, 100) {
 		t.Error("an unwritten range is not the pattern")
 	}
 }
--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -148,11 +148,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer node.ln.Close()
-	l := &life{n: node, conns: map[*proto.Conn]map[uint64]*op{conn: {}}}
+	defer node.listener.Close()
+	process := &nodeProcess{node: node, conns: map[*proto.Conn]map[uint64]*operation{conn: {}}}
 	conn.Close(proto.ErrClosed)
-	o := &op{conn: conn, stream: 1, members: []member{{}}, calledBy: func() {}}
-	l.answer(o, KindEnd, proto.OK)
+	o := &operation{conn: conn, stream: 1, members: []member{{}}, cancel: func() {}}
+	process.answer(o, KindEnd, proto.OK)
 	events := node.cfg.Log.Events()
 	if last := events[len(events)-1]; last.Kind != KindCancelArrived {
 		t.Errorf("logged %+v", events)
--- /dev/null
+++ b/internal/testbed/node_process.go
@@ -0,0 +1,168 @@
+package testbed
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"landingpaddle/endpoints"
+	"landingpaddle/internal/proto"
+	"landingpaddle/internal/registry"
+	"landingpaddle/scheduler"
+)
+
+// Limits of a node's connections; those that the site sets come on top.
+const (
+	nodeMaxHeader   = 4 << 10  // bytes
+	nodeMaxBacklog  = 64 << 20 // bytes
+	nodeIdleTimeout = 10 * time.Minute
+)
+
+// nodeProcess is one incarnation of a node.
+type nodeProcess struct {
+	node      *Node
+	startedAt int64 // in Unix nanoseconds by the node's clock; 0: long ago
+	queue     chan *operation
+	kill      context.CancelFunc
+	status    chan endpoints.Endpoint // to be registered
+
+	mu         sync.Mutex
+	rng        *rand.Rand
+	draining   bool
+	conns      map[*proto.Conn]map[uint64]*operation // by stream; until their answers are written
+	slowStart  slowStart
+	elsewhere  elsewhereCounter
+	recentKeys []uint64
+	deferred   time.Duration // work that is put off to the next flush
+}
+
+// newNodeProcess makes the next incarnation of a node; kill ends it.
+func newNodeProcess(node *Node, kill context.CancelFunc) *nodeProcess {
+	isCold := node.cfg.StartsCold || node.starts > 0
+	p := &nodeProcess{
+		node:      node,
+		kill:      kill,
+		queue:     make(chan *operation, node.cfg.Model.Queue),
+		rng:       rand.New(rand.NewPCG(node.cfg.Seed, uint64(2+node.starts))),
+		conns:     map[*proto.Conn]map[uint64]*operation{},
+		slowStart: slowStart{cold: isCold, started: time.Now(), rules: &node.cfg.Site.Rules},
+		elsewhere: newElsewhereCounter(),
+		status:    make(chan endpoints.Endpoint, 4),
+	}
+	if isCold {
+		p.startedAt = node.cfg.Log.Now() + int64(node.cfg.ClockAhead)
+	}
+	return p
+}
+
+// run serves, works, and registers the node until ctx ends or one of these fails.
+func (p *nodeProcess) run(ctx context.Context, listener net.Listener) error {
+	cfg := &p.node.cfg
+	p.log(Event{Kind: KindNodeStarted, StartedAt: p.startedAt, Reason: cfg.Addr.String()})
+	defer p.log(Event{Kind: KindNodeStopped, StartedAt: p.startedAt})
+	conn := p.connConfig()
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return proto.Serve(ctx, listener, conn, cfg.Model.Conns, p.serveConn) })
+	for range cfg.Model.Cores {
+		group.Go(func() error { return p.runCore(ctx) })
+	}
+	group.Go(func() error { return p.pauseAndFlush(ctx) })
+	group.Go(func() error { return registry.Register(ctx, cfg.Registry, conn, p.status) })
+	p.status <- p.endpoint(scheduler.Ready)
+	return group.Wait()
+}
+
+func (p *nodeProcess) connConfig() proto.Config {
+	cfg := &p.node.cfg
+	return proto.Config{
+		Limits: proto.Limits{
+			Header:  nodeMaxHeader,
+			Payload: int(cfg.Site.Limits.MaxPayload),
+			Streams: cfg.Site.Limits.Streams,
+			Backlog: nodeMaxBacklog,
+		},
+		Idle:  nodeIdleTimeout,
+		Gate:  p.node.Faults.waitWhileStuck,
+		Hello: proto.Hello{Role: "node", Number: uint32(cfg.Number), StartedAt: p.startedAt},
+	}
+}
+
+// endpoint is the node as it registers itself.
+func (p *nodeProcess) endpoint(status scheduler.Status) endpoints.Endpoint {
+	server, err := registry.ServerFromAddrPort(p.node.cfg.Addr)
+	if err != nil {
+		panic(err) // it is bound as IPv4
+	}
+	return endpoints.Endpoint{
+		Server:          server,
+		Status:          status,
+		Cell:            p.node.cfg.Cell,
+		Zone:            p.node.cfg.Zone,
+		StartedAt:       p.startedAt,
+		NominalCapacity: 1,
+	}
+}
+
+func (p *nodeProcess) log(event Event) {
+	cfg := &p.node.cfg
+	event.Node, event.Zone, event.Cell = cfg.Number, int(cfg.Zone), int(cfg.Cell)
+	if cfg.Log != nil {
+		cfg.Log.Add(event)
+	}
+}
+
+// logOperation logs an event of an operation, once for each of its members. The start and the end of a
+// member that was dropped are not logged a second time.
+func (p *nodeProcess) logOperation(kind Kind, o *operation, code proto.Code) {
+	for i, m := range o.members {
+		if m.dropped && (kind == KindStart || kind == KindEnd || kind == KindCancel) {
+			continue
+		}
+		event := o.event(kind, m, code)
+		event.StartedAt = p.startedAt
+		if kind == KindEnd && i < len(o.sums) { // only of ranged operations
+			event.Sum = o.sums[i]
+		}
+		p.log(event)
+	}
+}
+
+// pauseAndFlush makes the node stand still now and then, and do the work that was put off.
+func (p *nodeProcess) pauseAndFlush(ctx context.Context) error {
+	model := &p.node.cfg.Model
+	pause, flush := p.jitteredTimer(model.Every), p.jitteredTimer(model.Flush)
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-pause:
+			p.node.Faults.Pause(model.Pause)
+			pause = p.jitteredTimer(model.Every)
+		case <-flush:
+			p.node.Faults.Pause(p.takeDeferred() / time.Duration(model.Cores))
+			flush = p.jitteredTimer(model.Flush)
+		}
+	}
+}
+
+func (p *nodeProcess) takeDeferred() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	deferred := p.deferred
+	p.deferred = 0
+	return deferred
+}
+
+// jitteredTimer fires once, on average after that time; never for 0.
+func (p *nodeProcess) jitteredTimer(average time.Duration) <-chan time.Time {
+	if average <= 0 {
+		return nil
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return time.After(average/2 + time.Duration(p.rng.Int64N(int64(average))))
+}
--- a/internal/testbed/repeat_test.go
+++ b/internal/testbed/repeat_test.go
@@ -57,9 +57,10 @@
 func startNode(t *testing.T) (*Node, func() (*proto.Conn, <-chan proto.Answer)) {
 	d := smallDay(t, writeClass, "", "")
 	d.Nodes.Kind.Cores = 1
-	group := NewGroup()
-	node, err := NewNode(NodeConfig{Kind: d.Nodes.Kind, Site: &d.Site, List: "127.0.0.1:1", Log: NewLog(),
-		Meter: NewMeter(0), Groups: func(scheduler.DedupScope) *Group { return group }})
+	group := NewDedupGroup()
+	node, err := NewNode(NodeConfig{Model: d.Nodes.Kind, Site: &d.Site, Registry: "127.0.0.1:1",
+		Log: NewLog(), Meter: NewMeter(0),
+		DedupGroups: func(scheduler.DedupScope) *DedupGroup { return group }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/throughput_test.go
+++ b/internal/testbed/throughput_test.go
@@ -139,12 +139,12 @@
 			list := registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
 			wg.Go(func() { _ = list.Serve(ctx, lists) })
 			kind := config.NodeModel{Cores: 4, Queue: 4096, PerUnit: work, WritePer: 1, Conns: 64}
-			group := NewGroup()
+			group := NewDedupGroup()
 			var direct []string
 			for i := range nodesOfThroughput {
-				node, err := NewNode(NodeConfig{Number: i, Cell: uint16(i), Kind: kind, Site: &site,
-					List: lists.Addr().String(), Seed: 1, Meter: NewMeter(0),
-					Groups: func(scheduler.DedupScope) *Group { return group }})
+				node, err := NewNode(NodeConfig{Number: i, Cell: uint16(i), Model: kind, Site: &site,
+					Registry: lists.Addr().String(), Seed: 1, Meter: NewMeter(0),
+					DedupGroups: func(scheduler.DedupScope) *DedupGroup { return group }})
 				if err != nil {
 					t.Fatal(err)
 				}
