--- /dev/null
+++ b/internal/testbed/client_conn.go
@@ -0,0 +1,198 @@
+package testbed
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"landingpaddle/internal/proto"
+)
+
+// clientConn is a client's connection to an instance.
+type clientConn struct {
+	client   *Client
+	instance int
+	number   uint64        // among the client's connections, from 1
+	made     chan struct{} // closed once conn or err is set
+	conn     *proto.Conn
+	err      error
+
+	mu         sync.Mutex
+	lastStream uint64
+	waiting    map[uint64]chan proto.Answer // by stream
+	sent       map[uint64]proto.Request     // of all streams, so that a second answer is known for what it is
+	gone       bool
+	left       bool // the client ended the connection itself
+}
+
+// pendingRequest is a request that was sent.
+type pendingRequest struct {
+	sent    Event // as it was logged
+	timeout time.Duration
+	answer  <-chan proto.Answer // closed without an answer once the connection is gone
+}
+
+func newClientConn(client *Client, instance int, number uint64) *clientConn {
+	return &clientConn{
+		client:   client,
+		instance: instance,
+		number:   number,
+		made:     make(chan struct{}),
+		waiting:  map[uint64]chan proto.Answer{},
+		sent:     map[uint64]proto.Request{},
+	}
+}
+
+// leave closes the connection, if it is made already.
+func (cc *clientConn) leave() {
+	select {
+	case <-cc.made:
+	default:
+		return
+	}
+	if cc.conn == nil {
+		return
+	}
+	cc.mu.Lock()
+	cc.left = true
+	cc.mu.Unlock()
+	cc.conn.CloseGracefully("reconnect")
+}
+
+// read takes answers in until the connection ends.
+func (cc *clientConn) read(ctx context.Context) {
+	_ = cc.conn.Run(ctx, cc.handleFrame) // its end is seen by the requests that wait
+	cc.client.forget(cc)
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.gone = true
+	for _, answer := range cc.waiting {
+		close(answer)
+	}
+	cc.waiting = nil
+}
+
+func (cc *clientConn) handleFrame(frame proto.Frame) error {
+	if frame.Type != proto.TypeAnswer {
+		return nil
+	}
+	var answer proto.Answer
+	if err := frame.Decode(&answer); err != nil {
+		return err
+	}
+	cc.mu.Lock()
+	request := cc.sent[frame.Stream]
+	waiting := cc.waiting[frame.Stream]
+	delete(cc.waiting, frame.Stream)
+	cc.mu.Unlock()
+	cc.conn.CloseStream(frame.Stream)
+	event := cc.event(KindAnswer, frame.Stream, &request)
+	event.Code, event.Reason, event.Wait = answer.Code, answer.Reason, int64(answer.RetryAfter)
+	event.Cell = int(answer.Cell) - 1
+	event.Offset, event.Length = request.Offset, uint64(len(frame.Payload))
+	event.Sum = checksum(request.Offset, frame.Payload)
+	if request.Ranged {
+		event.Data = request.DataVolume()
+	}
+	cc.client.log.Add(event)
+	if waiting != nil {
+		waiting <- answer
+	}
+	return nil
+}
+
+// event is what all events of a request have in common.
+func (cc *clientConn) event(kind Kind, stream uint64, request *proto.Request) Event {
+	return Event{
+		Kind:     kind,
+		Instance: cc.instance,
+		Client:   cc.client.number,
+		Conn:     cc.number,
+		Seq:      stream,
+		Token:    request.Token,
+		Try:      int(request.Try),
+		Class:    int(request.Class),
+		Plan:     int(request.Plan),
+		Volume:   request.Volume,
+		Key:      request.Key,
+		Units:    int(request.Units),
+		Write:    request.Write,
+	}
+}
+
+// post logs and sends a request; false where the connection is gone.
+func (cc *clientConn) post(request proto.Request) (pendingRequest, bool) {
+	cc.mu.Lock()
+	if cc.gone {
+		cc.mu.Unlock()
+		return pendingRequest{}, false
+	}
+	cc.lastStream++
+	stream := cc.lastStream
+	answer := make(chan proto.Answer, 1)
+	cc.waiting[stream], cc.sent[stream] = answer, request
+	payload := writtenPayload(&request)
+	event := cc.event(KindSent, stream, &request)
+	event.Wait, event.Cell = int64(request.Timeout), int(request.Cell)
+	if request.Ranged {
+		event.Data, event.Offset, event.Length = request.DataVolume(), request.Offset, uint64(request.Length)
+		event.Sum = checksum(request.Offset, payload)
+	}
+	// Logged and sent under one lock: the order in the log is the order on the connection.
+	cc.client.log.Add(event)
+	err := cc.conn.OpenStream(stream)
+	if err == nil {
+		err = cc.conn.Send(proto.TypeRequest, stream, request, payload)
+	}
+	cc.mu.Unlock()
+	if err != nil {
+		event.Kind = KindBroken
+		cc.client.log.Add(event)
+		return pendingRequest{}, false
+	}
+	return pendingRequest{event, request.Timeout, answer}, true
+}
+
+// writtenPayload is what a ranged write writes; nil for other requests.
+func writtenPayload(request *proto.Request) []byte {
+	if !request.Ranged || !request.Write {
+		return nil
+	}
+	payload := make([]byte, request.Length)
+	for i := range payload {
+		payload[i] = writtenByte(request.Token, request.Offset+uint64(i))
+	}
+	return payload
+}
+
+// await waits for a request's answer; false where the connection or the client's context ended before it.
+// It waits a little longer than the request says, to see whether the answer comes when it must.
+func (cc *clientConn) await(ctx context.Context, pending pendingRequest) (proto.Answer, bool) {
+	event := pending.sent
+	timer := time.NewTimer(pending.timeout + lateMargin)
+	defer timer.Stop()
+	select {
+	case answer, ok := <-pending.answer:
+		if !ok {
+			event.Kind = cc.endKind()
+			cc.client.log.Add(event)
+		}
+		return answer, ok
+	case <-timer.C:
+		event.Kind = KindTimedOut
+		cc.client.log.Add(event)
+		return proto.Answer{}, true
+	case <-ctx.Done():
+		return proto.Answer{}, false
+	}
+}
+
+// endKind says who ended the connection.
+func (cc *clientConn) endKind() Kind {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.left {
+		return KindClientLeft
+	}
+	return KindBroken
+}
--- /dev/null
+++ b/internal/testbed/fault.go
@@ -0,0 +1,107 @@
+package testbed
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"landingpaddle/internal/sexpr"
+)
+
+// Fault is one thing that goes wrong, at a time from the start of the traffic. Exactly one of its forms is
+// given.
+type Fault struct {
+	At               time.Duration     `s:",arg"`
+	Pos              sexpr.Pos         `s:",pos"`
+	Crash            *Crash            `s:"crash"`
+	RollingRestart   *RollingRestart   `s:"roll"`
+	Stall            *Stall            `s:"stall"`
+	Burst            *Burst            `s:"burst"`
+	Surge            *Surge            `s:"surge"`
+	HeavyRequests    *HeavyRequests    `s:"heavy"`
+	SlowNodes        *SlowNodes        `s:"slow"`
+	Neighbour        *Neighbour        `s:"neighbour"`
+	StaleRegistry    *StaleRegistry    `s:"stale-list"`
+	RegistryDown     *RegistryDown     `s:"list-down"`
+	Reconnect        *Reconnect        `s:"reconnect"`
+	ImpatientClients *ImpatientClients `s:"impatient"`
+	MassRestart      *MassRestart      `s:"mass-restart"`
+	KillNodes        *KillNodes        `s:"kill-node"`
+	Drain            *Drain            `s:"drain"`
+	LoseAnswers      *LoseAnswers      `s:"lose-answers"`
+	Hang             *Hang             `s:"hang"`
+	ResetConnections *ResetConnections `s:"reset"`
+	CorruptAnswers   *CorruptAnswers   `s:"corrupt"`
+	PauseNodes       *PauseNodes       `s:"stand-still"`
+	StuckConnections *StuckConnections `s:"stuck-connections"`
+}
+
+// faultForm is one form of a fault.
+type faultForm interface {
+	// check reports what does not fit to the scenario.
+	check(scenario *Scenario) error
+	// inject brings the fault about and returns when it is over, or traffic ends.
+	inject(ctx, traffic context.Context, r *scenarioRunner)
+}
+
+// forms are the forms that are given.
+func (f *Fault) forms() []faultForm {
+	var forms []faultForm
+	forms = appendGiven(forms, f.Crash)
+	forms = appendGiven(forms, f.RollingRestart)
+	forms = appendGiven(forms, f.Stall)
+	forms = appendGiven(forms, f.Burst)
+	forms = appendGiven(forms, f.Surge)
+	forms = appendGiven(forms, f.HeavyRequests)
+	forms = appendGiven(forms, f.SlowNodes)
+	forms = appendGiven(forms, f.Neighbour)
+	forms = appendGiven(forms, f.StaleRegistry)
+	forms = appendGiven(forms, f.RegistryDown)
+	forms = appendGiven(forms, f.Reconnect)
+	forms = appendGiven(forms, f.ImpatientClients)
+	forms = appendGiven(forms, f.MassRestart)
+	forms = appendGiven(forms, f.KillNodes)
+	forms = appendGiven(forms, f.Drain)
+	forms = appendGiven(forms, f.LoseAnswers)
+	forms = appendGiven(forms, f.Hang)
+	forms = appendGiven(forms, f.ResetConnections)
+	forms = appendGiven(forms, f.CorruptAnswers)
+	forms = appendGiven(forms, f.PauseNodes)
+	return appendGiven(forms, f.StuckConnections)
+}
+
+func appendGiven[T any, P interface {
+	*T
+	faultForm
+}](forms []faultForm, form P) []faultForm {
+	if form == nil {
+		return forms
+	}
+	return append(forms, form)
+}
+
+// check reports what does not fit to the scenario, with the fault's place.
+func (f *Fault) check(scenario *Scenario) error {
+	forms := f.forms()
+	if len(forms) != 1 {
+		return sexpr.Errorf(f.Pos, "(at …) names %d troubles; want one", len(forms))
+	}
+	return sexpr.WrapError(f.Pos, forms[0].check(scenario))
+}
+
+func checkNodes(scenario *Scenario, nodes []int) error {
+	return checkNumbers("node", nodes, scenario.Nodes.Count)
+}
+
+func checkInstances(scenario *Scenario, instances []int) error {
+	return checkNumbers("instance", instances, scenario.Instances)
+}
+
+func checkNumbers(what string, numbers []int, count int) error {
+	for _, number := range numbers {
+		if number < 0 || number >= count {
+			return fmt.Errorf("%s %d: there are 0 to %d", what, number, count-1)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/testbed/fault_instances.go
@@ -0,0 +1,55 @@
+package testbed
+
+import (
+	"context"
+	"time"
+)
+
+// Crash kills instances; they come back with nothing but their snapshots of the endpoint list.
+type Crash struct {
+	Instances    []int         `s:"instances,required"`
+	RestartAfter time.Duration `s:"back" min:"1ms" max:"10m"` // 0: never
+}
+
+func (f *Crash) check(scenario *Scenario) error { return checkInstances(scenario, f.Instances) }
+
+func (f *Crash) inject(ctx, traffic context.Context, r *scenarioRunner) {
+	for _, number := range f.Instances {
+		r.group.Go(func() error {
+			r.crashInstance(ctx, traffic, number, f.RestartAfter)
+			return nil
+		})
+	}
+}
+
+// RollingRestart restarts all instances one after the other.
+type RollingRestart struct {
+	Every        time.Duration `s:"every,required" min:"1ms" max:"10m"` // between one's return and the next
+	RestartAfter time.Duration `s:"back,required" min:"1ms" max:"10m"`
+}
+
+func (f *RollingRestart) check(*Scenario) error { return nil }
+
+func (f *RollingRestart) inject(ctx, traffic context.Context, r *scenarioRunner) {
+	for number := range r.instances {
+		r.crashInstance(ctx, traffic, number, f.RestartAfter)
+		if !sleep(traffic, f.Every) {
+			return
+		}
+	}
+}
+
+// Stall makes instances stand still and go on.
+type Stall struct {
+	Instances []int         `s:"instances,required"`
+	Duration  time.Duration `s:"for,required" min:"1ms" max:"1m"`
+}
+
+func (f *Stall) check(scenario *Scenario) error { return checkInstances(scenario, f.Instances) }
+
+func (f *Stall) inject(_, _ context.Context, r *scenarioRunner) {
+	for _, number := range f.Instances {
+		r.log.Add(Event{Kind: KindInstanceStalled, Instance: number, Wait: int64(f.Duration)})
+		r.instances[number].stall.start(f.Duration)
+	}
+}
--- /dev/null
+++ b/internal/testbed/fault_traffic.go
@@ -0,0 +1,79 @@
+package testbed
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"landingpaddle/internal/config"
+)
+
+// allPlans stands for the traffic of all plans.
+const allPlans = -1
+
+// Surge multiplies traffic of one plan, or that of its first volumes.
+type Surge struct {
+	Plan     string        `s:"plan"`
+	Volumes  int           `s:"volumes" min:"0" max:"100000"` // 0: all
+	Factor   float64       `s:"times,required" min:"0" max:"1000"`
+	Duration time.Duration `s:"for,required" min:"1ms" max:"10m"`
+}
+
+func (f *Surge) check(scenario *Scenario) error { return checkPlan(&scenario.Site, f.Plan) }
+
+func (f *Surge) inject(_, _ context.Context, r *scenarioRunner) {
+	r.changes.addSurge(f, r.scenario.Site.PlanNumber(f.Plan))
+}
+
+// Burst multiplies the traffic of all plans, or that of their first volumes.
+type Burst Surge
+
+func (f *Burst) check(scenario *Scenario) error { return checkPlan(&scenario.Site, f.Plan) }
+
+func (f *Burst) inject(_, _ context.Context, r *scenarioRunner) {
+	r.changes.addSurge((*Surge)(f), allPlans)
+}
+
+func checkPlan(site *config.Site, plan string) error {
+	if plan != "" && site.PlanNumber(plan) < 0 {
+		return fmt.Errorf("plan %s is not in the site", plan)
+	}
+	return nil
+}
+
+// HeavyRequests make a share of requests cost many times their work.
+type HeavyRequests struct {
+	Share    float64       `s:"share,required" min:"0" max:"1"`
+	Factor   int           `s:"times,required" min:"1" max:"1000"`
+	Duration time.Duration `s:"for,required" min:"1ms" max:"10m"`
+}
+
+func (f *HeavyRequests) check(*Scenario) error { return nil }
+
+func (f *HeavyRequests) inject(_, _ context.Context, r *scenarioRunner) { r.changes.addHeavy(f) }
+
+// ImpatientClients make a share of requests wait only so long for their answers.
+type ImpatientClients struct {
+	Share    float64       `s:"share,required" min:"0" max:"1"`
+	Wait     time.Duration `s:"wait,required" min:"1ms" max:"10m"`
+	Duration time.Duration `s:"for,required" min:"1ms" max:"10m"`
+}
+
+func (f *ImpatientClients) check(*Scenario) error { return nil }
+
+func (f *ImpatientClients) inject(_, _ context.Context, r *scenarioRunner) { r.changes.addImpatient(f) }
+
+// Reconnect makes a share of volumes change their busiest instance, and of clients their connections, at
+// once.
+type Reconnect struct {
+	Share float64 `s:"share,required" min:"0" max:"1"`
+}
+
+func (f *Reconnect) check(*Scenario) error { return nil }
+
+func (f *Reconnect) inject(_, _ context.Context, r *scenarioRunner) {
+	r.changes.rotateInstances(r.scenario, f.Share)
+	for _, client := range r.clients[:int(f.Share*float64(len(r.clients)))] {
+		client.Reconnect()
+	}
+}
--- a/internal/testbed/fields_test.go
+++ b/internal/testbed/fields_test.go
@@ -20,7 +20,7 @@
 		(at 600ms (reset (nodes 0 1 2))) (at 1s (corrupt (nodes 0 1)))
 		(at 1200ms (kill-node (nodes 2) (back 200ms)))
 		(at 1500ms (lose-answers (nodes 1) (share 0.3) (for 500ms)))`)
-	d.Nodes.Kind.PerOperation = d.Nodes.Kind.PerUnit
+	d.Nodes.Model.PerOperation = d.Nodes.Model.PerUnit
 	return d
 }
 
--- a/internal/testbed/hard_test.go
+++ b/internal/testbed/hard_test.go
@@ -32,7 +32,7 @@
 		`(traffic (class read) (plan free) (rate 300) (volumes 4) (units 4 4) (writers 2))
 		(at 1s (crash (instances 0)))`)
 	d.Clients.Retries, d.Clients.FailOver, d.Clients.RetryDelay = 2, true, 20*time.Millisecond
-	d.Nodes.Kind.PerUnit = 4 * time.Millisecond
+	d.Nodes.Model.PerUnit = 4 * time.Millisecond
 	lost, first, served := map[uint64]bool{}, map[uint64]int64{}, 0
 	for _, e := range play(t, d) {
 		switch e.Kind {
@@ -89,7 +89,7 @@
 		`(cold-share 0.1) (cold-units 60) (ramp 1s) (fall-window 500ms) (fall-multiple 2)`,
 		`(traffic (class read) (plan free) (rate 300) (volumes 4) (units 1 4) (writers 2))
 		 (at 500ms (kill-node (nodes 1) (back 200ms)))`)
-	d.Nodes.Ahead = 30 * time.Second
+	d.Nodes.ClockAhead = 30 * time.Second
 	var back int64
 	cold, warm := 0, 0
 	for _, e := range play(t, d) {
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -52,9 +52,9 @@
 		{RuleAnswers, smallDay(t, readClass, "", reads), AnswerTwice()},
 		{RuleEffects, smallDay(t, strings.Replace(writeClass, "(in-order)", "", 1), "",
 			`(traffic (class write) (plan free) (rate 400) (volumes 4) (units 1 4) (new-objects))`+resets),
-			Baseline(func(g *Greedy) { g.Astray = true })},
+			Baseline(func(g *Greedy) { g.RetriesAnywhere = true })},
 		{RuleDrains, smallDay(t, readClass, "", reads+`(at 500ms (drain (nodes 1)))`),
-			Baseline(func(g *Greedy) { g.Draining = true })},
+			Baseline(func(g *Greedy) { g.SendsToDraining = true })},
 		{RuleCold, smallDay(t, readClass, `(cold-share 0.05) (cold-units 20) (ramp 4s) (fall-window 500ms)
 			(fall-multiple 2)`, reads+`(at 500ms (kill-node (nodes 0) (back 300ms)))
 			(at 600ms (burst (times 4) (for 2s)))`), Baseline(nil)},
@@ -62,7 +62,8 @@
 			`(traffic (class write) (plan free) (rate 200) (volumes 2) (units 1 4) (keys 3))`),
 			Baseline(nil)},
 		{RuleBudget, smallDay(t, readClass, `(budget (floor 2) (ratio 0.001) (window 2s))`,
-			strings.Replace(reads, "150", "500", 1)+resets), Baseline(func(g *Greedy) { g.Again = true })},
+			strings.Replace(reads, "150", "500", 1)+resets),
+			Baseline(func(g *Greedy) { g.IgnoresRetryBudget = true })},
 		{RuleLimits, smallDay(t, readClass, "",
 			`(traffic (class read) (plan tight) (rate 150) (volumes 2) (units 1 4) (writers 2))`),
 			Baseline(nil)},
--- a/internal/testbed/repeat_test.go
+++ b/internal/testbed/repeat_test.go
@@ -56,9 +56,9 @@
 // startNode runs a node with one slow core and keyed writes, and returns what connects to it.
 func startNode(t *testing.T) (*Node, func() (*proto.Conn, <-chan proto.Answer)) {
 	d := smallDay(t, writeClass, "", "")
-	d.Nodes.Kind.Cores = 1
+	d.Nodes.Model.Cores = 1
 	group := NewDedupGroup()
-	node, err := NewNode(NodeConfig{Model: d.Nodes.Kind, Site: &d.Site, Registry: "127.0.0.1:1",
+	node, err := NewNode(NodeConfig{Model: d.Nodes.Model, Site: &d.Site, Registry: "127.0.0.1:1",
 		Log: NewLog(), Meter: NewMeter(0),
 		DedupGroups: func(scheduler.DedupScope) *DedupGroup { return group }})
 	if err != nil {
--- /dev/null
+++ b/internal/testbed/traffic_changes.go
@@ -0,0 +1,173 @@
+package testbed
+
+import (
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+)
+
+// trafficChanges are the faults that change traffic while they last.
+type trafficChanges struct {
+	mu        sync.Mutex
+	surges    []activeSurge
+	heavy     []activeHeavy
+	impatient []activeImpatience
+	rotations map[uint64]int // by volume: how often its busiest instance has changed
+}
+
+type activeSurge struct {
+	plan    int // or allPlans
+	volumes int // the first ones; 0: all
+	factor  float64
+	until   time.Time
+}
+
+type activeHeavy struct {
+	share  float64
+	factor int
+	until  time.Time
+}
+
+type activeImpatience struct {
+	share float64
+	wait  time.Duration
+	until time.Time
+}
+
+func newTrafficChanges() *trafficChanges { return &trafficChanges{rotations: map[uint64]int{}} }
+
+func (c *trafficChanges) addSurge(surge *Surge, plan int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	until := time.Now().Add(surge.Duration)
+	c.surges = append(c.surges, activeSurge{plan, surge.Volumes, surge.Factor, until})
+}
+
+func (c *trafficChanges) addHeavy(heavy *HeavyRequests) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	until := time.Now().Add(heavy.Duration)
+	c.heavy = append(c.heavy, activeHeavy{heavy.Share, heavy.Factor, until})
+}
+
+func (c *trafficChanges) addImpatient(impatient *ImpatientClients) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	until := time.Now().Add(impatient.Duration)
+	c.impatient = append(c.impatient, activeImpatience{impatient.Share, impatient.Wait, until})
+}
+
+// rotateInstances makes a share of all volumes change their busiest instance.
+func (c *trafficChanges) rotateInstances(scenario *Scenario, share float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i := range scenario.Traffic {
+		stream := &scenario.Traffic[i]
+		plan := scenario.Site.PlanNumber(stream.Plan)
+		for number := range stream.Volumes {
+			volume := volumeNumber(uint64(plan+1), uint64(number+1))
+			if float64(mixBits(volume)%1000) < 1000*share {
+				c.rotations[volume]++
+			}
+		}
+	}
+}
+
+func (c *trafficChanges) rotation(volume uint64) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.rotations[volume]
+}
+
+// rateFactor is how many times its usual traffic a volume asks for now.
+func (c *trafficChanges) rateFactor(plan, volume int) float64 {
+	factor := 1.0
+	for _, surge := range c.activeSurges(plan) {
+		if surge.volumes == 0 || volume < surge.volumes {
+			factor *= surge.factor
+		}
+	}
+	return factor
+}
+
+// maxRateFactor is the most that rateFactor is for a plan's volumes, and at least 1.
+func (c *trafficChanges) maxRateFactor(plan int) float64 {
+	factor := 1.0
+	for _, surge := range c.activeSurges(plan) {
+		factor *= max(1, surge.factor)
+	}
+	return factor
+}
+
+// activeSurges are the surges of a plan's traffic that are not over.
+func (c *trafficChanges) activeSurges(plan int) []activeSurge {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.surges = slices.DeleteFunc(c.surges, func(s activeSurge) bool { return time.Now().After(s.until) })
+	var active []activeSurge
+	for _, surge := range c.surges {
+		if surge.plan == allPlans || surge.plan == plan {
+			active = append(active, surge)
+		}
+	}
+	return active
+}
+
+// apply draws whether a request is heavy and its client impatient.
+func (c *trafficChanges) apply(drawn *clientRequest, rng *rand.Rand) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	for _, heavy := range c.heavy {
+		if now.Before(heavy.until) && rng.Float64() < heavy.share {
+			drawn.request.WorkFactor = uint32(heavy.factor)
+		}
+	}
+	for _, impatient := range c.impatient {
+		if now.Before(impatient.until) && rng.Float64() < impatient.share {
+			drawn.patience = impatient.wait
+		}
+	}
+}
+
+// Of a plan's created objects between keptObjects and maxObjects are remembered, the latest ones.
+const (
+	maxObjects  = 512
+	keptObjects = 256
+)
+
+// object is one that a write created.
+type object struct {
+	key  uint64
+	cell int
+}
+
+// createdObjects remembers objects that writes created, so that reads can ask for them.
+type createdObjects struct {
+	mu     sync.Mutex
+	byPlan map[int][]object
+}
+
+func newCreatedObjects() *createdObjects { return &createdObjects{byPlan: map[int][]object{}} }
+
+func (c *createdObjects) add(plan int, created object) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	objects := append(c.byPlan[plan], created)
+	if len(objects) > maxObjects {
+		objects = slices.Clone(objects[len(objects)-keptObjects:])
+	}
+	c.byPlan[plan] = objects
+}
+
+// draw returns one of a plan's objects; false if there is none.
+func (c *createdObjects) draw(plan int, rng *rand.Rand) (object, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	objects := c.byPlan[plan]
+	if len(objects) == 0 {
+		return object{}, false
+	}
+	return objects[rng.IntN(len(objects))], true
+}
