--- /dev/null
+++ b/internal/testbed/bytes_test.go
@@ -0,0 +1,110 @@
+package testbed
+
+import (
+	"slices"
+	"testing"
+
+	"landingpaddle/internal/proto"
+)
+
+// fieldsScenario reads and writes slices of fields over extents' edges, with what breaks operations.
+func fieldsScenario(t *testing.T) *Scenario {
+	t.Helper()
+	site := "(extents (size 64KiB) (members 16) (cells 3))" + readClass + writeClass
+	scenario := smallScenario(t, site, "(order-pause 50ms)",
+		`(traffic (class read) (plan free) (rate 1) (volumes 3) (units 1 2)
+			(fields (size 256KiB) (slice 12KiB) (run 500ms) (spread 5ms)))
+		(traffic (class read) (plan tight) (rate 30) (volumes 3) (units 1 2)
+			(fields (size 256KiB) (slice 40KiB) (shared)))
+		(traffic (class write) (plan free) (rate 60) (volumes 2) (units 1 3) (keys 2)
+			(fields (size 256KiB) (slice 24KiB)))
+		(at 600ms (reset (nodes 0 1 2))) (at 1s (corrupt (nodes 0 1)))
+		(at 1200ms (kill-node (nodes 2) (back 200ms)))
+		(at 1500ms (lose-answers (nodes 1) (share 0.3) (for 500ms)))`)
+	scenario.Nodes.Model.PerOperation = scenario.Nodes.Model.PerUnit
+	return scenario
+}
+
+// isReadAnswer tells whether an event is an answer with bytes that were read.
+func isReadAnswer(event *Event) bool {
+	return event.Kind == KindAnswer && event.Code == proto.OK && event.Data != 0 && !event.Write
+}
+
+// Slices of fields are read and written while connections break, nodes die and answers get lost: every rule
+// is kept, bytes included; and a log in which one byte, one length or one write differs is caught.
+func TestBytes_AreRightThroughFaults(t *testing.T) {
+	t.Parallel()
+	scenario := fieldsScenario(t)
+	events := runKeepingRules(t, scenario)
+	if merged, split := countMergedAndSplit(events); merged == 0 || split == 0 {
+		t.Errorf("%d merged operations, %d further pieces", merged, split)
+	}
+	for name, change := range map[string]func(*Event) bool{
+		"a byte that a client got": func(event *Event) bool {
+			event.Sum++
+			return isReadAnswer(event)
+		},
+		"too few bytes": func(event *Event) bool {
+			event.Length--
+			return isReadAnswer(event)
+		},
+		"a byte that a node wrote": func(event *Event) bool {
+			event.Sum++
+			return event.Kind == KindEnd && event.Data != 0 && event.Write
+		},
+	} {
+		for _, verdict := range CheckInvariants(&scenario.Site, changeFirst(events, change)) {
+			if verdict.Rule == RuleBytes && verdict.Holds {
+				t.Errorf("%s: not caught", name)
+			}
+		}
+	}
+}
+
+// countMergedAndSplit counts operations of several members and pieces beyond the first.
+func countMergedAndSplit(events []Event) (merged, split int) {
+	members := map[operationKey]int{}
+	for _, event := range events {
+		if event.Kind != KindArrive || event.Data == 0 {
+			continue
+		}
+		key := operationKey{event.Node, event.Operation}
+		if members[key]++; members[key] == 2 {
+			merged++
+		}
+		if event.Piece > 0 {
+			split++
+		}
+	}
+	return merged, split
+}
+
+// changeFirst returns a copy of events in which the first one that change accepts is changed.
+func changeFirst(events []Event, change func(*Event) bool) []Event {
+	changed := slices.Clone(events)
+	for i := range changed {
+		if event := changed[i]; change(&event) {
+			changed[i] = event
+			break
+		}
+	}
+	return changed
+}
+
+// With merging disabled the same scenario keeps its rules too, and no operation has two members.
+func TestBytes_NothingIsMergedWhenDisabled(t *testing.T) {
+	t.Parallel()
+	scenario := fieldsScenario(t)
+	scenario.Site.Extents.MergingDisabled = true
+	seen := map[operationKey]bool{}
+	for _, event := range runKeepingRules(t, scenario) {
+		if event.Kind != KindArrive {
+			continue
+		}
+		key := operationKey{event.Node, event.Operation}
+		if seen[key] {
+			t.Fatalf("operation %d of node %d has two members", event.Operation, event.Node)
+		}
+		seen[key] = true
+	}
+}
--- /dev/null
+++ b/internal/testbed/disk_test.go
@@ -0,0 +1,27 @@
+package testbed
+
+import "testing"
+
+// What is written to a node's machine reads back at any offsets, and what was not as the pattern.
+func TestDisk_ReadsBackWhatWasWritten(t *testing.T) {
+	const text, start = "written over the edge of a block, and then some", 4000
+	disk := newDisk()
+	disk.write(7, start, []byte(text))
+	got := disk.read(7, 3990, 80)
+	for i, b := range got {
+		offset := uint64(3990 + i)
+		want := patternByte(7, offset)
+		if offset >= start && offset < start+uint64(len(text)) {
+			want = text[offset-start]
+		}
+		if b != want {
+			t.Fatalf("byte %d is %d, want %d", offset, b, want)
+		}
+	}
+	if checksum(3990, got[:30])+checksum(4020, got[30:]) != checksum(3990, got) {
+		t.Error("sums of parts do not add up")
+	}
+	if checksum(5000, disk.read(7, 5000, 100)) != patternSum(7, 5000, 100) {
+		t.Error("an unwritten range is not the pattern")
+	}
+}
--- a/internal/testbed/forms_test.go
+++ b/internal/testbed/forms_test.go
@@ -11,70 +11,73 @@
 	"landingpaddle/internal/sexpr"
 )
 
-// A log's lines, the audit's verdicts and the settings of the embedded day are read by other programs.
-func TestWrittenForms(t *testing.T) {
+// fullEvent has another value in each field.
+var fullEvent = Event{
+	Time:      1,
+	Kind:      KindSent,
+	Instance:  2,
+	Node:      3,
+	Client:    4,
+	Conn:      5,
+	Seq:       6,
+	Token:     7,
+	Try:       8,
+	Attempt:   9,
+	Class:     10,
+	Plan:      11,
+	Volume:    12,
+	Key:       13,
+	Units:     14,
+	Code:      proto.OK,
+	Reason:    "word",
+	Wait:      17,
+	Status:    "ready",
+	StartedAt: 19,
+	Zone:      20,
+	Cell:      21,
+	Write:     true,
+	Operation: 23,
+	Piece:     24,
+	Data:      25,
+	Offset:    26,
+	Length:    27,
+	Sum:       28,
+}
+
+var allKinds = []Kind{
+	KindSent, KindAnswer, KindBroken, KindClientLeft, KindTimedOut, KindNodeStarted, KindNodeStopped,
+	KindArrive, KindOverloaded, KindNotApplicable, KindStart, KindEnd, KindRepeat, KindCancel,
+	KindCancelArrived, KindReplied, KindCollapsed, KindNotice, KindAcknowledged, KindInstanceStarted,
+	KindInstanceKilled, KindInstanceStalled, KindConnectionsStuck, KindProcessStalled,
+}
+
+// A log's lines, the checker's verdicts and the settings of the embedded scenario are read by other
+// programs.
+func TestForms_AreAsOtherProgramsReadThem(t *testing.T) {
 	var out strings.Builder
-	line := func(v any) {
-		b, err := json.Marshal(v)
+	writeLine := func(value any) {
+		t.Helper()
+		line, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.Write(append(b, '\n'))
+		out.Write(append(line, '\n'))
 	}
-	line(
-		Event{
-			Time:      1,
-			Kind:      KindSent,
-			Instance:  2,
-			Node:      3,
-			Client:    4,
-			Conn:      5,
-			Seq:       6,
-			Token:     7,
-			Try:       8,
-			Attempt:   9,
-			Class:     10,
-			Plan:      11,
-			Volume:    12,
-			Key:       13,
-			Units:     14,
-			Code:      proto.OK,
-			Reason:    "word",
-			Wait:      17,
-			Status:    "ready",
-			StartedAt: 19,
-			Zone:      20,
-			Cell:      21,
-			Write:     true,
-			Operation: 23,
-			Piece:     24,
-			Data:      25,
-			Offset:    26,
-			Length:    27,
-			Sum:       28,
-		},
-	)
-	line(Event{})
-	for _, kind := range []Kind{KindSent, KindAnswer, KindBroken, KindClientLeft, KindTimedOut,
-		KindNodeStarted, KindNodeStopped,
-		KindArrive,
-		KindOverloaded, KindNotApplicable, KindStart, KindEnd, KindRepeat, KindCancel, KindCancelArrived,
-		KindReplied, KindCollapsed,
-		KindNotice,
-		KindAcknowledged, KindInstanceStarted, KindInstanceKilled, KindInstanceStalled,
-		KindConnectionsStuck, KindProcessStalled} {
-		line(kind)
+	writeLine(fullEvent)
+	writeLine(Event{})
+	for _, kind := range allKinds {
+		writeLine(kind)
 	}
-	line(Verdict{})
-	line(Summary{})
-	for _, v := range CheckInvariants(&config.Site{}, nil) {
-		line(v.Rule)
+	writeLine(Verdict{})
+	writeLine(Summary{})
+	for _, verdict := range CheckInvariants(&config.Site{}, nil) {
+		writeLine(verdict.Rule)
 	}
-	day, err := FaultScenario()
+	scenario, err := FaultScenario()
 	if err != nil {
 		t.Fatal(err)
 	}
-	out.WriteString(sexpr.Print("day", &day))
+	out.WriteString(sexpr.Print("day", &scenario))
 	const path = "testdata/forms.txt"
 	want, err := os.ReadFile(path)
 	if err != nil {
--- /dev/null
+++ b/internal/testbed/invariants_log_test.go
@@ -0,0 +1,172 @@
+package testbed
+
+import (
+	"testing"
+	"time"
+)
+
+// Classes of the hand-written logs, by their numbers.
+const (
+	safeClass = iota
+	keyedClass
+	unsafeClass
+)
+
+func milliseconds(n int64) int64 { return n * int64(time.Millisecond) }
+
+// logTime is a time in a hand-written log, in milliseconds from its start.
+func logTime(ms int64) int64 { return milliseconds(1000 + ms) }
+
+// sentEvent is a client's request on connection 0, all of them with one key.
+func sentEvent(ms int64, token uint64, class int, seq uint64) Event {
+	return Event{Time: logTime(ms), Kind: KindSent, Token: token, Class: class, Seq: seq, Key: 9,
+		Wait: milliseconds(500)}
+}
+
+func arriveEvent(ms int64, token uint64, class, attempt int) Event {
+	return Event{Time: logTime(ms), Kind: KindArrive, Token: token, Class: class, Attempt: attempt, Key: 9,
+		Units: 1}
+}
+
+// writeEvent is any other event of a write at node 0, with the code for success.
+func writeEvent(ms int64, kind Kind, token uint64, attempt int) Event {
+	return Event{Time: logTime(ms), Kind: kind, Token: token, Attempt: attempt, Write: true, Code: 100}
+}
+
+// handWrittenLogs are cases that break a line of a rule, and beside each one that does not.
+var handWrittenLogs = []struct {
+	name   string
+	rule   string // that is broken; "": all are kept
+	events []Event
+}{
+	{"answered", "", []Event{
+		sentEvent(0, 1, safeClass, 1),
+		writeEvent(100, KindAnswer, 1, 0)}},
+	{"never answered", RuleAnswers, []Event{
+		sentEvent(0, 1, safeClass, 1),
+		writeEvent(700, KindTimedOut, 1, 0)}},
+	{"never answered by an instance that was killed", "", []Event{
+		sentEvent(0, 1, safeClass, 1),
+		{Time: logTime(50), Kind: KindInstanceKilled},
+		writeEvent(60, KindBroken, 1, 0)}},
+	{"its connection broke by itself", RuleAnswers, []Event{
+		sentEvent(0, 1, safeClass, 1),
+		writeEvent(60, KindBroken, 1, 0)}},
+	{"late", RuleAnswers, []Event{
+		sentEvent(0, 1, safeClass, 1),
+		writeEvent(600, KindAnswer, 1, 0)}},
+	{"late while the instance was stalled", "", []Event{
+		sentEvent(0, 1, safeClass, 1),
+		{Time: logTime(300), Kind: KindInstanceStalled, Wait: milliseconds(300)},
+		writeEvent(620, KindAnswer, 1, 0)}},
+	{"sent after its answer", RuleAnswers, []Event{
+		sentEvent(0, 1, safeClass, 1),
+		writeEvent(100, KindAnswer, 1, 0),
+		arriveEvent(300, 1, safeClass, 0)}},
+	{"an unsafe one sent again", RuleEffects, []Event{
+		sentEvent(0, 1, unsafeClass, 1),
+		arriveEvent(10, 1, unsafeClass, 0),
+		arriveEvent(20, 1, unsafeClass, 1),
+		writeEvent(100, KindAnswer, 1, 0)}},
+	{"an unsafe one sent again after it was rejected", "", []Event{
+		sentEvent(0, 1, unsafeClass, 1),
+		arriveEvent(10, 1, unsafeClass, 0),
+		{Time: logTime(11), Kind: KindOverloaded, Token: 1, Code: 302},
+		arriveEvent(20, 1, unsafeClass, 1),
+		writeEvent(100, KindAnswer, 1, 0)}},
+	{"a keyed one took effect twice", RuleEffects, []Event{
+		sentEvent(0, 1, keyedClass, 1),
+		arriveEvent(10, 1, keyedClass, 0),
+		writeEvent(20, KindEnd, 1, 0),
+		writeEvent(21, KindReplied, 1, 0),
+		arriveEvent(30, 1, keyedClass, 1),
+		writeEvent(40, KindEnd, 1, 1),
+		writeEvent(41, KindReplied, 1, 1),
+		writeEvent(100, KindAnswer, 1, 0)}},
+	{"rejected while it may have run", RuleEffects, []Event{
+		sentEvent(0, 1, keyedClass, 1),
+		arriveEvent(10, 1, keyedClass, 0),
+		writeEvent(12, KindReplied, 1, 0),
+		{Time: logTime(100), Kind: KindAnswer, Token: 1, Code: 400}}},
+	{"drained, within the grace", "", []Event{
+		{Time: logTime(0), Kind: KindAcknowledged, Status: "draining"},
+		sentEvent(0, 1, safeClass, 1),
+		arriveEvent(200, 1, safeClass, 0),
+		writeEvent(300, KindAnswer, 1, 0)}},
+	{"drained, after the grace", RuleDrains, []Event{
+		{Time: logTime(0), Kind: KindAcknowledged, Status: "draining"},
+		sentEvent(0, 1, safeClass, 1),
+		arriveEvent(450, 1, safeClass, 0),
+		writeEvent(460, KindAnswer, 1, 0)}},
+	{"a late update after the node's own notice", RuleDrains, []Event{
+		{Time: logTime(0), Kind: KindNotice, StartedAt: 5},
+		{Time: logTime(1), Kind: KindAcknowledged, Status: "ready", StartedAt: 5},
+		sentEvent(0, 1, safeClass, 1),
+		{Time: logTime(450), Kind: KindArrive, Token: 1, StartedAt: 5},
+		writeEvent(460, KindAnswer, 1, 0)}},
+	{"collapsed", RuleCold, []Event{
+		{Time: logTime(1), Kind: KindCollapsed, Token: 1}}},
+	{"keys in order", "", []Event{
+		sentEvent(0, 1, keyedClass, 1),
+		sentEvent(1, 2, keyedClass, 2),
+		arriveEvent(10, 1, keyedClass, 0),
+		writeEvent(20, KindReplied, 1, 0),
+		arriveEvent(30, 2, keyedClass, 0),
+		writeEvent(40, KindReplied, 2, 0),
+		writeEvent(50, KindAnswer, 1, 0),
+		writeEvent(50, KindAnswer, 2, 0)}},
+	{"two at once", RuleOrder, []Event{
+		sentEvent(0, 1, keyedClass, 1),
+		sentEvent(1, 2, keyedClass, 2),
+		arriveEvent(10, 1, keyedClass, 0),
+		arriveEvent(30, 2, keyedClass, 0),
+		writeEvent(60, KindReplied, 1, 0),
+		writeEvent(70, KindReplied, 2, 0),
+		writeEvent(80, KindAnswer, 1, 0),
+		writeEvent(80, KindAnswer, 2, 0)}},
+	{"out of turn", RuleOrder, []Event{
+		sentEvent(0, 1, keyedClass, 1),
+		sentEvent(1, 2, keyedClass, 2),
+		arriveEvent(10, 2, keyedClass, 0),
+		writeEvent(20, KindReplied, 2, 0),
+		arriveEvent(60, 1, keyedClass, 0),
+		writeEvent(70, KindReplied, 1, 0),
+		writeEvent(80, KindAnswer, 1, 0),
+		writeEvent(80, KindAnswer, 2, 0)}},
+	{"no pause after a cancellation", RuleOrder, []Event{
+		sentEvent(0, 1, keyedClass, 1),
+		sentEvent(1, 2, keyedClass, 2),
+		arriveEvent(10, 1, keyedClass, 0),
+		writeEvent(50, KindCancelArrived, 1, 0),
+		arriveEvent(60, 2, keyedClass, 0),
+		writeEvent(70, KindReplied, 2, 0),
+		writeEvent(80, KindAnswer, 1, 0),
+		writeEvent(80, KindAnswer, 2, 0)}},
+	{"one retry", "", []Event{
+		sentEvent(0, 1, safeClass, 1),
+		arriveEvent(1, 1, safeClass, 0),
+		arriveEvent(9, 1, safeClass, 1),
+		writeEvent(80, KindAnswer, 1, 0)}},
+	{"two retries", RuleBudget, []Event{
+		sentEvent(0, 1, safeClass, 1),
+		arriveEvent(1, 1, safeClass, 0),
+		arriveEvent(90, 1, safeClass, 1),
+		arriveEvent(180, 1, safeClass, 2),
+		writeEvent(190, KindAnswer, 1, 0)}},
+}
+
+func TestInvariants_JudgeHandWrittenLogs(t *testing.T) {
+	scenario := smallScenario(t, readClass+writeClass+
+		`(class once (aim 400ms) (deadline 1s) (repeat unsafe))`,
+		`(order-pause 100ms) (budget (floor 1) (ratio 0) (window 1s))`, reads)
+	logEnd := Event{Time: logTime(9000), Kind: KindInstanceStarted, Instance: 99}
+	for _, c := range handWrittenLogs {
+		t.Run(c.name, func(t *testing.T) {
+			for _, verdict := range CheckInvariants(&scenario.Site, append(c.events, logEnd)) {
+				if verdict.Holds == (verdict.Rule == c.rule) {
+					t.Errorf("%s: kept is %v (%s)", verdict.Rule, verdict.Holds, verdict.FirstViolation)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/testbed/runner_test.go
@@ -0,0 +1,113 @@
+package testbed
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"landingpaddle/internal/proto"
+)
+
+func TestRunner_FaultScenarioKeepsTheRules(t *testing.T) {
+	scenario, err := FaultScenario()
+	if err != nil {
+		t.Fatal(err)
+	}
+	recording, err := RunScenario(context.Background(), &scenario, Options{Seed: 1, Dir: t.TempDir()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, verdict := range CheckInvariants(&scenario.Site, recording.Events) {
+		t.Logf("%+v", verdict)
+		if !verdict.Holds || verdict.Judged == 0 && verdict.Rule != RuleBudget {
+			t.Errorf("%s: %s", verdict.Rule, verdict.FirstViolation)
+		}
+	}
+	t.Logf("%+v", Summarize(&scenario.Site, recording))
+}
+
+// An instance is killed with requests in flight: their clients fail over and are served within their
+// timeout.
+func TestRunner_ClientsOfAKilledInstanceFailOver(t *testing.T) {
+	t.Parallel()
+	scenario := smallScenario(t, readClass, "",
+		`(traffic (class read) (plan free) (rate 300) (volumes 4) (units 4 4) (writers 2))
+		(at 1s (crash (instances 0)))`)
+	clients := &scenario.Clients
+	clients.Retries, clients.FailOver, clients.RetryDelay = 2, true, 20*time.Millisecond
+	scenario.Nodes.Model.PerUnit = 4 * time.Millisecond
+	lost, firstSent, served := map[uint64]bool{}, map[uint64]int64{}, 0
+	for _, event := range runKeepingRules(t, scenario) {
+		switch event.Kind {
+		case KindSent:
+			if firstSent[event.Token] == 0 {
+				firstSent[event.Token] = event.Time
+			}
+		case KindBroken:
+			lost[event.Token] = true
+		case KindAnswer:
+			if !lost[event.Token] || event.Code != proto.OK {
+				continue
+			}
+			if served++; event.Instance != 1 {
+				t.Errorf("request %d was served by the killed instance", event.Token)
+			}
+			if took := time.Duration(event.Time - firstSent[event.Token]); took > time.Second+transitTime {
+				t.Errorf("request %d was served after %v", event.Token, took)
+			}
+		}
+	}
+	if len(lost) == 0 || served < len(lost)*2/3 {
+		t.Errorf("%d requests lost with the instance, %d served elsewhere", len(lost), served)
+	}
+}
+
+// An instance is stalled for a second and wakes with everything due: nothing is answered twice, nothing is
+// sent for what it has rejected, and it serves again.
+func TestRunner_StalledInstanceServesAgain(t *testing.T) {
+	t.Parallel()
+	scenario := smallScenario(t, readClass+writeClass, "(order-pause 50ms)", reads+
+		`(traffic (class write) (plan free) (rate 80) (volumes 2) (units 1 4) (keys 10) (writers 2))
+		 (at 800ms (stall (instances 0) (for 1s)))`)
+	var wokeAt int64
+	servedAfter := 0
+	for _, event := range runKeepingRules(t, scenario) {
+		if event.Kind == KindInstanceStalled {
+			wokeAt = event.Time + event.Wait
+		}
+		served := event.Kind == KindAnswer && event.Instance == 0 && event.Code == proto.OK
+		if served && wokeAt > 0 && event.Time > wokeAt+int64(time.Second/2) {
+			servedAfter++
+		}
+	}
+	if servedAfter == 0 {
+		t.Error("the instance serves nothing after it woke")
+	}
+}
+
+// The clocks of the nodes are ahead by half a minute: nodes that come back still get a slow start, and for
+// no longer than they need.
+func TestRunner_NodeClocksAheadKeepTheSlowStart(t *testing.T) {
+	t.Parallel()
+	scenario := smallScenario(t, readClass,
+		`(cold-share 0.1) (cold-units 60) (ramp 1s) (fall-window 500ms) (fall-multiple 2)`,
+		`(traffic (class read) (plan free) (rate 300) (volumes 4) (units 1 4) (writers 2))
+		 (at 500ms (kill-node (nodes 1) (back 200ms)))`)
+	scenario.Nodes.ClockAhead = 30 * time.Second
+	var backAt int64
+	coldUnits, warmUnits := 0, 0
+	for _, event := range runKeepingRules(t, scenario) {
+		arrivedBack := event.Kind == KindArrive && event.Node == 1 && backAt > 0
+		switch {
+		case event.Kind == KindNodeStarted && event.Node == 1 && event.StartedAt != 0:
+			backAt = event.Time
+		case arrivedBack && event.Time < backAt+int64(time.Second/2):
+			coldUnits += event.Units
+		case arrivedBack && event.Time > backAt+int64(1700*time.Millisecond):
+			warmUnits += event.Units
+		}
+	}
+	if coldUnits > 120 || warmUnits < 20 {
+		t.Errorf("%d units in the first half second, %d when warm", coldUnits, warmUnits)
+	}
+}
--- a/internal/testbed/throughput_test.go
+++ b/internal/testbed/throughput_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net"
 	"os"
+	"slices"
 	"strconv"
 	"sync"
 	"testing"
@@ -19,11 +20,17 @@
 	"landingpaddle/scheduler"
 )
 
-// throughputSite has aims so long that nothing is given up: what is measured is the path, not the decisions
-// to refuse.
+const (
+	throughputNodes    = 4
+	throughputInFlight = 64
+	throughputRequests = 2000 // unless a measurement asks for more
+)
+
+// throughputSite has latency objectives so long that nothing is rejected: what is measured is the path, not
+// the decisions to reject.
 func throughputSite() config.Site {
-	s := config.DefaultSite()
-	s.Classes = []config.Class{
+	site := config.DefaultSite()
+	site.Classes = []config.Class{
 		{Name: "read", LatencyObjective: 20 * time.Second, Deadline: 30 * time.Second, PriorityWeight: 1},
 		{
 			Name:             "write",
@@ -32,162 +39,216 @@
 			PriorityWeight:   1,
 			Writes:           true,
 		}}
-	s.Plans = []config.Plan{{Name: "p", Rate: 100, Weight: 1, PriorityWeight: 1}}
-	s.Limits.Streams = 1024
-	return s
+	site.Plans = []config.Plan{{Name: "p", Rate: 100, Weight: 1, PriorityWeight: 1}}
+	site.Limits.Streams = 1024
+	return site
+}
+
+// loadGenerator sends requests over connections and waits for their answers.
+type loadGenerator struct {
+	conns   []*proto.Conn
+	waiting []sync.Map // by stream: chan proto.Code
+	readers sync.WaitGroup
+}
+
+// load is what a loadGenerator sends.
+type load struct {
+	requests int
+	write    bool
+	gap      time.Duration // between two requests; 0: as fast as answers come
 }
 
-// drive sends n requests over the path, so many in flight, and returns requests a second and the latencies.
-func drive(ctx context.Context, tb testing.TB, addrs []string, flight, n int, write bool,
-	gap time.Duration) (float64,
-	*hdrhistogram.Histogram) {
+// throughput is what a load came to.
+type throughput struct {
+	rate      float64 // requests a second
+	latencies *hdrhistogram.Histogram
+}
+
+// percentile is a latency that so many percent of the requests did not exceed.
+func (m *throughput) percentile(percent float64) time.Duration {
+	return time.Duration(m.latencies.ValueAtQuantile(percent)).Round(time.Microsecond)
+}
+
+func newLoadGenerator(ctx context.Context, tb testing.TB, addrs []string) *loadGenerator {
 	tb.Helper()
-	var conns []*proto.Conn
-	waits := make([]sync.Map, len(addrs))
-	var wg sync.WaitGroup
-	for i, a := range addrs {
-		c, err := proto.Dial(ctx, a, proto.Config{Hello: proto.Hello{Role: "client"}})
+	g := &loadGenerator{waiting: make([]sync.Map, len(addrs))}
+	for i, addr := range addrs {
+		conn, err := proto.Dial(ctx, addr, proto.Config{Hello: proto.Hello{Role: "client"}})
 		if err != nil {
 			tb.Fatal(err)
 		}
-		conns = append(conns, c)
-		wg.Go(func() {
-			_ = c.Run(ctx, func(f proto.Frame) error {
-				c.CloseStream(f.Stream)
-				if done, ok := waits[i].LoadAndDelete(f.Stream); ok {
-					var a proto.Answer
-					_ = f.Decode(&a)
-					done.(chan proto.Code) <- a.Code
-				}
-				return nil
-			})
-		})
+		g.conns = append(g.conns, conn)
+		g.readers.Go(func() { g.read(ctx, i) })
+	}
+	return g
+}
+
+// read passes the answers of one connection to those who wait for them.
+func (g *loadGenerator) read(ctx context.Context, i int) {
+	conn := g.conns[i]
+	_ = conn.Run(ctx, func(frame proto.Frame) error {
+		conn.CloseStream(frame.Stream)
+		if waiting, ok := g.waiting[i].LoadAndDelete(frame.Stream); ok {
+			var answer proto.Answer
+			_ = frame.Decode(&answer)
+			waiting.(chan proto.Code) <- answer.Code
+		}
+		return nil
+	})
+}
+
+// do sends a request and returns the code of its answer; an error where it was not sent.
+func (g *loadGenerator) do(number int, write bool, done chan proto.Code) (proto.Code, error) {
+	cell := number % throughputNodes
+	i := cell % len(g.conns)
+	stream := uint64(number + 1)
+	request := proto.Request{Token: stream, Volume: uint64(1 + number%16), Units: 1, Cell: int32(cell),
+		Timeout: 30 * time.Second, VolumeInstances: 1, Write: write}
+	if write {
+		request.Class = 1
+	}
+	g.waiting[i].Store(stream, done)
+	if err := g.conns[i].OpenStream(stream); err != nil {
+		return 0, err
+	}
+	if err := g.conns[i].Send(proto.TypeRequest, stream, &request, nil); err != nil {
+		return 0, err
+	}
+	return <-done, nil
+}
+
+func (g *loadGenerator) close() {
+	for _, conn := range g.conns {
+		conn.CloseGracefully("done")
 	}
-	lat := hdrhistogram.New(1, int64(time.Minute), 3)
+	g.readers.Wait()
+}
+
+// measure sends a load to addresses and returns what it came to.
+func measure(ctx context.Context, tb testing.TB, addrs []string, load load) throughput {
+	tb.Helper()
+	generator := newLoadGenerator(ctx, tb, addrs)
+	latencies := hdrhistogram.New(1, int64(time.Minute), 3)
 	var mu sync.Mutex
-	jobs := make(chan int)
+	numbers := make(chan int)
 	start := time.Now()
 	var workers sync.WaitGroup
-	for range flight {
+	for range throughputInFlight {
 		workers.Go(func() {
 			done := make(chan proto.Code, 1)
-			for k := range jobs {
-				at := time.Now()
-				cell := k % nodesOfThroughput
-				i := cell % len(conns)
-				q := proto.Request{Token: uint64(k + 1), Volume: uint64(1 + k%16), Units: 1,
-					Cell:    int32(cell),
-					Timeout: 30 * time.Second, VolumeInstances: 1, Write: write}
-				if write {
-					q.Class = 1
-				}
-				waits[i].Store(uint64(k+1), done)
-				if conns[i].OpenStream(uint64(k+1)) != nil ||
-					conns[i].Send(proto.TypeRequest, uint64(k+1), &q, nil) != nil {
-					tb.Error("not sent")
+			for number := range numbers {
+				sentAt := time.Now()
+				code, err := generator.do(number, load.write, done)
+				if err != nil {
+					tb.Error("not sent:", err)
 					return
 				}
-				if code := <-done; code != proto.OK {
+				if code != proto.OK {
 					tb.Errorf("code %d", code)
 					return
 				}
-				took := time.Since(at)
+				took := time.Since(sentAt)
 				mu.Lock()
-				_ = lat.RecordValue(int64(took))
+				_ = latencies.RecordValue(int64(took))
 				mu.Unlock()
 			}
 		})
 	}
-	for k := range n {
-		if gap > 0 {
-			for time.Until(start.Add(time.Duration(k)*gap)) > 0 {
-				time.Sleep(time.Until(start.Add(time.Duration(k) * gap)))
-			}
+	for number := range load.requests {
+		due := start.Add(time.Duration(number) * load.gap)
+		for load.gap > 0 && time.Until(due) > 0 {
+			time.Sleep(time.Until(due))
 		}
-		jobs <- k
+		numbers <- number
 	}
-	close(jobs)
+	close(numbers)
 	workers.Wait()
-	rate := float64(n) / time.Since(start).Seconds()
-	for _, c := range conns {
-		c.CloseGracefully("done")
-	}
-	wg.Wait()
-	return rate, lat
+	rate := float64(load.requests) / time.Since(start).Seconds()
+	generator.close()
+	return throughput{rate, latencies}
 }
 
-const nodesOfThroughput = 4
+// throughputPaths are addresses of the nodes, and as often that of a scheduler before them.
+type throughputPaths struct{ direct, through []string }
 
-// TestThroughput compares one scheduler's path with the straight one, in one run. It takes part in the
-// tests with few requests; LANDINGPADDLE_MEASURE gives the number for a measurement.
-func TestThroughput(t *testing.T) {
-	n := 2000
-	if v, err := strconv.Atoi(os.Getenv("LANDINGPADDLE_MEASURE")); err == nil {
-		n = min(max(v, 1), 2_000_000)
+// startThroughputFleet runs a registry, nodes whose work on a unit takes so long, and one scheduler.
+func startThroughputFleet(ctx context.Context, t *testing.T, running *sync.WaitGroup,
+	work time.Duration) throughputPaths {
+	t.Helper()
+	site := throughputSite()
+	registryListener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
+	running.Go(func() { _ = server.Serve(ctx, registryListener) })
+	registryAddr := registryListener.Addr().String()
+	model := config.NodeModel{Cores: 4, Queue: 4096, PerUnit: work, WritePer: 1, Conns: 64}
+	group := NewDedupGroup()
+	var direct []string
+	for i := range throughputNodes {
+		node, err := NewNode(NodeConfig{Number: i, Cell: uint16(i), Model: model, Site: &site,
+			Registry: registryAddr, Seed: 1, Meter: NewMeter(0),
+			DedupGroups: func(scheduler.DedupScope) *DedupGroup { return group }})
+		if err != nil {
+			t.Fatal(err)
+		}
+		direct = append(direct, node.Addr().String())
+		running.Go(func() { _ = node.Run(ctx) })
+	}
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	instance, err := daemon.New(daemon.Config{Instances: 1, Seed: 1, Site: site, Listener: listener,
+		Registry: registryAddr})
+	if err != nil {
+		t.Fatal(err)
+	}
+	running.Go(func() { _ = instance.Run(ctx) })
+	sleep(ctx, 300*time.Millisecond)
+	// As many connections either way: what differs is the scheduler alone.
+	through := slices.Repeat([]string{listener.Addr().String()}, throughputNodes)
+	return throughputPaths{direct, through}
+}
+
+// TestThroughput_OfASchedulersPathAndTheDirectOne compares the two in one run. It takes part in the tests
+// with few requests; LANDINGPADDLE_MEASURE gives the number for a measurement.
+func TestThroughput_OfASchedulersPathAndTheDirectOne(t *testing.T) {
+	requests := throughputRequests
+	if number, err := strconv.Atoi(os.Getenv("LANDINGPADDLE_MEASURE")); err == nil {
+		requests = min(max(number, 1), 2_000_000)
 	}
 	for _, work := range []time.Duration{0, 4 * time.Millisecond} {
 		t.Run(fmt.Sprintf("work=%v", work), func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			var wg sync.WaitGroup
-			defer wg.Wait()
+			var running sync.WaitGroup
+			defer running.Wait()
 			defer cancel()
-			site := throughputSite()
-			lists, err := net.Listen("tcp4", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			list := registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
-			wg.Go(func() { _ = list.Serve(ctx, lists) })
-			kind := config.NodeModel{Cores: 4, Queue: 4096, PerUnit: work, WritePer: 1, Conns: 64}
-			group := NewDedupGroup()
-			var direct []string
-			for i := range nodesOfThroughput {
-				node, err := NewNode(NodeConfig{Number: i, Cell: uint16(i), Model: kind, Site: &site,
-					Registry: lists.Addr().String(), Seed: 1, Meter: NewMeter(0),
-					DedupGroups: func(scheduler.DedupScope) *DedupGroup { return group }})
-				if err != nil {
-					t.Fatal(err)
-				}
-				direct = append(direct, node.Addr().String())
-				wg.Go(func() { _ = node.Run(ctx) })
-			}
-			ln, err := net.Listen("tcp4", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			inst, err := daemon.New(daemon.Config{Instances: 1, Seed: 1, Site: site, Listener: ln,
-				Registry: lists.Addr().String()})
-			if err != nil {
-				t.Fatal(err)
-			}
-			wg.Go(func() { _ = inst.Run(ctx) })
-			sleep(ctx, 300*time.Millisecond)
-			// As many connections either way: what differs is the scheduler alone.
-			through := []string{ln.Addr().String(), ln.Addr().String(), ln.Addr().String(),
-				ln.Addr().String()}
-			total, flight := n, 64
-			if work > 0 {
-				total = max(n/10, 1000)
-			}
-			for _, write := range []bool{false, true} {
-				if work == 0 && write {
-					continue
-				}
-				d, dl := drive(ctx, t, direct, flight, total, write, 0)
-				s, sl := drive(ctx, t, through, flight, total, write, 0)
-				t.Logf("write %v, %d in flight: direct %.0f/s p50 %v p99 %v; "+
-					"through %.0f/s p50 %v p99 %v; %.1f%%", write, flight, d, at(dl, 50), at(dl, 99), s,
-					at(sl, 50), at(sl, 99), 100*s/d)
-				gap := time.Duration(2 / s * float64(time.Second)) // half the load that the path carries
-				_, dl = drive(ctx, t, direct, flight, total/2, write, gap)
-				_, sl = drive(ctx, t, through, flight, total/2, write, gap)
-				t.Logf("write %v, half load: direct p50 %v p99 %v; through p50 %v p99 %v", write, at(dl, 50),
-					at(dl, 99), at(sl, 50), at(sl, 99))
+			paths := startThroughputFleet(ctx, t, &running, work)
+			if work == 0 {
+				comparePaths(ctx, t, paths, load{requests: requests})
+				return
 			}
+			requests := max(requests/10, 1000)
+			comparePaths(ctx, t, paths, load{requests: requests})
+			comparePaths(ctx, t, paths, load{requests: requests, write: true})
 		})
 	}
 }
 
-func at(h *hdrhistogram.Histogram, q float64) time.Duration {
-	return time.Duration(h.ValueAtQuantile(q)).Round(time.Microsecond)
+// comparePaths measures both paths with a load as fast as they go, and with half of it.
+func comparePaths(ctx context.Context, t *testing.T, paths throughputPaths, full load) {
+	t.Helper()
+	direct := measure(ctx, t, paths.direct, full)
+	through := measure(ctx, t, paths.through, full)
+	t.Logf("write %v, %d in flight: direct %.0f/s p50 %v p99 %v; through %.0f/s p50 %v p99 %v; %.1f%%",
+		full.write, throughputInFlight, direct.rate, direct.percentile(50), direct.percentile(99),
+		through.rate, through.percentile(50), through.percentile(99), 100*through.rate/direct.rate)
+	half := load{requests: full.requests / 2, write: full.write}
+	half.gap = time.Duration(2 / through.rate * float64(time.Second)) // half the load that the path carries
+	direct = measure(ctx, t, paths.direct, half)
+	through = measure(ctx, t, paths.through, half)
+	t.Logf("write %v, half load: direct p50 %v p99 %v; through p50 %v p99 %v", full.write,
+		direct.percentile(50), direct.percentile(99), through.percentile(50), through.percentile(99))
 }
