--- /dev/null
+++ b/cmd/storage-gateway/check.go
@@ -0,0 +1,53 @@
+package main
+
+import (
+	"io"
+
+	"landingpaddle/internal/config"
+	"landingpaddle/internal/sexpr"
+	"landingpaddle/internal/testbed"
+)
+
+type checkCommand struct {
+	File string `arg:"" type:"existingfile" help:"Settings file: an instance, node, list, day or site."`
+}
+
+// Run prints the settings in force, defaults included.
+func (c *checkCommand) Run(out io.Writer) error {
+	forms, err := sexpr.ReadTree(c.File)
+	if err != nil {
+		return err
+	}
+	if len(forms) == 0 {
+		return sexpr.Errorf(sexpr.Pos{File: c.File, Line: 1, Col: 1}, "nothing here")
+	}
+	head := forms[0].Head()
+	settings := defaultSettings(head)
+	if settings == nil {
+		return sexpr.Errorf(forms[0].Pos, "found %q; want instance, node, list, day or site", head)
+	}
+	if err := sexpr.DecodeOne(forms, c.File, head, settings); err != nil {
+		return err
+	}
+	_, err = io.WriteString(out, sexpr.Print(head, settings))
+	return err
+}
+
+// defaultSettings returns a pointer to what a file with that head changes; nil if there is none.
+func defaultSettings(head string) any {
+	switch head {
+	case "instance":
+		return pointerTo(config.DefaultInstance())
+	case "node":
+		return pointerTo(config.DefaultNode())
+	case "list":
+		return pointerTo(config.DefaultRegistry())
+	case "day":
+		return pointerTo(testbed.DefaultScenario())
+	case "site":
+		return pointerTo(config.DefaultSite())
+	}
+	return nil
+}
+
+func pointerTo[T any](value T) *T { return &value }
--- a/cmd/storage-gateway/expect.go
+++ b/cmd/storage-gateway/expect.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 
@@ -8,7 +9,10 @@
 	"landingpaddle/internal/config"
 )
 
-type expectCmd struct {
+// errNothingExpected is returned for a fleet without expectations.
+var errNothingExpected = errors.New("nothing is expected: there is no (expect …)")
+
+type expectCommand struct {
 	File           string `arg:"" type:"existingfile" help:"Fleet file with its (expect …) forms."`
 	Against        string `type:"existingfile" help:"The fleet as it was: tell what the change changes."`
 	JSON           bool   `help:"Print the findings as JSON."`
@@ -16,93 +20,99 @@
 }
 
 // Run checks a fleet's expectations; one that is broken, or not decided, is an error.
-func (c *expectCmd) Run(out io.Writer) error {
-	fleet, plan, all, err := config.LoadFleet(c.File)
+func (c *expectCommand) Run(out io.Writer) error {
+	fleet, model, expectations, err := config.LoadFleet(c.File)
 	if err != nil {
 		return err
 	}
-	if len(all) == 0 {
-		return fmt.Errorf("%s: nothing is expected: there is no (expect …)", c.File)
-	}
-	for _, pair := range expect.Contradictions(all) {
-		return errBroken{fmt.Sprintf("%s: %q and %q at %s can't both hold", pair[1].Place, pair[1].Name,
-			pair[0].Name, pair[0].Place)}
+	if len(expectations) == 0 {
+		return fmt.Errorf("%s: %w", c.File, errNothingExpected)
 	}
-	findings := plan.Check(all)
-	count := map[expect.Verdict]int{}
-	for _, f := range findings {
-		count[f.Verdict]++
+	if pairs := expect.Contradictions(expectations); len(pairs) > 0 {
+		first, second := pairs[0][0], pairs[0][1]
+		return fmt.Errorf("%s: %q and %q at %s can't both hold", second.Place, second.Name, first.Name,
+			first.Place)
 	}
+	findings := model.Check(expectations)
 	if c.JSON {
 		if err := printJSON(out, findings); err != nil {
 			return err
 		}
-	} else {
-		fmt.Fprintf(out, "%s: %d nodes, %d instances, %d kinds of volumes\n", fleet.Name, len(plan.Nodes),
-			plan.Instances, len(plan.Volumes))
-		for _, f := range findings {
-			printFinding(out, f)
-		}
+		return c.blocked(findings)
 	}
-	blocked := count[expect.Broken]
-	if !c.AllowUndecided {
-		blocked += count[expect.Undecided]
+	fmt.Fprintf(out, "%s: %d nodes, %d instances, %d kinds of volumes\n", fleet.Name, len(model.Nodes),
+		model.Instances, len(model.Volumes))
+	for _, finding := range findings {
+		printFinding(out, finding)
 	}
-	if c.Against != "" && !c.JSON {
-		if err := c.against(out, findings); err != nil {
+	if c.Against != "" {
+		if err := c.printChanges(out, findings); err != nil {
 			return err
 		}
 	}
-	if blocked > 0 {
-		return errBroken{fmt.Sprintf("%d broken, %d undecided of %d expectations", count[expect.Broken],
-			count[expect.Undecided], len(findings))}
+	return c.blocked(findings)
+}
+
+// blocked is an error if an expectation is broken, or not decided unless that is allowed.
+func (c *expectCommand) blocked(findings []expect.Finding) error {
+	count := map[expect.Verdict]int{}
+	for _, finding := range findings {
+		count[finding.Verdict]++
+	}
+	broken, undecided := count[expect.Broken], count[expect.Undecided]
+	if broken > 0 || undecided > 0 && !c.AllowUndecided {
+		return fmt.Errorf("%d broken, %d undecided of %d expectations", broken, undecided, len(findings))
 	}
 	return nil
 }
 
-// against tells which of these expectations stood otherwise with the fleet as it was before.
-func (c *expectCmd) against(out io.Writer, now []expect.Finding) error {
-	_, plan, all, err := config.LoadFleet(c.Against)
+// printChanges prints which of these expectations stood otherwise with the fleet as it was before.
+func (c *expectCommand) printChanges(out io.Writer, now []expect.Finding) error {
+	_, model, expectations, err := config.LoadFleet(c.Against)
 	if err != nil {
 		return err
 	}
-	then, before := plan.Check(all), map[string]expect.Finding{}
-	for _, f := range then {
-		before[f.Expectation.Name] = f
+	before := model.Check(expectations)
+	unmatched := map[string]expect.Finding{}
+	for _, finding := range before {
+		unmatched[finding.Expectation.Name] = finding
 	}
-	for _, f := range now {
-		old, known := before[f.Expectation.Name]
-		delete(before, f.Expectation.Name)
+	for _, finding := range now {
+		name := finding.Expectation.Name
+		old, known := unmatched[name]
+		delete(unmatched, name)
 		switch {
 		case !known:
-			fmt.Fprintf(out, "  new        %s: %s\n", f.Expectation.Name, f.Verdict)
-		case old.Verdict != f.Verdict:
-			fmt.Fprintf(out, "  changed    %s: %s (%.3g) before, %s (%.3g) now\n", f.Expectation.Name,
-				old.Verdict, old.Value, f.Verdict, f.Value)
+			fmt.Fprintf(out, "  new        %s: %s\n", name, finding.Verdict)
+		case old.Verdict != finding.Verdict:
+			fmt.Fprintf(out, "  changed    %s: %s (%.3g) before, %s (%.3g) now\n", name, old.Verdict,
+				old.Value, finding.Verdict, finding.Value)
 		}
 	}
-	for _, f := range then {
-		if _, left := before[f.Expectation.Name]; left {
-			fmt.Fprintf(out, "  dropped    %s: %s before\n", f.Expectation.Name, f.Verdict)
+	for _, finding := range before {
+		if _, dropped := unmatched[finding.Expectation.Name]; dropped {
+			fmt.Fprintf(out, "  dropped    %s: %s before\n", finding.Expectation.Name, finding.Verdict)
 		}
 	}
 	return nil
 }
 
-func printFinding(out io.Writer, f expect.Finding) {
-	e := f.Expectation
-	if f.Verdict == expect.Undecided {
-		fmt.Fprintf(out, "  %-9s  %s: %s  %s\n", f.Verdict, e.Name, f.Reason, e.Place)
+func printFinding(out io.Writer, finding expect.Finding) {
+	expectation := finding.Expectation
+	if finding.Verdict == expect.Undecided {
+		fmt.Fprintf(out, "  %-9s  %s: %s  %s\n", finding.Verdict, expectation.Name, finding.Reason,
+			expectation.Place)
 		return
 	}
-	word := "at least"
-	if e.AtMost {
-		word = "at most"
+	comparison := "at least"
+	if expectation.AtMost {
+		comparison = "at most"
 	}
-	gone := ""
-	if f.MissingNodes != "" {
-		gone = " with " + f.MissingNodes + " gone"
+	missing := ""
+	if finding.MissingNodes != "" {
+		missing = " with " + finding.MissingNodes + " gone"
 	}
-	fmt.Fprintf(out, "  %-9s  %s: %s of %s is %.3g%s, %s %.3g is expected; %d cases  %s\n", f.Verdict, e.Name,
-		e.Measure, f.Subject, f.Value, gone, word, e.Bound, f.CasesChecked, e.Place)
+	fmt.Fprintf(out, "  %-9s  %s: %s of %s is %.3g%s, %s %.3g is expected; %d cases  %s\n", finding.Verdict,
+		expectation.Name, expectation.Measure, finding.Subject, finding.Value, missing, comparison,
+		expectation.Bound, finding.CasesChecked, expectation.Place)
 }
--- a/cmd/storage-gateway/forms_test.go
+++ b/cmd/storage-gateway/forms_test.go
@@ -13,8 +13,8 @@
 )
 
 // Sub-commands, arguments and flags with their defaults are interfaces.
-func TestCommandsAndFlags(t *testing.T) {
-	parser, err := kong.New(&cli{})
+func TestForms_OfCommandsAndFlagsStay(t *testing.T) {
+	parser, err := kong.New(&commands{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,20 +24,17 @@
 			lines = append(lines, fmt.Sprintf("%s <%s> required=%t", command.Name, arg.Name, arg.Required))
 		}
 		for _, flag := range command.Flags {
-			lines = append(
-				lines,
-				fmt.Sprintf("%s --%s default=%q required=%t", command.Name, flag.Name, flag.Default,
-					flag.Required),
-			)
+			lines = append(lines, fmt.Sprintf("%s --%s default=%q required=%t", command.Name, flag.Name,
+				flag.Default, flag.Required))
 		}
 		lines = append(lines, command.Name)
 	}
 	slices.Sort(lines)
-	golden(t, "testdata/forms/commands.txt", strings.Join(lines, "\n")+"\n")
+	compareWithFile(t, "testdata/forms/commands.txt", strings.Join(lines, "\n")+"\n")
 }
 
 // What check prints of the shipped files: every form of the settings with its default.
-func TestSettingsInForce(t *testing.T) {
+func TestForms_OfSettingsStay(t *testing.T) {
 	examples, err := filepath.Abs("../../examples")
 	if err != nil {
 		t.Fatal(err)
@@ -54,22 +51,22 @@
 		fmt.Fprintf(&all, "== %s exit %d\n%s%s", filepath.Base(file), code, out.String(),
 			strings.ReplaceAll(cause, examples+"/", ""))
 	}
-	golden(t, "testdata/forms/settings.txt", all.String())
+	compareWithFile(t, "testdata/forms/settings.txt", all.String())
 }
 
 // The exit code is 0 when all is well, 1 for a failure, 2 for bad use.
-func TestExitCodes(t *testing.T) {
+func TestRun_ExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		want int
 	}{
-		{[]string{"--help"}, 0},
-		{[]string{"check", "../../examples/list.lisp"}, 0},
-		{[]string{"check", "../../examples/fleet.lisp"}, 1},
-		{[]string{"audit", "."}, 1},
-		{[]string{"fly"}, 2},
-		{[]string{"check", "missing.lisp"}, 2},
-		{nil, 2},
+		{[]string{"--help"}, exitOK},
+		{[]string{"check", "../../examples/list.lisp"}, exitOK},
+		{[]string{"check", "../../examples/fleet.lisp"}, exitFailure},
+		{[]string{"audit", "."}, exitFailure},
+		{[]string{"fly"}, exitUsage},
+		{[]string{"check", "missing.lisp"}, exitUsage},
+		{nil, exitUsage},
 	} {
 		if got := run(c.args, &bytes.Buffer{}, &bytes.Buffer{}); got != c.want {
 			t.Errorf("%q exits with %d, want %d", c.args, got, c.want)
@@ -77,7 +74,8 @@
 	}
 }
 
-func golden(t *testing.T, path, got string) {
+// compareWithFile checks a text against that of a file.
+func compareWithFile(t *testing.T, path, got string) {
 	t.Helper()
 	want, err := os.ReadFile(path)
 	if err != nil {
--- /dev/null
+++ b/cmd/storage-gateway/list.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"landingpaddle/endpoints"
+	"landingpaddle/internal/config"
+	"landingpaddle/internal/registry"
+	"landingpaddle/internal/testbed"
+)
+
+// unknownNode is the node of an event whose Reason has the node's address instead.
+const unknownNode = -1
+
+// listCommand is the sub-command of the stand-in registry.
+type listCommand struct {
+	Config string `arg:"" type:"existingfile" help:"Settings file (list …)."`
+	Log    string `help:"Write what instances were notified of here when it ends, for audit."`
+}
+
+// Run serves as a stand-in registry until a signal.
+func (c *listCommand) Run() error {
+	settings := config.DefaultRegistry()
+	if err := config.Load(c.Config, "list", &settings); err != nil {
+		return err
+	}
+	listener, err := net.Listen("tcp4", settings.Listen.String())
+	if err != nil {
+		return err
+	}
+	events := testbed.NewLog()
+	server := registry.NewServer(registry.ServerConfig{
+		Epoch:    uint64(time.Now().UnixNano()),
+		Delay:    settings.Delay,
+		Workers:  settings.Workers,
+		CallTime: settings.CallTime,
+		MaxWait:  settings.MaxWait,
+		OnAcknowledged: func(instance uint32, endpoint endpoints.Endpoint) {
+			events.Add(testbed.Event{
+				Kind:      testbed.KindAcknowledged,
+				Instance:  int(instance),
+				Node:      unknownNode,
+				StartedAt: endpoint.StartedAt,
+				Status:    endpoint.Status.String(),
+				Reason:    registry.AddrPortOf(endpoint.Server).String(),
+			})
+		},
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	_, stop := handleSignals(cancel)
+	defer stop()
+	return writeLog(server.Serve(ctx, listener), events, c.Log)
+}
--- a/cmd/storage-gateway/main.go
+++ b/cmd/storage-gateway/main.go
@@ -3,13 +3,9 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"os"
-	"os/signal"
-	"syscall"
 
 	"github.com/alecthomas/kong"
 )
@@ -17,85 +13,53 @@
 // programName stands before each error and in the usage text.
 const programName = "storage-gateway"
 
-type cli struct {
-	Serve  serveCmd  `cmd:"" help:"Run one instance of the scheduler from a settings file (instance …)."`
-	Node   nodeCmd   `cmd:"" help:"Run a stand-in storage node from a settings file (node …)."`
-	List   listCmd   `cmd:"" help:"Run a stand-in list service from a settings file (list …)."`
-	Call   callCmd   `cmd:"" help:"Send requests to an instance as a stand-in client."`
-	Day    dayCmd    `cmd:"" aliases:"scenario" help:"Play a day of faults on loopback and judge the rules."`
-	Sweep  sweepCmd  `cmd:"" help:"Play a day for several values of one bound on merging, and compare."`
-	Expect expectCmd `cmd:"" help:"Check what is expected of a fleet (fleet …), without traffic."`
-	Check  checkCmd  `cmd:"" help:"Check a settings file and print the settings in force."`
-	Audit  auditCmd  `cmd:"" help:"Judge the rules from the logs in a folder."`
-
-	Platform platformCmd `cmd:"" help:"Run one scheduler as the platform starts it (BALANCER_CONFIG)."`
-}
+// Exit codes.
+const (
+	exitOK      = 0
+	exitFailure = 1 // a rule is broken, or something failed
+	exitUsage   = 2
+)
 
-// errBroken ends a command whose verdict has been printed already.
-type errBroken struct{ what string }
+// commands are the sub-commands.
+type commands struct {
+	Serve  serveCommand  `cmd:"" help:"Run a scheduler instance from a settings file (instance …)."`
+	Node   nodeCommand   `cmd:"" help:"Run a stand-in storage node from a settings file (node …)."`
+	List   listCommand   `cmd:"" help:"Run a stand-in registry from a settings file (list …)."`
+	Call   callCommand   `cmd:"" help:"Send requests to an instance as a stand-in client."`
+	Day    dayCommand    `cmd:"" aliases:"scenario" help:"Run a scenario with faults and check its rules."`
+	Sweep  sweepCommand  `cmd:"" help:"Run a scenario for several bounds on merging, and compare."`
+	Expect expectCommand `cmd:"" help:"Check what is expected of a fleet (fleet …), without traffic."`
+	Check  checkCommand  `cmd:"" help:"Check a settings file and print the settings in force."`
+	Audit  auditCommand  `cmd:"" help:"Check the rules from the logs in a folder."`
 
-func (e errBroken) Error() string { return e.what }
+	Platform platformCommand `cmd:"" help:"Run one scheduler as the platform starts it (BALANCER_CONFIG)."`
+}
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run is the program; it returns the exit code: 0 all well, 1 a rule broken or a failure, 2 bad use.
+// run is the program; it returns the exit code.
 func run(args []string, out, errs io.Writer) int {
-	var c cli
-	code := -1
-	parser, err := kong.New(&c, kong.Name(programName), kong.UsageOnError(),
-		kong.Description("A storage gateway that schedules a host's reads and writes over storage nodes."),
-		kong.Writers(out, errs), kong.Exit(func(n int) { code = n }))
-	if err != nil {
+	fail := func(err error, code int) int {
 		fmt.Fprintf(errs, "%s: %v\n", programName, err)
-		return 2
-	}
-	k, err := parser.Parse(args)
-	if code >= 0 {
-		return code // help was asked for
+		return code
 	}
+	helpCode := -1
+	parser, err := kong.New(&commands{}, kong.Name(programName), kong.UsageOnError(),
+		kong.Description("A storage gateway that schedules a host's reads and writes over storage nodes."),
+		kong.Writers(out, errs), kong.Exit(func(code int) { helpCode = code }))
 	if err != nil {
-		fmt.Fprintf(errs, "%s: %v\n", programName, err)
-		return 2
+		return fail(err, exitUsage)
 	}
-	k.BindTo(out, (*io.Writer)(nil))
-	if err := k.Run(); err != nil {
-		fmt.Fprintf(errs, "%s: %v\n", programName, err)
-		return 1
+	command, err := parser.Parse(args)
+	if helpCode >= 0 {
+		return helpCode // help was asked for
 	}
-	return 0
-}
-
-// signals returns a context that ends at the second SIGINT or SIGTERM; first is called at the first.
-func signals(first func()) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithCancel(context.Background())
-	got := make(chan os.Signal, 2)
-	signal.Notify(got, syscall.SIGINT, syscall.SIGTERM)
-	go func() {
-		defer signal.Stop(got)
-		select {
-		case <-got:
-			first()
-		case <-ctx.Done():
-			return
-		}
-		select {
-		case <-got:
-			cancel()
-		case <-ctx.Done():
-		}
-	}()
-	return ctx, cancel
-}
-
-// logger writes structured logs to standard error.
-func logger(level string, asJSON bool) (*slog.Logger, error) {
-	var l slog.Level
-	if err := l.UnmarshalText([]byte(level)); err != nil {
-		return nil, fmt.Errorf("log level %q: want debug, info, warn or error", level)
+	if err != nil {
+		return fail(err, exitUsage)
 	}
-	opt := &slog.HandlerOptions{Level: l}
-	if asJSON {
-		return slog.New(slog.NewJSONHandler(os.Stderr, opt)), nil
+	command.BindTo(out, (*io.Writer)(nil))
+	if err := command.Run(); err != nil {
+		return fail(err, exitFailure)
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, opt)), nil
+	return exitOK
 }
--- a/cmd/storage-gateway/main_test.go
+++ b/cmd/storage-gateway/main_test.go
@@ -1,84 +1,125 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"os"
 	"path/filepath"
 	"regexp"
+	"strings"
 	"testing"
 	"time"
 
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
+var (
+	exampleAddr = regexp.MustCompile(`127\.0\.0\.1:7\d+`)
+
+	errNoExamples = errors.New("no examples")
+)
+
+const (
+	examplesGlob   = "../../examples/*.lisp"
+	exampleDataDir = "/tmp/landingpaddle"
+	instanceAddr   = "127.0.0.1:7120" // of the example's first instance
+)
+
 func TestMain(m *testing.M) {
-	testscript.Main(m, map[string]func(){"storage-gateway": main})
+	testscript.Main(m, map[string]func(){programName: main})
 }
 
 // The scripts run the shipped examples as a user would, on ports that are free here.
-func TestScripts(t *testing.T) {
-	testscript.Run(t, testscript.Params{Dir: "testdata", Deadline: time.Now().Add(90 * time.Second),
-		Setup: func(e *testscript.Env) error {
-			files, err := filepath.Glob("../../examples/*.lisp")
-			if err != nil || len(files) == 0 {
-				return fmt.Errorf("no examples: %v", err)
-			}
-			ports, held := map[string]string{}, []net.Listener{}
-			addr := regexp.MustCompile(`127\.0\.0\.1:7\d+`)
-			for _, f := range files {
-				data, err := os.ReadFile(f)
-				if err != nil {
-					return err
-				}
-				for _, old := range addr.FindAllString(string(data), -1) {
-					if ports[old] == "" {
-						ln, err := listenBelowEphemeralPorts()
-						if err != nil {
-							return err
-						}
-						held = append(held, ln)
-						ports[old] = ln.Addr().String()
-					}
-				}
-				text := addr.ReplaceAllStringFunc(string(data), func(old string) string { return ports[old] })
-				text = regexp.MustCompile(`/tmp/landingpaddle`).ReplaceAllString(text,
-					e.WorkDir+"/landingpaddle")
-				if err := os.WriteFile(filepath.Join(e.WorkDir, filepath.Base(f)), []byte(text),
-					0o644); err != nil {
-					return err
-				}
-			}
-			for _, ln := range held {
-				ln.Close()
-			}
-			e.Setenv("INSTANCE", ports["127.0.0.1:7120"])
-			return nil
-		}, Cmds: map[string]func(*testscript.TestScript, bool, []string){"reach": reach}})
+func TestScripts_OfTheExamples(t *testing.T) {
+	testscript.Run(t, testscript.Params{
+		Dir:      "testdata",
+		Deadline: time.Now().Add(90 * time.Second),
+		Setup:    copyExamples,
+		Cmds:     map[string]func(*testscript.TestScript, bool, []string){"reach": waitUntilReached},
+	})
+}
+
+// copyExamples copies the examples into a script's folder, with addresses and a folder of its own.
+func copyExamples(env *testscript.Env) error {
+	files, err := filepath.Glob(examplesGlob)
+	if err != nil {
+		return err
+	}
+	if len(files) == 0 {
+		return errNoExamples
+	}
+	ports := freePorts{byExample: map[string]string{}}
+	defer ports.close()
+	for _, file := range files {
+		data, err := os.ReadFile(file)
+		if err != nil {
+			return err
+		}
+		text, err := ports.replaceAddrs(string(data))
+		if err != nil {
+			return err
+		}
+		text = strings.ReplaceAll(text, exampleDataDir, env.WorkDir+"/landingpaddle")
+		path := filepath.Join(env.WorkDir, filepath.Base(file))
+		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+			return err
+		}
+	}
+	env.Setenv("INSTANCE", ports.byExample[instanceAddr])
+	return nil
+}
+
+// freePorts stand in for the addresses of the examples. They are held until all are known, so that none is
+// given twice.
+type freePorts struct {
+	byExample map[string]string
+	held      []net.Listener
+}
+
+func (p *freePorts) replaceAddrs(text string) (string, error) {
+	for _, addr := range exampleAddr.FindAllString(text, -1) {
+		if p.byExample[addr] != "" {
+			continue
+		}
+		listener, err := listenBelowEphemeralPorts()
+		if err != nil {
+			return "", err
+		}
+		p.held = append(p.held, listener)
+		p.byExample[addr] = listener.Addr().String()
+	}
+	return exampleAddr.ReplaceAllStringFunc(text, func(addr string) string { return p.byExample[addr] }), nil
+}
+
+func (p *freePorts) close() {
+	for _, listener := range p.held {
+		listener.Close()
+	}
 }
 
 // listenBelowEphemeralPorts listens on a free port that the system gives to no outgoing connection: one that
 // it gives away may be taken by a test that runs beside this before the script's own process listens on it.
-func listenBelowEphemeralPorts() (ln net.Listener, err error) {
+func listenBelowEphemeralPorts() (listener net.Listener, err error) {
 	const first, last, tries = 10_000, 30_000, 100
 	for range tries {
 		port := first + rand.IntN(last-first)
-		if ln, err = net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", port)); err == nil {
-			return ln, nil
+		if listener, err = net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", port)); err == nil {
+			return listener, nil
 		}
 	}
 	return nil, err
 }
 
-// reach waits until something listens at an address.
-func reach(ts *testscript.TestScript, _ bool, args []string) {
+// waitUntilReached waits until something listens at an address.
+func waitUntilReached(script *testscript.TestScript, _ bool, args []string) {
 	for range 200 {
-		if c, err := net.Dial("tcp4", args[0]); err == nil {
-			c.Close()
+		if conn, err := net.Dial("tcp4", args[0]); err == nil {
+			conn.Close()
 			return
 		}
-		ts.Check(ts.Exec("sleep", "0.05"))
+		script.Check(script.Exec("sleep", "0.05"))
 	}
-	ts.Fatalf("nobody listens at %s", args[0])
+	script.Fatalf("nobody listens at %s", args[0])
 }
--- a/cmd/storage-gateway/platform.go
+++ b/cmd/storage-gateway/platform.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
@@ -10,17 +11,17 @@
 	"landingpaddle/internal/platform"
 )
 
-type platformCmd struct {
+type platformCommand struct {
 	LogLevel string `default:"info" help:"Least level that is logged: debug, info, warn or error."`
 }
 
 // Run serves on the platform until SIGTERM has been carried out. SIGHUP reads the configuration again; one
 // that cannot be read is logged and changes nothing.
-func (c *platformCmd) Run() error {
+func (c *platformCommand) Run() error {
 	// Caught before anything else, as SIGHUP must not end a scheduler that has only begun.
-	got := make(chan os.Signal, 8)
-	signal.Notify(got, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
-	log, err := logger(c.LogLevel, false)
+	received := make(chan os.Signal, 8)
+	signal.Notify(received, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
+	log, err := newLogger(c.LogLevel, false)
 	if err != nil {
 		return err
 	}
@@ -29,25 +30,29 @@
 		return err
 	}
 	platform.ApplyRuntimeLimits(cfg)
-	s, err := platform.New(cfg, log)
+	server, err := platform.New(cfg, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", os.Getenv("BALANCER_CONFIG"), err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		for sig := range got {
-			if sig != syscall.SIGHUP {
-				s.Shutdown()
-				continue
+		for sig := range received {
+			if sig == syscall.SIGHUP {
+				reload(server, log)
+			} else {
+				server.Shutdown()
 			}
-			again, err := platform.Load(os.Getenv)
-			if err != nil {
-				log.Error("configuration kept as it was", "error", err)
-				continue
-			}
-			s.Reload(again)
 		}
 	}()
-	return s.Run(ctx)
+	return server.Run(ctx)
+}
+
+func reload(server *platform.Gateway, log *slog.Logger) {
+	cfg, err := platform.Load(os.Getenv)
+	if err != nil {
+		log.Error("configuration kept as it was", "error", err)
+		return
+	}
+	server.Reload(cfg)
 }
--- a/cmd/storage-gateway/serve.go
+++ b/cmd/storage-gateway/serve.go
@@ -9,49 +9,55 @@
 	"landingpaddle/internal/registry"
 )
 
-type serveCmd struct {
+type serveCommand struct {
 	Config string `arg:"" type:"existingfile" help:"Settings file (instance …)."`
 }
 
-// Run serves until the first signal, then answers what is held and ends; a second signal ends it at once.
-func (s *serveCmd) Run() error {
-	set := config.DefaultInstance()
-	if err := config.Load(s.Config, "instance", &set); err != nil {
+// Run serves until the first signal, then answers the requests in flight and ends; a second signal ends it
+// at once.
+func (c *serveCommand) Run() error {
+	settings := config.DefaultInstance()
+	if err := config.Load(c.Config, "instance", &settings); err != nil {
 		return err
 	}
-	log, err := logger(set.LogLevel, set.LogJSON)
+	log, err := newLogger(settings.LogLevel, settings.LogJSON)
 	if err != nil {
 		return err
 	}
-	ln, err := net.Listen("tcp4", set.Listen.String())
+	listener, err := net.Listen("tcp4", settings.Listen.String())
 	if err != nil {
 		return err
 	}
-	cfg := daemon.Config{
-		Number:          set.Number,
-		Instances:       set.Instances,
-		Zone:            uint8(set.Site.Zone(set.Zone)),
-		Seed:            set.Seed,
-		Site:            set.Site,
-		Listener:        ln,
-		Registry:        set.Registry.String(),
-		Snapshot:        registry.SnapshotFile{Path: set.SnapshotFile},
-		StatisticsFile:  set.StatisticsFile,
-		ShutdownTimeout: set.ShutdownTimeout,
-		Log:             log,
-	}
-	if set.PeerListen.IsValid() {
-		cfg.PeerListen, cfg.Peers = set.PeerListen.String(), map[uint32]netip.AddrPort{}
-		for _, p := range set.Peers {
-			cfg.Peers[p.Number] = p.Addr.AddrPort
-		}
-	}
-	inst, err := daemon.New(cfg)
+	cfg := instanceConfig(&settings, listener)
+	cfg.Log = log
+	instance, err := daemon.New(cfg)
 	if err != nil {
-		ln.Close()
+		listener.Close()
 		return err
 	}
-	ctx, cancel := signals(inst.Stop)
+	ctx, cancel := handleSignals(instance.Stop)
 	defer cancel()
-	return inst.Run(ctx)
+	return instance.Run(ctx)
+}
+
+func instanceConfig(settings *config.Instance, listener net.Listener) daemon.Config {
+	cfg := daemon.Config{
+		Number:          settings.Number,
+		Instances:       settings.Instances,
+		Zone:            uint8(settings.Site.Zone(settings.Zone)),
+		Seed:            settings.Seed,
+		Site:            settings.Site,
+		Listener:        listener,
+		Registry:        settings.Registry.String(),
+		Snapshot:        registry.SnapshotFile{Path: settings.SnapshotFile},
+		StatisticsFile:  settings.StatisticsFile,
+		ShutdownTimeout: settings.ShutdownTimeout,
+	}
+	if settings.PeerListen.IsValid() {
+		cfg.PeerListen, cfg.Peers = settings.PeerListen.String(), map[uint32]netip.AddrPort{}
+		for _, peer := range settings.Peers {
+			cfg.Peers[peer.Number] = peer.Addr.AddrPort
+		}
+	}
+	return cfg
 }
--- a/cmd/storage-gateway/sweep.go
+++ b/cmd/storage-gateway/sweep.go
@@ -6,19 +6,13 @@
 	"strconv"
 	"time"
 
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/plotutil"
-	"gonum.org/v1/plot/vg"
-
 	"landingpaddle/internal/config"
 	"landingpaddle/internal/daemon"
-	"landingpaddle/internal/sexpr"
 	"landingpaddle/internal/testbed"
 )
 
-type sweepCmd struct {
-	File    string   `arg:"" type:"existingfile" help:"Day file whose site has (extents …)."`
+type sweepCommand struct {
+	File    string   `arg:"" type:"existingfile" help:"Scenario file whose site has (extents …)."`
 	Bound   string   `enum:"members,largest,window" default:"members" help:"members, largest or window."`
 	Values  []string `required:"" help:"Its values, as 1,4,16 or 64KiB,1MiB or 0s,5ms."`
 	Seed    uint64   `default:"1" help:"Seed of traffic, nodes and instances, the same for each value."`
@@ -26,92 +20,80 @@
 	Verbose bool     `help:"Show the instances' logs."`
 }
 
-// swept is what a day came to with one value of a bound.
-type swept struct {
-	value string
-	testbed.Summary
-}
+// The bounds on merging that can be swept.
+const (
+	boundMembers = "members"
+	boundLargest = "largest"
+	boundWindow  = "window"
+)
 
-// set puts a value of the bound into the settings.
-func (c *sweepCmd) set(e *config.Extents, value string) (err error) {
-	switch c.Bound {
-	case "members":
-		e.MaxMembers, err = strconv.Atoi(value)
-		e.MergingDisabled = e.MaxMembers == 1
-	case "largest":
-		var size sexpr.Size
-		err = size.UnmarshalText([]byte(value))
-		e.MaxOperation = size
-	case "window":
-		e.Window, err = time.ParseDuration(value)
-	}
-	if err != nil {
-		return fmt.Errorf("%s %q: %w", c.Bound, value, err)
-	}
-	return e.Check()
+// sweepPoint is what a scenario came to with one value of a bound.
+type sweepPoint struct {
+	value   string
+	summary testbed.Summary
 }
 
-// Run plays the day once for each value of one bound on merging; a broken rule is an error.
-func (c *sweepCmd) Run(out io.Writer) error {
-	var all []swept
+// Run runs the scenario once for each value of one bound on merging; a broken rule is an error.
+func (c *sweepCommand) Run(out io.Writer) error {
+	var points []sweepPoint
 	name := ""
 	fmt.Fprintf(out, "%-10s %8s %8s %8s %12s %8s %8s\n", c.Bound, "worth", "served", "ops", "ops/served",
 		"p50 ms", "p99 ms")
 	for _, value := range c.Values {
-		day, err := testbed.ReadScenario(c.File)
+		scenario, err := testbed.ReadScenario(c.File)
 		if err != nil {
 			return err
 		}
-		if err := merges(&day); err != nil {
-			return err
-		}
-		if err := c.set(day.Site.Extents, value); err != nil {
-			return err
-		}
-		player := dayCmd{Seed: c.Seed, Verbose: c.Verbose}
-		name = day.Name
-		played, err := player.play(&day, daemon.Hooks{})
+		name = scenario.Name
+		summary, err := c.runWith(&scenario, value)
 		if err != nil {
 			return err
 		}
-		for _, v := range testbed.CheckInvariants(&day.Site, played.Events) {
-			if !v.Holds {
-				return errBroken{fmt.Sprintf("%s %s: %s broken: %s", c.Bound, value, v.Rule,
-					v.FirstViolation)}
-			}
-		}
-		w := testbed.Summarize(&day.Site, played)
-		fmt.Fprintf(out, "%-10s %8.3f %8d %8d %12.2f %8.0f %8.0f\n", value, w.EarnedShare, w.Served(),
-			w.Operations, w.OperationsPerServed(), w.P50, w.P99)
-		all = append(all, swept{value, w})
+		fmt.Fprintf(out, "%-10s %8.3f %8d %8d %12.2f %8.0f %8.0f\n", value, summary.EarnedShare,
+			summary.Served(), summary.Operations, summary.OperationsPerServed(), summary.P50, summary.P99)
+		points = append(points, sweepPoint{value, summary})
 	}
 	if c.SVG == "" {
 		return nil
 	}
-	return c.plot(name, all)
+	return plotSweep(c.SVG, name, c.Bound, points)
 }
 
-// plot draws worth served, and operations for each request served, by the bound's values.
-func (c *sweepCmd) plot(name string, all []swept) error {
-	p := plot.New()
-	p.Title.Text = "What " + c.Bound + " of an operation may be: " + name
-	p.X.Label.Text = c.Bound
-	p.Y.Min, p.Y.Max = 0, 1.2
-	p.Legend.Top = true
-	var names []string
-	worth, ops := make(plotter.XYs, len(all)), make(plotter.XYs, len(all))
-	for i, s := range all {
-		names = append(names, s.value)
-		worth[i] = plotter.XY{X: float64(i), Y: s.EarnedShare}
-		ops[i] = plotter.XY{X: float64(i), Y: s.OperationsPerServed()}
+// runWith runs a scenario with one value of the bound.
+func (c *sweepCommand) runWith(scenario *testbed.Scenario, value string) (testbed.Summary, error) {
+	if err := checkMerges(scenario); err != nil {
+		return testbed.Summary{}, err
+	}
+	if err := setBound(scenario.Site.Extents, c.Bound, value); err != nil {
+		return testbed.Summary{}, err
 	}
-	if err := plotutil.AddLinePoints(p, "worth served, of what was asked", worth,
-		"operations for each request served", ops); err != nil {
-		return fmt.Errorf("plot: %w", err)
+	run := scenarioRun{seed: c.Seed, verbose: c.Verbose}
+	recording, err := run.record(scenario, daemon.Hooks{})
+	if err != nil {
+		return testbed.Summary{}, err
+	}
+	for _, verdict := range testbed.CheckInvariants(&scenario.Site, recording.Events) {
+		if !verdict.Holds {
+			return testbed.Summary{}, fmt.Errorf("%s %s: %s broken: %s", c.Bound, value, verdict.Rule,
+				verdict.FirstViolation)
+		}
 	}
-	p.NominalX(names...)
-	if err := p.Save(16*vg.Centimeter, 9*vg.Centimeter, c.SVG); err != nil {
-		return fmt.Errorf("plot: %w", err)
+	return testbed.Summarize(&scenario.Site, recording), nil
+}
+
+// setBound puts a value of a bound into the settings and checks them.
+func setBound(extents *config.Extents, bound, value string) (err error) {
+	switch bound {
+	case boundMembers:
+		extents.MaxMembers, err = strconv.Atoi(value)
+		extents.MergingDisabled = extents.MaxMembers == 1
+	case boundLargest:
+		err = extents.MaxOperation.UnmarshalText([]byte(value))
+	case boundWindow:
+		extents.Window, err = time.ParseDuration(value)
+	}
+	if err != nil {
+		return fmt.Errorf("%s %q: %w", bound, value, err)
 	}
-	return nil
+	return extents.Check()
 }
