--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command simulator-adapter hosts instances of the decision module and speaks the simulator's wire on
+// Command simulator-adapter hosts instances of the scheduler and speaks the simulator's wire protocol on
 // standard input and output. Instances share nothing.
 package main
 
@@ -14,7 +14,8 @@
 	"landingpaddle/scheduler"
 )
 
-const bufferSize = 1 << 20
+// inputBufferSize is in bytes.
+const inputBufferSize = 1 << 20
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -23,18 +24,21 @@
 	}
 }
 
+// instances are the schedulers that run, by their instances' numbers.
+type instances map[uint16]*scheduler.Scheduler
+
 // run answers each batch with one reply until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r, hosts := bufio.NewReaderSize(in, bufferSize), map[uint16]*scheduler.Scheduler{}
+	input, running := bufio.NewReaderSize(in, inputBufferSize), instances{}
 	for {
-		batch, err := wire.ReadBatch(r)
+		batch, err := wire.ReadBatch(input)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		reply, err := answer(hosts, batch)
+		reply, err := running.handleBatch(batch)
 		if err != nil {
 			return err
 		}
@@ -44,42 +48,40 @@
 	}
 }
 
-// answer hands a batch's events to their instances and gathers what each of these asks for.
-func answer(hosts map[uint16]*scheduler.Scheduler, batch wire.Batch) ([]byte, error) {
+// handleBatch hands a batch's events to their instances and returns what these ask for, in the order in
+// which the batch names them first.
+func (s instances) handleBatch(batch wire.Batch) ([]byte, error) {
 	var touched []uint16
 	seen := map[uint16]bool{}
-	for _, rec := range batch.Records {
-		id := rec.Instance
-		if !seen[id] {
-			seen[id], touched = true, append(touched, id)
-		}
-		switch {
-		case rec.Stop:
-			delete(hosts, id)
-		case rec.Start != nil:
-			hosts[id] = scheduler.New(rec.Start.Seed, rec.Start.Settings)
-		case hosts[id] != nil:
-			hosts[id].Handle(batch.Now, rec.Event)
+	for _, record := range batch.Records {
+		if !seen[record.Instance] {
+			seen[record.Instance], touched = true, append(touched, record.Instance)
 		}
+		s.handleRecord(batch.Now, record)
 	}
 	reply := wire.NewReply()
-	for _, id := range touched {
-		if hosts[id] == nil {
+	for _, instance := range touched {
+		if s[instance] == nil {
 			continue
 		}
-		if err := decide(reply, id, hosts[id], batch.Now); err != nil {
-			return nil, err
+		for _, action := range s[instance].Decide(batch.Now) {
+			if err := reply.Add(instance, action); err != nil {
+				return nil, err
+			}
 		}
 	}
 	return reply.Bytes(), nil
 }
 
-// decide adds what one instance asks for to the reply.
-func decide(reply *wire.Reply, id uint16, h *scheduler.Scheduler, now time.Duration) error {
-	for _, a := range h.Decide(now) {
-		if err := reply.Add(id, a); err != nil {
-			return err
-		}
+// handleRecord starts or stops an instance, or hands it an event; one for an instance that does not run is
+// dropped.
+func (s instances) handleRecord(now time.Duration, record wire.Record) {
+	switch {
+	case record.Stop:
+		delete(s, record.Instance)
+	case record.Start != nil:
+		s[record.Instance] = scheduler.New(record.Start.Seed, record.Start.Settings)
+	case s[record.Instance] != nil:
+		s[record.Instance].Handle(now, record.Event)
 	}
-	return nil
 }
