--- /dev/null
+++ b/internal/testbed/created_objects.go
@@ -0,0 +1,48 @@
+package testbed
+
+import (
+	"math/rand/v2"
+	"slices"
+	"sync"
+)
+
+// At most maxObjects of a plan are remembered; beyond that all but the last keptObjects are dropped.
+const (
+	maxObjects  = 512
+	keptObjects = 256
+)
+
+// object is where the data lies that a write created.
+type object struct {
+	key  uint64
+	cell int
+}
+
+// createdObjects remembers objects that writes created, so that reads can ask for them.
+type createdObjects struct {
+	mu     sync.Mutex
+	byPlan map[int][]object
+}
+
+func newCreatedObjects() *createdObjects { return &createdObjects{byPlan: map[int][]object{}} }
+
+func (c *createdObjects) add(plan int, created object) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	objects := append(c.byPlan[plan], created)
+	if len(objects) > maxObjects {
+		objects = slices.Clone(objects[len(objects)-keptObjects:])
+	}
+	c.byPlan[plan] = objects
+}
+
+// draw returns one of a plan's objects; false if there is none.
+func (c *createdObjects) draw(plan int, rng *rand.Rand) (object, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	objects := c.byPlan[plan]
+	if len(objects) == 0 {
+		return object{}, false
+	}
+	return objects[rng.IntN(len(objects))], true
+}
--- a/internal/testbed/fault_instances.go
+++ b/internal/testbed/fault_instances.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Stall makes instances stand still and go on.
+// Stall suspends instances for a while; they keep their state.
 type Stall struct {
 	Instances []int         `s:"instances,required"`
 	Duration  time.Duration `s:"for,required" min:"1ms" max:"1m"`
--- a/internal/testbed/fault_nodes.go
+++ b/internal/testbed/fault_nodes.go
@@ -140,7 +140,7 @@
 	r.eachNode(f.Nodes, func(n *Node) { n.Faults.CorruptAnswers(1) })
 }
 
-// PauseNodes makes nodes stand still and go on.
+// PauseNodes makes nodes do no work for a while; they keep their queues and connections.
 type PauseNodes nodesFault
 
 func (f *PauseNodes) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
--- a/internal/testbed/meter.go
+++ b/internal/testbed/meter.go
@@ -50,7 +50,7 @@
 // owner locks.
 type elsewhereCounter struct {
 	served   map[uint64]map[int]float64 // units by volume and instance
-	reported map[uint64]map[int]float64 // units of others that each instance was told of
+	reported map[uint64]map[int]float64 // units of others that were reported to each instance
 }
 
 func newElsewhereCounter() elsewhereCounter {
--- a/internal/testbed/node_faults.go
+++ b/internal/testbed/node_faults.go
@@ -63,7 +63,7 @@
 // SetHang makes the node accept and never answer.
 func (f *NodeFaults) SetHang(on bool) { f.set(func(f *NodeFaults) { f.hang = on }) }
 
-// Pause makes the node stand still for a while.
+// Pause makes the node's cores begin no work for a while.
 func (f *NodeFaults) Pause(d time.Duration) {
 	f.set(func(f *NodeFaults) { f.pausedUntil = time.Now().Add(d) })
 }
@@ -122,7 +122,7 @@
 	return answerIntact
 }
 
-// pauseLeft is for how long the node still stands still.
+// pauseLeft is how much of a pause is left; not over 0 without one.
 func (f *NodeFaults) pauseLeft() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/node_process.go
+++ b/internal/testbed/node_process.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// pauseAndFlush makes the node stand still now and then, and do the work that was put off.
+// pauseAndFlush pauses the node now and then, as its model says, and does the work that was put off.
 func (p *nodeProcess) pauseAndFlush(ctx context.Context) error {
 	model := &p.node.cfg.Model
 	pause, flush := p.jitteredTimer(model.Every), p.jitteredTimer(model.Flush)
--- a/internal/testbed/runner.go
+++ b/internal/testbed/runner.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// watchForStalls logs when the whole process stood still: a machine short of CPU time is no fault of the
+// watchForStalls logs stalls of the whole process: a machine short of CPU time is no fault of the
 // scheduler.
 func (r *scenarioRunner) watchForStalls(ctx context.Context) error {
 	for {
--- a/internal/testbed/runner_traffic.go
+++ b/internal/testbed/runner_traffic.go
@@ -186,7 +186,7 @@
 	return instances
 }
 
-// mixBits spreads numbers evenly.
+// mixBits is a hash that spreads numbers evenly; it is the same on each run.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/testbed/throughput_test.go
+++ b/internal/testbed/throughput_test.go
@@ -78,20 +78,19 @@
 			tb.Fatal(err)
 		}
 		g.conns = append(g.conns, conn)
-		g.readers.Go(func() { g.read(ctx, i) })
+		g.readers.Go(func() { readAnswers(ctx, conn, &g.waiting[i]) })
 	}
 	return g
 }
 
-// read passes the answers of one connection to those who wait for them.
-func (g *loadGenerator) read(ctx context.Context, i int) {
-	conn := g.conns[i]
+// readAnswers passes the answers of one connection to those who wait for them, by stream.
+func readAnswers(ctx context.Context, conn *proto.Conn, waiting *sync.Map) {
 	_ = conn.Run(ctx, func(frame proto.Frame) error {
 		conn.CloseStream(frame.Stream)
-		if waiting, ok := g.waiting[i].LoadAndDelete(frame.Stream); ok {
+		if done, ok := waiting.LoadAndDelete(frame.Stream); ok {
 			var answer proto.Answer
 			_ = frame.Decode(&answer)
-			waiting.(chan proto.Code) <- answer.Code
+			done.(chan proto.Code) <- answer.Code
 		}
 		return nil
 	})
