--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -41,7 +41,7 @@
 	// check reports what does not fit to the scenario.
 	check(scenario *Scenario) error
 	// inject brings the fault about and returns when it is over, or traffic ends.
-	inject(ctx, traffic context.Context, r *scenarioRunner)
+	inject(ctx, traffic context.Context, runner *scenarioRunner)
 }
 
 // forms are the forms that are given.
--- a/internal/testbed/fault_instances.go
+++ b/internal/testbed/fault_instances.go
@@ -13,10 +13,10 @@
 
 func (f *Crash) check(scenario *Scenario) error { return checkInstances(scenario, f.Instances) }
 
-func (f *Crash) inject(ctx, traffic context.Context, r *scenarioRunner) {
+func (f *Crash) inject(ctx, traffic context.Context, runner *scenarioRunner) {
 	for _, number := range f.Instances {
-		r.group.Go(func() error {
-			r.crashInstance(ctx, traffic, number, f.RestartAfter)
+		runner.group.Go(func() error {
+			runner.crashInstance(ctx, traffic, number, f.RestartAfter)
 			return nil
 		})
 	}
@@ -30,9 +30,9 @@
 
 func (f *RollingRestart) check(*Scenario) error { return nil }
 
-func (f *RollingRestart) inject(ctx, traffic context.Context, r *scenarioRunner) {
-	for number := range r.instances {
-		r.crashInstance(ctx, traffic, number, f.RestartAfter)
+func (f *RollingRestart) inject(ctx, traffic context.Context, runner *scenarioRunner) {
+	for number := range runner.instances {
+		runner.crashInstance(ctx, traffic, number, f.RestartAfter)
 		if !sleep(traffic, f.Every) {
 			return
 		}
@@ -47,9 +47,9 @@
 
 func (f *Stall) check(scenario *Scenario) error { return checkInstances(scenario, f.Instances) }
 
-func (f *Stall) inject(_, _ context.Context, r *scenarioRunner) {
+func (f *Stall) inject(_, _ context.Context, runner *scenarioRunner) {
 	for _, number := range f.Instances {
-		r.log.Add(Event{Kind: KindInstanceStalled, Instance: number, Wait: int64(f.Duration)})
-		r.instances[number].stall.start(f.Duration)
+		runner.log.Add(Event{Kind: KindInstanceStalled, Instance: number, Wait: int64(f.Duration)})
+		runner.instances[number].stall.start(f.Duration)
 	}
 }
--- a/internal/testbed/fault_nodes.go
+++ b/internal/testbed/fault_nodes.go
@@ -15,10 +15,10 @@
 
 func (f *SlowNodes) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *SlowNodes) inject(_, traffic context.Context, r *scenarioRunner) {
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.SetSlow(f.Factor) })
+func (f *SlowNodes) inject(_, traffic context.Context, runner *scenarioRunner) {
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetSlow(f.Factor) })
 	sleep(traffic, f.Duration)
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.SetSlow(1) })
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetSlow(1) })
 }
 
 // Neighbour lets another program take a share of nodes' machines, on and off.
@@ -32,10 +32,10 @@
 
 func (f *Neighbour) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *Neighbour) inject(_, traffic context.Context, r *scenarioRunner) {
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.SetNeighbour(f.Share, f.On, f.Off) })
+func (f *Neighbour) inject(_, traffic context.Context, runner *scenarioRunner) {
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetNeighbour(f.Share, f.On, f.Off) })
 	sleep(traffic, f.Duration)
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.SetNeighbour(0, 0, 0) })
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetNeighbour(0, 0, 0) })
 }
 
 // MassRestart restarts all nodes of a zone; they come back cold.
@@ -51,14 +51,14 @@
 	return nil
 }
 
-func (f *MassRestart) inject(ctx, traffic context.Context, r *scenarioRunner) {
+func (f *MassRestart) inject(ctx, traffic context.Context, runner *scenarioRunner) {
 	var numbers []int
-	for number, node := range r.nodes {
-		if int(node.cfg.Zone) == r.scenario.Site.Zone(f.Zone) {
+	for number, node := range runner.nodes {
+		if int(node.cfg.Zone) == runner.scenario.Site.Zone(f.Zone) {
 			numbers = append(numbers, number)
 		}
 	}
-	r.restartNodes(ctx, traffic, numbers, f.RestartAfter)
+	runner.restartNodes(ctx, traffic, numbers, f.RestartAfter)
 }
 
 // KillNodes kills nodes; they come back cold.
@@ -69,8 +69,8 @@
 
 func (f *KillNodes) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *KillNodes) inject(ctx, traffic context.Context, r *scenarioRunner) {
-	r.restartNodes(ctx, traffic, f.Nodes, f.RestartAfter)
+func (f *KillNodes) inject(ctx, traffic context.Context, runner *scenarioRunner) {
+	runner.restartNodes(ctx, traffic, f.Nodes, f.RestartAfter)
 }
 
 // Drain drains nodes; after a while they end, and come back cold later.
@@ -82,11 +82,11 @@
 
 func (f *Drain) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *Drain) inject(ctx, traffic context.Context, r *scenarioRunner) {
-	r.eachNode(f.Nodes, (*Node).Drain)
+func (f *Drain) inject(ctx, traffic context.Context, runner *scenarioRunner) {
+	runner.eachNode(f.Nodes, (*Node).Drain)
 	sleep(traffic, f.ExitAfter)
 	if f.ExitAfter > 0 {
-		r.restartNodes(ctx, traffic, f.Nodes, f.RestartAfter)
+		runner.restartNodes(ctx, traffic, f.Nodes, f.RestartAfter)
 	}
 }
 
@@ -99,10 +99,10 @@
 
 func (f *LoseAnswers) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *LoseAnswers) inject(_, traffic context.Context, r *scenarioRunner) {
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.SetLoseAnswers(f.Share) })
+func (f *LoseAnswers) inject(_, traffic context.Context, runner *scenarioRunner) {
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetLoseAnswers(f.Share) })
 	sleep(traffic, f.Duration)
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.SetLoseAnswers(0) })
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetLoseAnswers(0) })
 }
 
 // nodesFault is what the simpler faults of nodes state.
@@ -116,10 +116,10 @@
 
 func (f *Hang) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *Hang) inject(_, traffic context.Context, r *scenarioRunner) {
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.SetHang(true) })
+func (f *Hang) inject(_, traffic context.Context, runner *scenarioRunner) {
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetHang(true) })
 	sleep(traffic, f.Duration)
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.SetHang(false) })
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetHang(false) })
 }
 
 // ResetConnections breaks all connections of nodes. It has no duration.
@@ -127,8 +127,8 @@
 
 func (f *ResetConnections) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *ResetConnections) inject(_, _ context.Context, r *scenarioRunner) {
-	r.eachNode(f.Nodes, (*Node).ResetConns)
+func (f *ResetConnections) inject(_, _ context.Context, runner *scenarioRunner) {
+	runner.eachNode(f.Nodes, (*Node).ResetConns)
 }
 
 // CorruptAnswers corrupts the next answer of each node. It has no duration.
@@ -136,8 +136,8 @@
 
 func (f *CorruptAnswers) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *CorruptAnswers) inject(_, _ context.Context, r *scenarioRunner) {
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.CorruptAnswers(1) })
+func (f *CorruptAnswers) inject(_, _ context.Context, runner *scenarioRunner) {
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.CorruptAnswers(1) })
 }
 
 // PauseNodes makes nodes do no work for a while; they keep their queues and connections.
@@ -145,8 +145,8 @@
 
 func (f *PauseNodes) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *PauseNodes) inject(_, _ context.Context, r *scenarioRunner) {
-	r.eachNode(f.Nodes, func(n *Node) { n.Faults.Pause(f.Duration) })
+func (f *PauseNodes) inject(_, _ context.Context, runner *scenarioRunner) {
+	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.Pause(f.Duration) })
 }
 
 // StuckConnections stops all reading and writing on nodes' connections; they stay open.
@@ -154,9 +154,9 @@
 
 func (f *StuckConnections) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
 
-func (f *StuckConnections) inject(_, _ context.Context, r *scenarioRunner) {
-	r.eachNode(f.Nodes, func(n *Node) {
-		r.log.Add(Event{Kind: KindConnectionsStuck, Node: n.cfg.Number, Wait: int64(f.Duration)})
+func (f *StuckConnections) inject(_, _ context.Context, runner *scenarioRunner) {
+	runner.eachNode(f.Nodes, func(n *Node) {
+		runner.log.Add(Event{Kind: KindConnectionsStuck, Node: n.cfg.Number, Wait: int64(f.Duration)})
 		n.Faults.StickConnections(f.Duration)
 	})
 }
--- a/internal/testbed/fault_registry.go
+++ b/internal/testbed/fault_registry.go
@@ -13,10 +13,10 @@
 
 func (f *StaleRegistry) check(*Scenario) error { return nil }
 
-func (f *StaleRegistry) inject(_, traffic context.Context, r *scenarioRunner) {
-	r.registry.SetDelay(f.Delay)
+func (f *StaleRegistry) inject(_, traffic context.Context, runner *scenarioRunner) {
+	runner.registry.SetDelay(f.Delay)
 	sleep(traffic, f.Duration)
-	r.registry.SetDelay(r.scenario.Registry.Delay)
+	runner.registry.SetDelay(runner.scenario.Registry.Delay)
 }
 
 // RegistryDown makes the registry unavailable.
@@ -26,8 +26,8 @@
 
 func (f *RegistryDown) check(*Scenario) error { return nil }
 
-func (f *RegistryDown) inject(_, traffic context.Context, r *scenarioRunner) {
-	r.registry.SetDown(true)
+func (f *RegistryDown) inject(_, traffic context.Context, runner *scenarioRunner) {
+	runner.registry.SetDown(true)
 	sleep(traffic, f.Duration)
-	r.registry.SetDown(false)
+	runner.registry.SetDown(false)
 }
--- a/internal/testbed/fault_traffic.go
+++ b/internal/testbed/fault_traffic.go
@@ -21,8 +21,8 @@
 
 func (f *Surge) check(scenario *Scenario) error { return checkPlan(&scenario.Site, f.Plan) }
 
-func (f *Surge) inject(_, _ context.Context, r *scenarioRunner) {
-	r.changes.addSurge(f, r.scenario.Site.PlanNumber(f.Plan))
+func (f *Surge) inject(_, _ context.Context, runner *scenarioRunner) {
+	runner.changes.addSurge(f, runner.scenario.Site.PlanNumber(f.Plan))
 }
 
 // Burst multiplies the traffic of all plans, or that of their first volumes.
@@ -30,8 +30,8 @@
 
 func (f *Burst) check(scenario *Scenario) error { return checkPlan(&scenario.Site, f.Plan) }
 
-func (f *Burst) inject(_, _ context.Context, r *scenarioRunner) {
-	r.changes.addSurge((*Surge)(f), allPlans)
+func (f *Burst) inject(_, _ context.Context, runner *scenarioRunner) {
+	runner.changes.addSurge((*Surge)(f), allPlans)
 }
 
 func checkPlan(site *config.Site, plan string) error {
@@ -50,7 +50,9 @@
 
 func (f *HeavyRequests) check(*Scenario) error { return nil }
 
-func (f *HeavyRequests) inject(_, _ context.Context, r *scenarioRunner) { r.changes.addHeavy(f) }
+func (f *HeavyRequests) inject(_, _ context.Context, runner *scenarioRunner) {
+	runner.changes.addHeavy(f)
+}
 
 // ImpatientClients make a share of requests wait only so long for their answers.
 type ImpatientClients struct {
@@ -61,7 +63,9 @@
 
 func (f *ImpatientClients) check(*Scenario) error { return nil }
 
-func (f *ImpatientClients) inject(_, _ context.Context, r *scenarioRunner) { r.changes.addImpatient(f) }
+func (f *ImpatientClients) inject(_, _ context.Context, runner *scenarioRunner) {
+	runner.changes.addImpatient(f)
+}
 
 // Reconnect makes a share of volumes change their busiest instance, and of clients their connections, at
 // once.
@@ -71,9 +75,9 @@
 
 func (f *Reconnect) check(*Scenario) error { return nil }
 
-func (f *Reconnect) inject(_, _ context.Context, r *scenarioRunner) {
-	r.changes.rotateInstances(r.scenario, f.Share)
-	for _, client := range r.clients[:int(f.Share*float64(len(r.clients)))] {
+func (f *Reconnect) inject(_, _ context.Context, runner *scenarioRunner) {
+	runner.changes.rotateInstances(runner.scenario, f.Share)
+	for _, client := range runner.clients[:int(f.Share*float64(len(runner.clients)))] {
 		client.Reconnect()
 	}
 }
--- a/internal/testbed/node_answer.go
+++ b/internal/testbed/node_answer.go
@@ -9,34 +9,34 @@
 const loadQueueLength = "q"
 
 // answer ends an operation, logs its end as kind and writes its answer, unless a fault prevents that.
-func (p *nodeProcess) answer(o *operation, kind Kind, code proto.Code) {
+func (p *nodeProcess) answer(op *operation, kind Kind, code proto.Code) {
 	if kind != KindRepeat { // logged for each member by itself
-		p.logOperation(kind, o, code)
+		p.logOperation(kind, op, code)
 	}
-	answer := p.makeAnswer(o, code)
-	o.cancel()
-	payload := p.payloadOf(o, code)
+	answer := p.makeAnswer(op, code)
+	op.cancel()
+	payload := p.payloadOf(op, code)
 	switch p.node.Faults.drawAnswerFault() {
 	case answerLost:
 		return // it stays known, so that its cancellation is logged
 	case answerCorrupted:
-		o.conn.Raw([]byte(corruptFrame))
+		op.conn.Raw([]byte(corruptFrame))
 		return
 	}
 	p.mu.Lock()
-	delete(p.conns[o.conn], o.stream)
+	delete(p.conns[op.conn], op.stream)
 	p.mu.Unlock()
-	o.conn.CloseStream(o.stream)
-	if o.conn.Send(proto.TypeAnswer, o.stream, answer, payload) != nil {
+	op.conn.CloseStream(op.stream)
+	if op.conn.Send(proto.TypeAnswer, op.stream, answer, payload) != nil {
 		// The connection ended just now: for the instance the attempt is over.
-		p.logOperation(KindCancelArrived, o, code)
+		p.logOperation(KindCancelArrived, op, code)
 		return
 	}
-	p.logOperation(KindReplied, o, code)
+	p.logOperation(KindReplied, op, code)
 }
 
 // makeAnswer counts what was served and reports it. What is reported of volumes concerns the first member's.
-func (p *nodeProcess) makeAnswer(o *operation, code proto.Code) proto.Answer {
+func (p *nodeProcess) makeAnswer(op *operation, code proto.Code) proto.Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	site := p.node.cfg.Site
@@ -44,12 +44,12 @@
 	if code != proto.OK {
 		return answer
 	}
-	for i, m := range o.members {
+	for i, m := range op.members {
 		isFirst := i == 0
 		metered := p.node.cfg.Meter.served(m.Volume, float64(m.Units), site.Plans[m.Plan].Rate)
 		elsewhere := uint32(0)
 		if site.ReportsElsewhere {
-			elsewhere = p.elsewhere.add(m.Volume, o.instance, float64(m.Units), isFirst)
+			elsewhere = p.elsewhere.add(m.Volume, op.instance, float64(m.Units), isFirst)
 		}
 		if isFirst {
 			answer.MeteredRate, answer.ElsewhereUnits = metered, elsewhere
@@ -59,13 +59,13 @@
 }
 
 // payloadOf is what was read, or as many bytes as the node's model answers a read with.
-func (p *nodeProcess) payloadOf(o *operation, code proto.Code) []byte {
+func (p *nodeProcess) payloadOf(op *operation, code proto.Code) []byte {
 	bytesPerUnit := p.node.cfg.Model.Bytes
 	switch {
-	case o.request.Ranged:
-		return o.data
-	case code == proto.OK && !o.request.Write && bytesPerUnit > 0:
-		return make([]byte, bytesPerUnit*int(o.request.Units))
+	case op.request.Ranged:
+		return op.data
+	case code == proto.OK && !op.request.Write && bytesPerUnit > 0:
+		return make([]byte, bytesPerUnit*int(op.request.Units))
 	}
 	return nil
 }
--- a/internal/testbed/node_cancel.go
+++ b/internal/testbed/node_cancel.go
@@ -5,30 +5,30 @@
 // cancelOperation takes in that an operation is cancelled. What will not take effect any more is forgotten
 // by its deduplication group at once: a repeat that came before a core got to the operation would else be
 // dropped, and nobody would have carried it out.
-func (p *nodeProcess) cancelOperation(o *operation) {
-	p.logOperation(KindCancelArrived, o, 0)
+func (p *nodeProcess) cancelOperation(op *operation) {
+	p.logOperation(KindCancelArrived, op, 0)
 	model := &p.node.cfg.Model
 	p.mu.Lock()
-	if o.state == operationQueued && model.Drops || o.state == operationRunning && model.Stops {
-		o.state = operationCancelled
-		p.forgetEffects(o)
+	if op.state == operationQueued && model.Drops || op.state == operationRunning && model.Stops {
+		op.state = operationCancelled
+		p.forgetEffects(op)
 	}
 	p.mu.Unlock()
-	o.cancel()
+	op.cancel()
 }
 
 // cancelMembers takes in that the members at some places of an operation are cancelled.
-func (p *nodeProcess) cancelMembers(o *operation, places []uint16) {
+func (p *nodeProcess) cancelMembers(op *operation, places []uint16) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, place := range places {
-		if int(place) >= len(o.members) {
+		if int(place) >= len(op.members) {
 			continue
 		}
-		cancelled := o.withOnly(o.members[place])
+		cancelled := op.withOnly(op.members[place])
 		p.logOperation(KindCancelArrived, cancelled, 0)
-		if o.state == operationQueued && p.node.cfg.Model.Drops && !o.members[place].dropped {
-			o.members[place].dropped = true // it takes no effect, and its end is logged now
+		if op.state == operationQueued && p.node.cfg.Model.Drops && !op.members[place].dropped {
+			op.members[place].dropped = true // it takes no effect, and its end is logged now
 			p.logOperation(KindCancel, cancelled, proto.Cancelled)
 			p.forgetEffects(cancelled)
 		}
@@ -36,22 +36,22 @@
 }
 
 // abandon takes in that the process has ended: what has not taken effect never will.
-func (p *nodeProcess) abandon(o *operation) {
+func (p *nodeProcess) abandon(op *operation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if o.state != operationDone {
-		o.state = operationCancelled
-		p.forgetEffects(o)
+	if op.state != operationDone {
+		op.state = operationCancelled
+		p.forgetEffects(op)
 	}
 }
 
 // setState changes an operation's state; it returns false if the operation is over.
-func (p *nodeProcess) setState(o *operation, state operationState) bool {
+func (p *nodeProcess) setState(op *operation, state operationState) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if o.state >= operationCancelled {
+	if op.state >= operationCancelled {
 		return false
 	}
-	o.state = state
+	op.state = state
 	return true
 }
--- a/internal/testbed/node_conn.go
+++ b/internal/testbed/node_conn.go
@@ -23,14 +23,14 @@
 	p.mu.Lock()
 	delete(p.conns, conn)
 	unanswered := make([]*operation, 0, len(operations))
-	for _, o := range operations {
-		unanswered = append(unanswered, o)
+	for _, op := range operations {
+		unanswered = append(unanswered, op)
 	}
 	p.mu.Unlock()
-	for _, o := range unanswered {
-		p.cancelOperation(o)
+	for _, op := range unanswered {
+		p.cancelOperation(op)
 		if ctx.Err() != nil {
-			p.abandon(o)
+			p.abandon(op)
 		}
 	}
 }
@@ -59,30 +59,30 @@
 
 func (p *nodeProcess) handleRequest(ctx context.Context, conn *proto.Conn, instance int,
 	frame proto.Frame) error {
-	o := &operation{conn: conn, instance: instance, stream: frame.Stream, arrived: time.Now()}
-	if err := frame.Decode(&o.request); err != nil {
+	op := &operation{conn: conn, instance: instance, stream: frame.Stream, arrived: time.Now()}
+	if err := frame.Decode(&op.request); err != nil {
 		return err
 	}
 	if err := conn.OpenStream(frame.Stream); err != nil {
 		return err
 	}
 	var ok bool
-	if o.members, ok = membersOf(&o.request); !ok {
-		return fmt.Errorf("a member is outside its operation of %d bytes", o.request.Length)
+	if op.members, ok = membersOf(&op.request); !ok {
+		return fmt.Errorf("a member is outside its operation of %d bytes", op.request.Length)
 	}
-	if err := p.checkOperation(o, len(frame.Payload)); err != nil {
+	if err := p.checkOperation(op, len(frame.Payload)); err != nil {
 		return err
 	}
-	o.payload, o.number = frame.Payload, p.node.operations.Add(1)
-	o.ctx, o.cancel = context.WithCancel(ctx)
-	p.accept(o)
+	op.payload, op.number = frame.Payload, p.node.operations.Add(1)
+	op.ctx, op.cancel = context.WithCancel(ctx)
+	p.accept(op)
 	return nil
 }
 
 // checkOperation checks what an instance says of an operation against the site's settings.
-func (p *nodeProcess) checkOperation(o *operation, payloadSize int) error {
-	site, request := p.node.cfg.Site, &o.request
-	for _, m := range o.members {
+func (p *nodeProcess) checkOperation(op *operation, payloadSize int) error {
+	site, request := p.node.cfg.Site, &op.request
+	for _, m := range op.members {
 		if int(request.Class) >= len(site.Classes) || int(m.Plan) >= len(site.Plans) {
 			return fmt.Errorf("class %d or plan %d is not known", request.Class, m.Plan)
 		}
@@ -98,7 +98,7 @@
 
 func (p *nodeProcess) handleCancel(conn *proto.Conn, frame proto.Frame) error {
 	p.mu.Lock()
-	o := p.conns[conn][frame.Stream]
+	op := p.conns[conn][frame.Stream]
 	p.mu.Unlock()
 	var cancel proto.Cancel
 	if len(frame.Header) > 0 {
@@ -107,11 +107,11 @@
 		}
 	}
 	switch {
-	case o == nil: // answered already
+	case op == nil: // answered already
 	case len(cancel.Members) == 0:
-		p.cancelOperation(o)
+		p.cancelOperation(op)
 	default:
-		p.cancelMembers(o, cancel.Members)
+		p.cancelMembers(op, cancel.Members)
 	}
 	return nil
 }
--- a/internal/testbed/node_dedup.go
+++ b/internal/testbed/node_dedup.go
@@ -6,40 +6,40 @@
 	"landingpaddle/scheduler"
 )
 
-func (p *nodeProcess) classOf(o *operation) *config.Class {
-	return &p.node.cfg.Site.Classes[o.request.Class]
+func (p *nodeProcess) classOf(op *operation) *config.Class {
+	return &p.node.cfg.Site.Classes[op.request.Class]
 }
 
 // isKeyed tells whether repeats of an operation are dropped by its idempotency key.
-func (p *nodeProcess) isKeyed(o *operation) bool {
-	return p.classOf(o).Idempotency == config.Idempotency(scheduler.IdempotentByKey)
+func (p *nodeProcess) isKeyed(op *operation) bool {
+	return p.classOf(op).Idempotency == config.Idempotency(scheduler.IdempotentByKey)
 }
 
-func (p *nodeProcess) dedupGroupOf(o *operation) *DedupGroup {
-	return p.node.cfg.DedupGroups(scheduler.DedupScope(p.classOf(o).DedupScope))
+func (p *nodeProcess) dedupGroupOf(op *operation) *DedupGroup {
+	return p.node.cfg.DedupGroups(scheduler.DedupScope(p.classOf(op).DedupScope))
 }
 
 // admitKeyed registers an operation with its deduplication group and returns whether it is to be queued.
 // One that is cancelled or a repeat is answered; a repeat of what is in progress waits for that and is
 // queued again.
-func (p *nodeProcess) admitKeyed(o *operation) bool {
+func (p *nodeProcess) admitKeyed(op *operation) bool {
 	p.mu.Lock()
-	cancelled := o.state == operationCancelled
+	cancelled := op.state == operationCancelled
 	allRepeats, inProgress := false, (<-chan struct{})(nil)
 	if !cancelled {
-		allRepeats, inProgress = p.registerMembers(o)
+		allRepeats, inProgress = p.registerMembers(op)
 	}
 	p.mu.Unlock()
 	switch {
 	case cancelled:
-		p.answer(o, KindCancel, proto.Cancelled)
+		p.answer(op, KindCancel, proto.Cancelled)
 	case inProgress != nil:
 		go func() {
 			<-inProgress
-			p.enqueue(o)
+			p.enqueue(op)
 		}()
 	case allRepeats:
-		p.answer(o, KindRepeat, proto.OK)
+		p.answer(op, KindRepeat, proto.OK)
 	default:
 		return true
 	}
@@ -48,48 +48,48 @@
 
 // registerMembers asks the group about each member; it tells whether all of them are repeats. Where one is
 // in progress elsewhere it returns what to wait for before asking again. The lock is held.
-func (p *nodeProcess) registerMembers(o *operation) (allRepeats bool, wait <-chan struct{}) {
+func (p *nodeProcess) registerMembers(op *operation) (allRepeats bool, wait <-chan struct{}) {
 	var tokens []uint64
 	var asked []*member
-	for i := range o.members {
-		if m := &o.members[i]; !m.dropped { // one that was cancelled meanwhile is over
+	for i := range op.members {
+		if m := &op.members[i]; !m.dropped { // one that was cancelled meanwhile is over
 			tokens, asked = append(tokens, m.effectToken()), append(asked, m)
 		}
 	}
-	repeats, wait := p.dedupGroupOf(o).admit(tokens, p.classOf(o).DedupWindow)
+	repeats, wait := p.dedupGroupOf(op).admit(tokens, p.classOf(op).DedupWindow)
 	if wait != nil {
 		return false, wait
 	}
-	o.registered, allRepeats = true, true
+	op.registered, allRepeats = true, true
 	for i, m := range asked {
 		m.dropped = repeats[i]
 		allRepeats = allRepeats && m.dropped
 		if m.dropped {
-			p.logOperation(KindRepeat, o.withOnly(member{Member: m.Member}), proto.OK)
+			p.logOperation(KindRepeat, op.withOnly(member{Member: m.Member}), proto.OK)
 		}
 	}
 	return allRepeats, nil
 }
 
 // forgetEffects tells the group that an operation will never take effect. The lock is held.
-func (p *nodeProcess) forgetEffects(o *operation) { p.eachRegistered(o, (*DedupGroup).forget) }
+func (p *nodeProcess) forgetEffects(op *operation) { p.eachRegistered(op, (*DedupGroup).forget) }
 
 // settleEffects tells the group that an operation has taken effect.
-func (p *nodeProcess) settleEffects(o *operation) {
+func (p *nodeProcess) settleEffects(op *operation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.eachRegistered(o, (*DedupGroup).settle)
+	p.eachRegistered(op, (*DedupGroup).settle)
 }
 
 // eachRegistered does something for each member of an operation that its group has registered. The lock is
 // held.
-func (p *nodeProcess) eachRegistered(o *operation, do func(group *DedupGroup, token uint64)) {
-	if !o.registered {
+func (p *nodeProcess) eachRegistered(op *operation, do func(group *DedupGroup, token uint64)) {
+	if !op.registered {
 		return
 	}
-	for _, m := range o.members {
+	for _, m := range op.members {
 		if !m.dropped {
-			do(p.dedupGroupOf(o), m.effectToken())
+			do(p.dedupGroupOf(op), m.effectToken())
 		}
 	}
 }
--- a/internal/testbed/node_process.go
+++ b/internal/testbed/node_process.go
@@ -117,15 +117,15 @@
 
 // logOperation logs an event of an operation, once for each of its members. The start and the end of a
 // member that was dropped are not logged a second time.
-func (p *nodeProcess) logOperation(kind Kind, o *operation, code proto.Code) {
-	for i, m := range o.members {
+func (p *nodeProcess) logOperation(kind Kind, op *operation, code proto.Code) {
+	for i, m := range op.members {
 		if m.dropped && (kind == KindStart || kind == KindEnd || kind == KindCancel) {
 			continue
 		}
-		event := o.event(kind, m, code)
+		event := op.event(kind, m, code)
 		event.StartedAt = p.startedAt
-		if kind == KindEnd && i < len(o.sums) { // only of ranged operations
-			event.Sum = o.sums[i]
+		if kind == KindEnd && i < len(op.sums) { // only of ranged operations
+			event.Sum = op.sums[i]
 		}
 		p.log(event)
 	}
--- a/internal/testbed/node_test.go
+++ b/internal/testbed/node_test.go
@@ -92,8 +92,8 @@
 	defer node.listener.Close()
 	process := &nodeProcess{node: node, conns: map[*proto.Conn]map[uint64]*operation{conn: {}}}
 	conn.Close(proto.ErrClosed)
-	o := &operation{conn: conn, stream: 1, members: []member{{}}, cancel: func() {}}
-	process.answer(o, KindEnd, proto.OK)
+	op := &operation{conn: conn, stream: 1, members: []member{{}}, cancel: func() {}}
+	process.answer(op, KindEnd, proto.OK)
 	events := node.cfg.Log.Events()
 	if last := events[len(events)-1]; last.Kind != KindCancelArrived {
 		t.Errorf("logged %+v", events)
--- a/internal/testbed/node_work.go
+++ b/internal/testbed/node_work.go
@@ -9,39 +9,39 @@
 )
 
 // accept lets an operation in or rejects it; one that overloads a cold node ends the process.
-func (p *nodeProcess) accept(o *operation) {
+func (p *nodeProcess) accept(op *operation) {
 	cfg := &p.node.cfg
-	p.logOperation(KindArrive, o, 0)
+	p.logOperation(KindArrive, op, 0)
 	p.mu.Lock()
-	p.conns[o.conn][o.stream] = o
-	collapses, draining := p.slowStart.add(float64(o.request.Units), &cfg.Model), p.draining
+	p.conns[op.conn][op.stream] = op
+	collapses, draining := p.slowStart.add(float64(op.request.Units), &cfg.Model), p.draining
 	p.mu.Unlock()
 	switch {
 	case collapses:
-		p.log(Event{Kind: KindCollapsed, Instance: o.instance, Token: o.request.Token,
+		p.log(Event{Kind: KindCollapsed, Instance: op.instance, Token: op.request.Token,
 			StartedAt: p.startedAt})
 		p.kill()
-	case o.request.Cell >= 0 && o.request.Cell != int32(cfg.Cell):
-		p.answer(o, KindNotApplicable, proto.NotApplicable)
+	case op.request.Cell >= 0 && op.request.Cell != int32(cfg.Cell):
+		p.answer(op, KindNotApplicable, proto.NotApplicable)
 	case draining:
-		p.answer(o, KindOverloaded, proto.Overloaded)
+		p.answer(op, KindOverloaded, proto.Overloaded)
 	default:
-		p.enqueue(o)
+		p.enqueue(op)
 	}
 }
 
 // enqueue lets an operation wait for a core, unless it is a repeat.
-func (p *nodeProcess) enqueue(o *operation) {
-	if p.isKeyed(o) && !p.admitKeyed(o) {
+func (p *nodeProcess) enqueue(op *operation) {
+	if p.isKeyed(op) && !p.admitKeyed(op) {
 		return
 	}
 	select {
-	case p.queue <- o:
+	case p.queue <- op:
 	default:
 		p.mu.Lock()
-		p.forgetEffects(o)
+		p.forgetEffects(op)
 		p.mu.Unlock()
-		p.answer(o, KindOverloaded, proto.Overloaded)
+		p.answer(op, KindOverloaded, proto.Overloaded)
 	}
 }
 
@@ -52,15 +52,15 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case o := <-p.queue:
-			free = p.work(ctx, o, free)
+		case op := <-p.queue:
+			free = p.work(ctx, op, free)
 		}
 	}
 }
 
 // work carries an operation out on a core that was free from some moment on, and returns when it is free
 // again. That is reckoned, not measured: a timer that fires late must not make the node slower than it is.
-func (p *nodeProcess) work(ctx context.Context, o *operation, free time.Time) time.Time {
+func (p *nodeProcess) work(ctx context.Context, op *operation, free time.Time) time.Time {
 	if pause := p.node.Faults.pauseLeft(); pause > 0 {
 		sleep(ctx, pause)
 		free = time.Now()
@@ -68,37 +68,37 @@
 	if ctx.Err() != nil {
 		return free
 	}
-	if !p.setState(o, operationRunning) {
-		p.answer(o, KindCancel, proto.Cancelled)
+	if !p.setState(op, operationRunning) {
+		p.answer(op, KindCancel, proto.Cancelled)
 		return free
 	}
-	p.logOperation(KindStart, o, 0)
+	p.logOperation(KindStart, op, 0)
 	running := ctx
 	if p.node.cfg.Model.Stops {
-		running = o.ctx
+		running = op.ctx
 	}
-	if free.Before(o.arrived) {
-		free = o.arrived
+	if free.Before(op.arrived) {
+		free = op.arrived
 	}
-	free = free.Add(p.duration(o))
+	free = free.Add(p.duration(op))
 	if !sleep(running, time.Until(free)) {
 		free = time.Now()
 	}
 	switch {
 	case ctx.Err() != nil:
-	case p.setState(o, operationDone):
-		p.transfer(o)
-		p.settleEffects(o)
-		p.answer(o, KindEnd, proto.OK)
+	case p.setState(op, operationDone):
+		p.transfer(op)
+		p.settleEffects(op)
+		p.answer(op, KindEnd, proto.OK)
 	default:
-		p.answer(o, KindCancel, proto.Cancelled)
+		p.answer(op, KindCancel, proto.Cancelled)
 	}
 	return free
 }
 
 // duration is how long an operation takes on one core now.
-func (p *nodeProcess) duration(o *operation) time.Duration {
-	model, request := &p.node.cfg.Model, &o.request
+func (p *nodeProcess) duration(op *operation) time.Duration {
+	model, request := &p.node.cfg.Model, &op.request
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	work := float64(model.PerOperation) + float64(model.PerUnit)*float64(request.Units)
@@ -119,8 +119,8 @@
 }
 
 // transfer reads or writes the bytes of a ranged operation. Members that were dropped write nothing.
-func (p *nodeProcess) transfer(o *operation) {
-	request := &o.request
+func (p *nodeProcess) transfer(op *operation) {
+	request := &op.request
 	if !request.Ranged {
 		return
 	}
@@ -128,18 +128,18 @@
 	if !request.Write {
 		data = p.node.disk.read(request.DataVolume(), request.Offset, uint64(request.Length))
 	}
-	o.sums = make([]uint64, len(o.members))
-	for i := range o.members {
-		m := &o.members[i]
+	op.sums = make([]uint64, len(op.members))
+	for i := range op.members {
+		m := &op.members[i]
 		from, to := m.Offset, m.Offset+m.Length
 		offset := request.Offset + uint64(from)
 		switch {
 		case !request.Write:
-			o.sums[i] = checksum(offset, data[from:to])
-		case !m.dropped && int(to) <= len(o.payload):
-			p.node.disk.write(request.DataVolume(), offset, o.payload[from:to])
-			o.sums[i] = checksum(offset, o.payload[from:to])
+			op.sums[i] = checksum(offset, data[from:to])
+		case !m.dropped && int(to) <= len(op.payload):
+			p.node.disk.write(request.DataVolume(), offset, op.payload[from:to])
+			op.sums[i] = checksum(offset, op.payload[from:to])
 		}
 	}
-	o.data = data
+	op.data = data
 }
