--- /dev/null
+++ b/internal/testbed/node_answer.go
@@ -0,0 +1,93 @@
+package testbed
+
+import "landingpaddle/internal/proto"
+
+// corruptFrame is what a node writes in place of an answer that a fault corrupts.
+const corruptFrame = "this is no frame, and nothing that follows on this connection is one either"
+
+// loadQueueLength names the length of the queue among a load report's fields.
+const loadQueueLength = "q"
+
+// answer ends an operation, logs its end as kind and writes its answer, unless a fault prevents that.
+func (p *nodeProcess) answer(op *operation, kind Kind, code proto.Code) {
+	if kind != KindRepeat { // logged for each member by itself
+		p.logOperation(kind, op, code)
+	}
+	answer := p.makeAnswer(op, code)
+	op.cancel()
+	payload := p.payloadOf(op, code)
+	switch p.node.Faults.drawAnswerFault() {
+	case answerLost:
+		return // it stays known, so that its cancellation is logged
+	case answerCorrupted:
+		op.conn.Raw([]byte(corruptFrame))
+		return
+	}
+	p.mu.Lock()
+	delete(p.conns[op.conn], op.stream)
+	p.mu.Unlock()
+	op.conn.CloseStream(op.stream)
+	if op.conn.Send(proto.TypeAnswer, op.stream, answer, payload) != nil {
+		// The connection ended just now: for the instance the attempt is over.
+		p.logOperation(KindCancelArrived, op, code)
+		return
+	}
+	p.logOperation(KindReplied, op, code)
+}
+
+// makeAnswer counts what was served and reports it. What is reported of volumes concerns the first member's.
+func (p *nodeProcess) makeAnswer(op *operation, code proto.Code) proto.Answer {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	site := p.node.cfg.Site
+	answer := proto.Answer{Code: code, Load: p.loadReportLocked(), Cell: 1 + int32(p.node.cfg.Cell)}
+	if code != proto.OK {
+		return answer
+	}
+	for i, m := range op.members {
+		isFirst := i == 0
+		metered := p.node.cfg.Meter.served(m.Volume, float64(m.Units), site.Plans[m.Plan].Rate)
+		elsewhere := uint32(0)
+		if site.ReportsElsewhere {
+			elsewhere = p.elsewhere.add(m.Volume, op.instance, float64(m.Units), isFirst)
+		}
+		if isFirst {
+			answer.MeteredRate, answer.ElsewhereUnits = metered, elsewhere
+		}
+	}
+	return answer
+}
+
+// payloadOf is what was read, or as many bytes as the node's model answers a read with.
+func (p *nodeProcess) payloadOf(op *operation, code proto.Code) []byte {
+	bytesPerUnit := p.node.cfg.Model.Bytes
+	switch {
+	case op.request.Ranged:
+		return op.data
+	case code == proto.OK && !op.request.Write && bytesPerUnit > 0:
+		return make([]byte, bytesPerUnit*int(op.request.Units))
+	}
+	return nil
+}
+
+func (p *nodeProcess) loadReport() []float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.loadReportLocked()
+}
+
+// loadReportLocked is the figures that the site's settings name, as far as this node knows them. The lock
+// is held.
+func (p *nodeProcess) loadReportLocked() []float64 {
+	var report []float64
+	for _, field := range p.node.cfg.Site.LoadFields {
+		switch field {
+		case loadQueueLength:
+			report = append(report, float64(len(p.queue)))
+		default:
+			perUnit := float64(p.node.cfg.Model.PerUnit.Milliseconds())
+			report = append(report, perUnit*p.node.Faults.workFactor())
+		}
+	}
+	return report
+}
