--- /dev/null
+++ b/internal/config/extents.go
@@ -0,0 +1,56 @@
+package config
+
+import (
+	"time"
+
+	"landingpaddle/extent"
+	"landingpaddle/internal/sexpr"
+)
+
+// Values that Extents takes where none are given.
+const (
+	defaultMaxMembers = 16
+	defaultMaxPieces  = 64
+)
+
+// Extents say how the bytes of volumes lie on nodes, and which requests may be merged into one operation:
+// (extents …).
+type Extents struct {
+	Size            sexpr.Size    `s:"size,required" min:"1B" max:"1GiB"`
+	MaxOperation    sexpr.Size    `s:"largest" min:"0B" max:"1GiB"` // 0: Size
+	MaxMembers      int           `s:"members" min:"0" max:"64"`    // 0: the default
+	Window          time.Duration `s:"window" min:"0s" max:"1m"`
+	MaxPieces       int           `s:"pieces" min:"0" max:"1024"` // 0: the default
+	Cells           int           `s:"cells,required" min:"1" max:"65535"`
+	MergingDisabled bool          `s:"alone"`
+}
+
+// Check fills in the values that were not given and reports settings that the planner rejects.
+func (e *Extents) Check() error {
+	if e.MaxOperation == 0 {
+		e.MaxOperation = e.Size
+	}
+	if e.MaxMembers == 0 {
+		e.MaxMembers = defaultMaxMembers
+	}
+	if e.MaxPieces == 0 {
+		e.MaxPieces = defaultMaxPieces
+	}
+	return e.Planner().Check()
+}
+
+// Planner returns the settings of the extent planner.
+func (e *Extents) Planner() extent.Settings {
+	settings := extent.Settings{
+		ExtentSize:   uint64(e.Size),
+		MaxOperation: uint64(e.MaxOperation),
+		MaxMembers:   e.MaxMembers,
+		Window:       e.Window,
+		MaxPieces:    e.MaxPieces,
+		Cells:        e.Cells,
+	}
+	if e.MergingDisabled {
+		settings.MaxMembers = 1
+	}
+	return settings
+}
--- /dev/null
+++ b/internal/config/fleet_model.go
@@ -0,0 +1,94 @@
+package config
+
+import (
+	"landingpaddle/expect"
+	"landingpaddle/internal/sexpr"
+)
+
+// model converts the fleet into what expectations are checked against. It reports names that stand twice and
+// references to what the fleet does not have.
+func (f *Fleet) model() (*expect.Model, error) {
+	fleet := &expect.Fleet{
+		Instances: f.Instances,
+		ColdUnits: f.Site.Rules.ColdCapacity,
+		MeanUnits: f.Site.MeanUnits,
+	}
+	for _, plan := range f.Site.Plans {
+		fleet.Plans = append(fleet.Plans,
+			expect.Plan{Name: plan.Name, Reserve: plan.Reserve, Weight: plan.Weight, Limit: plan.Limit})
+	}
+	if err := f.addNodes(fleet); err != nil {
+		return nil, err
+	}
+	if err := f.addVolumes(fleet); err != nil {
+		return nil, err
+	}
+	return expect.New(fleet), nil
+}
+
+func (f *Fleet) addNodes(fleet *expect.Fleet) error {
+	names := map[string]bool{}
+	for _, node := range f.Nodes {
+		switch {
+		case names[node.Name]:
+			return sexpr.Errorf(node.Pos, "node %s stands twice", node.Name)
+		case f.Site.Zone(node.Zone) < 0:
+			return sexpr.Errorf(node.Pos, "zone %q is none of %v", node.Zone, f.Site.Zones)
+		}
+		names[node.Name] = true
+		fleet.Nodes = append(fleet.Nodes,
+			expect.Node{Name: node.Name, Cell: node.Cell, Zone: node.Zone, Capacity: node.Capacity})
+	}
+	return nil
+}
+
+func (f *Fleet) addVolumes(fleet *expect.Fleet) error {
+	cells := map[int]bool{}
+	for _, node := range f.Nodes {
+		cells[node.Cell] = true
+	}
+	names := map[string]bool{}
+	for i := range f.Volumes {
+		volume := &f.Volumes[i]
+		if names[volume.Name] {
+			return sexpr.Errorf(volume.Pos, "volume %s stands twice", volume.Name)
+		}
+		names[volume.Name] = true
+		converted, err := f.modelVolume(volume, cells)
+		if err != nil {
+			return err
+		}
+		fleet.Volumes = append(fleet.Volumes, converted)
+	}
+	return nil
+}
+
+// modelVolume converts one volume; cells are those that nodes hold.
+func (f *Fleet) modelVolume(volume *FleetVolume, cells map[int]bool) (converted expect.Volume, err error) {
+	plan := f.Site.PlanNumber(volume.Plan)
+	if plan < 0 {
+		return converted, sexpr.Errorf(volume.Pos, "plan %s is not in the site", volume.Plan)
+	}
+	for _, cell := range volume.Cells {
+		if !cells[cell] {
+			return converted, sexpr.Errorf(volume.Pos, "no node has cell %d", cell)
+		}
+	}
+	writers := max(1, volume.Writers)
+	paths := volume.Paths
+	if paths == 0 {
+		paths = writers
+	}
+	if paths > f.Instances {
+		return converted, sexpr.Errorf(volume.Pos, "volume %s comes through %d instances; there are %d",
+			volume.Name, paths, f.Instances)
+	}
+	return expect.Volume{
+		Name:    volume.Name,
+		Plan:    plan,
+		Count:   max(1, volume.Count),
+		Writers: writers,
+		Paths:   paths,
+		Cells:   volume.Cells,
+	}, nil
+}
--- /dev/null
+++ b/internal/config/plan.go
@@ -0,0 +1,40 @@
+package config
+
+import (
+	"fmt"
+
+	"landingpaddle/scheduler"
+)
+
+// Plan is a service plan: (plan …). Rates are in units per second over all instances and nodes.
+type Plan struct {
+	Name           string  `s:",arg"`
+	Rate           float64 `s:"rate,required" min:"0"`
+	Reserve        float64 `s:"reserve" min:"0"`
+	Weight         float64 `s:"weight" min:"0"`
+	Limit          float64 `s:"limit" min:"0"`
+	Burst          float64 `s:"burst" min:"0"` // units
+	LimitSlack     float64 `s:"slack" min:"0"`
+	PriorityWeight float64 `s:"worth" min:"0"`
+}
+
+// Check reports fields that contradict one another.
+func (p *Plan) Check() error {
+	if p.Limit > 0 && p.Burst <= 0 {
+		return fmt.Errorf("plan %s has a limit; want (burst …), the units that its store holds", p.Name)
+	}
+	return nil
+}
+
+// schedulerPlan converts the plan into the scheduler's form.
+func (p *Plan) schedulerPlan() scheduler.Plan {
+	return scheduler.Plan{
+		Rate:           p.Rate,
+		Reserve:        p.Reserve,
+		Weight:         p.Weight,
+		Limit:          p.Limit,
+		Burst:          p.Burst,
+		LimitSlack:     p.LimitSlack,
+		PriorityWeight: p.PriorityWeight,
+	}
+}
--- /dev/null
+++ b/internal/config/registry.go
@@ -0,0 +1,22 @@
+package config
+
+import "time"
+
+// Registry is the settings file of storage-gateway list, a stand-in for the registry: (list …).
+type Registry struct {
+	Listen   Addr          `s:"listen,required"`
+	Delay    time.Duration `s:"delay" min:"0s" max:"10m"`
+	Workers  int           `s:"workers" min:"1" max:"1024"`
+	CallTime time.Duration `s:"call-time" min:"0s" max:"1m"`
+	MaxWait  time.Duration `s:"max-wait" min:"0s" max:"1m"`
+}
+
+// DefaultRegistry returns a registry with the defaults, before its file is read.
+func DefaultRegistry() Registry {
+	return Registry{
+		Delay:    500 * time.Millisecond,
+		Workers:  2,
+		CallTime: 2 * time.Millisecond,
+		MaxWait:  500 * time.Millisecond,
+	}
+}
