--- /dev/null
+++ b/internal/config/site_test.go
@@ -0,0 +1,77 @@
+package config
+
+import (
+	"testing"
+	"time"
+
+	"landingpaddle/scheduler"
+)
+
+// siteForm is a site that sets nearly everything.
+const siteForm = `(site (zones a b) (ask) (mean-units 3) (most-units 9) (load lat_ms)
+  (class r (aim 100ms) (deadline 1s))
+  (class w (aim 200ms) (deadline 2s) (repeat keyed) (group zone) (window 5s) (in-order) (writes)
+    (worth 3) (late 0.2))
+  (plan p (rate 5) (reserve 2) (weight 2) (limit 10) (burst 20) (slack 3) (worth 1.5))
+  (share-worth 0.35) (spare-worth 0.1) (retries-known) (elsewhere)
+  (limits (retry-after no) (second-copies) (probes) (peers no))
+  (rules (cold-share 0.2) (cold-units 50) (ramp 10s) (fall-window 2s) (fall-multiple 2) (order-pause 50ms)
+    (budget (floor 3) (ratio 0.1) (window 4s))))`
+
+func TestSite_PassesAllSettingsToTheScheduler(t *testing.T) {
+	instance, err := loadInstance(t,
+		"(instance (number 1) (of 4) (zone b) (listen 127.0.0.1:1) (list 127.0.0.1:2)\n"+siteForm+")")
+	if err != nil {
+		t.Fatal(err)
+	}
+	zone := uint8(instance.Site.Zone(instance.Zone))
+	settings := instance.Site.Scheduler(instance.Number, instance.Instances, zone, true)
+	if settings.InstanceIndex != 1 || settings.Instances != 4 || settings.Zone != 1 ||
+		!settings.PollEndpoints || !settings.PeerMessages ||
+		settings.MeanUnits != 3 || settings.MaxUnits != 9 || len(settings.LoadFields) != 1 ||
+		settings.ColdFraction != 0.2 || settings.ColdCapacity != 50 ||
+		settings.SlowStartPeriod != 10*time.Second ||
+		settings.OverloadWindow != 2*time.Second || settings.OverloadFactor != 2 ||
+		settings.OrderingPause != 50*time.Millisecond ||
+		!settings.RetryBudget || settings.RetryBudgetFloor != 3 || settings.RetryBudgetRatio != 0.1 ||
+		settings.RetryBudgetWindow != 4*time.Second {
+		t.Errorf("settings %+v", settings)
+	}
+	plan := settings.Plans[0]
+	if settings.RetryAfter || !settings.HedgedRequests || !settings.HealthChecks ||
+		settings.ShareWeight != 0.35 || settings.SpareWeight != 0.1 ||
+		!settings.RetriesMarked || !settings.ReportsElsewhere ||
+		plan.PriorityWeight != 1.5 {
+		t.Errorf("settings of the newer build %+v", settings)
+	}
+	class := settings.Classes[1]
+	if class.Idempotency != scheduler.IdempotentByKey || class.DedupScope != scheduler.DedupZone ||
+		class.DedupWindow != 5*time.Second || !class.OrderedByKey || !class.Writes ||
+		class.PriorityWeight != 3 || class.LateFraction != 0.2 ||
+		class.LatencyObjective != 200*time.Millisecond {
+		t.Errorf("class %+v", class)
+	}
+	if plan.Rate != 5 || plan.Reserve != 2 || plan.Weight != 2 || plan.Limit != 10 || plan.Burst != 20 ||
+		plan.LimitSlack != 3 {
+		t.Errorf("plan %+v", plan)
+	}
+}
+
+// A site that sets no weights, no Retry-After and no peer messages keeps what the scheduler did before it had
+// these settings.
+func TestSite_DefaultsKeepEarlierBehaviour(t *testing.T) {
+	instance, err := loadInstance(t, "(instance (listen 127.0.0.1:1) (list 127.0.0.1:2)\n"+
+		"(site (class r (aim 1s) (deadline 2s)) (class w (aim 1s) (deadline 2s))\n"+
+		"(plan p (rate 1)) (plan q (rate 2))))")
+	if err != nil {
+		t.Fatal(err)
+	}
+	settings := instance.Site.Scheduler(0, 1, 0, false)
+	if settings.ShareWeight != 1 ||
+		settings.Classes[0].PriorityWeight != settings.Classes[1].PriorityWeight ||
+		settings.Plans[0].PriorityWeight != settings.Plans[1].PriorityWeight ||
+		!settings.RetryAfter || settings.RetryBudget ||
+		!instance.Site.Limits.PeerMessages {
+		t.Errorf("settings %+v", settings)
+	}
+}
