--- a/internal/sexpr/include.go
+++ b/internal/sexpr/include.go
@@ -8,81 +8,99 @@
 	"strings"
 )
 
-// Bounds of inclusion. A few files that include one another many times over would else be read for ever.
+// Bounds of inclusion: without them, a few files that include one another many times would take for ever to
+// read.
 const (
 	MostDepth = 16  // files within one another
-	MostFiles = 256 // read for one, each time counted
+	MostFiles = 256 // read in all, each time counted
 )
 
-// ReadTree parses a file and puts in the place of each (include "path") the expressions of that file, whose
-// path is relative to the file that names it. What is wrong with an included file is told with its own
-// place; a file that is missing, or includes itself on some way, with the place of the include.
+// includeHead is the head of the form that a file's expressions replace.
+const includeHead = "include"
+
+// ReadTree parses a file and replaces each (include "path") by the expressions of that file. A path is
+// relative to the file that names it. An error in an included file has its place there; a file that is
+// missing or that includes itself, directly or through others, is an error at the place of the include.
 func ReadTree(path string) ([]*Node, error) {
-	r := &includer{}
-	return r.read(path, nil)
+	reader := &treeReader{}
+	return reader.read(path, nil)
 }
 
-type includer struct{ files int }
+// treeReader reads a file with all that it includes.
+type treeReader struct{ files int }
 
-// read parses a file that was reached through others.
-func (r *includer) read(path string, through []string) ([]*Node, error) {
+// read parses a file that was reached through the files of a chain, the outermost first.
+func (r *treeReader) read(path string, chain []string) ([]*Node, error) {
 	r.files++
 	nodes, err := ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return r.splice(nodes, append(slices.Clip(through), filepath.Clean(path)))
+	return r.splice(nodes, append(slices.Clip(chain), filepath.Clean(path)))
 }
 
-func (r *includer) splice(nodes []*Node, through []string) ([]*Node, error) {
-	var out []*Node
-	for _, n := range nodes {
-		if n.Head() == "include" {
-			more, err := r.include(n, through)
+// splice returns the nodes with the includes among them and below them replaced. The chain ends with the file
+// of the nodes.
+func (r *treeReader) splice(nodes []*Node, chain []string) ([]*Node, error) {
+	var spliced []*Node
+	for _, node := range nodes {
+		if node.Head() == includeHead {
+			included, err := r.include(node, chain)
 			if err != nil {
 				return nil, err
 			}
-			out = append(out, more...)
+			spliced = append(spliced, included...)
 			continue
 		}
-		if n.IsList() {
-			inner, err := r.splice(n.List, through)
+		if node.IsList() {
+			elements, err := r.splice(node.List, chain)
 			if err != nil {
 				return nil, err
 			}
-			if inner == nil {
-				inner = []*Node{} // a list that included an empty file is still a list
+			if elements == nil {
+				elements = []*Node{} // a list that included an empty file is still a list
 			}
-			n.List = inner
+			node.List = elements
 		}
-		out = append(out, n)
+		spliced = append(spliced, node)
 	}
-	return out, nil
+	return spliced, nil
 }
 
-func (r *includer) include(n *Node, through []string) ([]*Node, error) {
-	if len(n.List) != 2 || n.List[1].IsList() || n.List[1].Text == "" {
-		return nil, Errorf(n.Pos, `(include …) wants one path, as (include "site.lisp")`)
+// include reads the file that an (include "path") names.
+func (r *treeReader) include(node *Node, chain []string) ([]*Node, error) {
+	if len(node.List) != 2 || node.List[1].IsList() || node.List[1].Text == "" {
+		return nil, Errorf(node.Pos, `(include …) wants one path, as (include "site.lisp")`)
+	}
+	path := resolvePath(node.List[1].Text, chain[len(chain)-1])
+	if err := r.checkBounds(node, path, chain); err != nil {
+		return nil, err
 	}
-	here := through[len(through)-1]
-	path := n.List[1].Text
+	included, err := r.read(path, chain)
+	if missing := (*fs.PathError)(nil); errors.As(err, &missing) {
+		return nil, Errorf(node.Pos, "%v", err)
+	}
+	return included, err
+}
+
+// resolvePath returns a path that is relative to the folder of a file.
+func resolvePath(path, file string) string {
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(here), path)
+		path = filepath.Join(filepath.Dir(file), path)
 	}
-	path = filepath.Clean(path)
-	switch {
-	case slices.Contains(through, path):
-		from := slices.Index(through, path)
-		return nil, Errorf(n.Pos, "%s includes itself: %s", path,
-			strings.Join(append(slices.Clone(through[from:]), path), " -> "))
-	case len(through) >= MostDepth:
-		return nil, Errorf(n.Pos, "files are included more than %d deep", MostDepth)
+	return filepath.Clean(path)
+}
+
+// checkBounds reports an include that would not end or that exceeds the bounds.
+func (r *treeReader) checkBounds(node *Node, path string, chain []string) error {
+	switch first := slices.Index(chain, path); {
+	case first >= 0:
+		cycle := append(slices.Clone(chain[first:]), path)
+		return Errorf(node.Pos, "%s includes itself: %s", path, strings.Join(cycle, " -> "))
+	case len(chain) >= MostDepth:
+		return Errorf(node.Pos, "files are included more than %d deep", MostDepth)
 	case r.files >= MostFiles:
-		return nil, Errorf(n.Pos, "more than %d files are included", MostFiles)
-	}
-	more, err := r.read(path, through)
-	if missing := (*fs.PathError)(nil); errors.As(err, &missing) {
-		return nil, Errorf(n.Pos, "%v", err)
+		return Errorf(node.Pos, "more than %d files are included", MostFiles)
 	}
-	return more, err
+	return nil
 }
