--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -206,7 +206,7 @@
 	f.Add(frameOf(f, "01000000", "11 0f000000 0300 2900000000000000 01 ffffffff"))
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		b, err := DecodeBatch(frame)
-		if err == nil && len(frame) < batchHeader+recordHeader*len(b.Records) {
+		if err == nil && len(frame) < batchHeaderSize+recordHeaderSize*len(b.Records) {
 			t.Errorf("%d records out of %d bytes", len(b.Records), len(frame))
 		}
 	})
