--- a/internal/wire/nested_test.go
+++ b/internal/wire/nested_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-const flat = `callers.marks_retry=true
+// flatSettings and nestedSettings are the same settings in the two forms.
+const flatSettings = `callers.marks_retry=true
 classes.count=2
 classes.0.deadline_ns=2500000000
 classes.0.group=all
@@ -55,7 +56,7 @@
 zone=1
 `
 
-const nested = `{"callers":{"marks_retry":true},
+const nestedSettings = `{"callers":{"marks_retry":true},
 "classes":[{"deadline_ns":2500000000,"group":"all","late_worth":0.15,"name":"field-read",
  "on_time_ns":500000000,
  "repeat":"read_like","worth":2.0},
@@ -70,13 +71,13 @@
 "rules":{"answer_slack_ns":8000000,"extra_floor":3,"further_ratio":0.1,"look_back_ns":1e9},
 "zone":1,"new":{"deep":[{"er":null}]}}`
 
-// Both forms of one object must give the module the same settings: a second mapping would drift.
-func TestNestedIsFlat(t *testing.T) {
-	want, err := ParseSettings(flat)
+// Both forms of one object must give the scheduler the same settings: a second mapping would drift.
+func TestParseNested_EqualsTheFlatForm(t *testing.T) {
+	want, err := ParseSettings(flatSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ParseNested([]byte(nested))
+	got, err := ParseNested([]byte(nestedSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,26 +86,28 @@
 	}
 	if got.Classes[1] != "field-write" || got.Plans[0] != "standard" || got.Zone("hall b") != 1 ||
 		got.Zone("hall-z") != 255 || got.Shards != 9 || got.MaxOpenRequests != 333 ||
-		got.IdleTimeout.Seconds() != 15 ||
-		got.AnswerSlack.Milliseconds() != 8 {
-		t.Fatalf("beside the module's: %+v", got)
+		got.IdleTimeout.Seconds() != 15 || got.AnswerSlack.Milliseconds() != 8 {
+		t.Fatalf("beside the scheduler's: %+v", got)
 	}
 }
 
-func TestNestedBad(t *testing.T) {
-	for doc, want := range map[string]string{
-		`{`:                           "settings",
-		`[]`:                          "settings",
-		`{} {}`:                       "more than one",
-		`{}`:                          "no classes",
-		`{"classes":[{"worth":"a"}]}`: "classes.0.worth",
-		`{"limits":{"probes":"x"}}`:   "limits.probes",
-		`{"a":[1,{"b":2}]}`:           "a: objects and plain",
-		`{"a":[[1]]}`:                 "a:",
-		strings.Repeat(`{"a":`, 40) + "1" + strings.Repeat("}", 40): "too deep",
+func TestParseNested_RejectsInvalidDocuments(t *testing.T) {
+	for name, test := range map[string]struct{ doc, want string }{
+		"not closed":        {`{`, "settings"},
+		"not an object":     {`[]`, "settings"},
+		"two values":        {`{} {}`, "more than one"},
+		"no classes":        {`{}`, "no classes"},
+		"not a number":      {`{"classes":[{"worth":"a"}]}`, "classes.0.worth"},
+		"not a boolean":     {`{"limits":{"probes":"x"}}`, "limits.probes"},
+		"mixed list":        {`{"a":[1,{"b":2}]}`, "a: objects and plain"},
+		"list within lists": {`{"a":[[1]]}`, "a:"},
+		"nested too deep":   {strings.Repeat(`{"a":`, 40) + "1" + strings.Repeat("}", 40), "too deep"},
 	} {
-		if _, err := ParseNested([]byte(doc)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.40s: %v; want %q in it", doc, err, want)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := ParseNested([]byte(test.doc))
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%.40s: %v; want %q in it", test.doc, err, test.want)
+			}
+		})
 	}
 }
