--- a/extent/split.go
+++ b/extent/split.go
@@ -48,7 +48,7 @@
 // Piece is the part of a request that lies within one extent and one operation's size.
 type Piece struct {
 	ID     uint32 // by which the scheduler knows it
-	Nth    int    // of the request's pieces, by offset
+	Index  int    // of the request's pieces, by offset
 	Extent uint64
 	Cell   int // where the extent lies
 	Range  Range
@@ -78,7 +78,7 @@
 		leftInExtent := settings.ExtentSize - offset%settings.ExtentSize
 		length := min(request.Range.End()-offset, settings.MaxOperation, leftInExtent)
 		pieces = append(pieces, Piece{
-			Nth:    len(pieces),
+			Index:  len(pieces),
 			Extent: extent,
 			Cell:   settings.Cell(request.DataVolume, extent),
 			Range:  Range{offset, length},
--- a/extent/split_test.go
+++ b/extent/split_test.go
@@ -27,8 +27,10 @@
 		}
 		at, units := q.Range.Offset, 0
 		for i, p := range pieces {
-			if p.Range.Offset != at || p.Range.Length == 0 || p.Range.Length > s.MaxOperation || p.Nth != i ||
-				p.Extent != at/s.ExtentSize || (p.Range.End()-1)/s.ExtentSize != p.Extent || p.Units < 0 {
+			if p.Range.Offset != at || p.Range.Length == 0 || p.Range.Length > s.MaxOperation ||
+				p.Index != i ||
+				p.Extent != at/s.ExtentSize || (p.Range.End()-1)/s.ExtentSize != p.Extent ||
+				p.Units < 0 {
 				t.Fatalf("piece %d is %+v", i, p)
 			}
 			at, units = p.Range.End(), units+p.Units
--- a/internal/daemon/attempt.go
+++ b/internal/daemon/attempt.go
@@ -94,7 +94,7 @@
 // at once.
 func (l *loop) attemptEnded(a *attempt, end attemptEnd) {
 	if a.ended {
-		l.shared.Stats.Late.Add(1)
+		l.shared.Stats.LateResults.Add(1)
 		return // its time-out came first, and was its one result
 	}
 	a.ended = true
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -15,7 +15,7 @@
 	Responder  Responder
 	Request    scheduler.Request // all but ID and ExpiresAt
 	ReceivedAt time.Duration     // when it was read, by the scheduler's clock
-	Wait       time.Duration     // how long its client waits from then on
+	Timeout    time.Duration     // how long its client waits from then on
 	Token      uint64            // by which logs name it
 	Range      *extent.Range     // bytes, of a ranged request; nil: another
 	DataVolume uint64            // the volume whose bytes a ranged request means
@@ -34,7 +34,7 @@
 
 // startCall hands a submitted call to the scheduler: as one request, or as one for each piece of its range.
 func (l *loop) startCall(call *Call) {
-	expiresAt := call.ReceivedAt + call.Wait - l.shared.cfg.ResponseMargin
+	expiresAt := call.ReceivedAt + call.Timeout - l.shared.cfg.ResponseMargin
 	call.overdue = l.timers.set(expiresAt+l.shared.cfg.AnswerSlack, func() { l.answerOverdue(call) })
 	event := call.Request
 	event.ExpiresAt = expiresAt
--- a/internal/daemon/client_listener.go
+++ b/internal/daemon/client_listener.go
@@ -50,10 +50,10 @@
 	limits := l.instance.cfg.Site.Limits
 	streams := max(limits.Streams, minNodeStreams) * clientStreamFactor
 	config := proto.Config{
-		Hello:  l.instance.hello(),
-		Gate:   l.instance.cfg.Hooks.Gate,
-		Idle:   clientIdleTimeout,
-		Limits: proto.LimitsFor(int(limits.MaxPayload), streams),
+		Hello:       l.instance.hello(),
+		Gate:        l.instance.cfg.Hooks.Gate,
+		IdleTimeout: clientIdleTimeout,
+		Limits:      proto.LimitsFor(int(limits.MaxPayload), streams),
 	}
 	return proto.Serve(ctx, l.instance.cfg.Listener, config, limits.ClientConnections, l.serveConnection)
 }
--- a/internal/daemon/client_request.go
+++ b/internal/daemon/client_request.go
@@ -66,13 +66,13 @@
 	call := &Call{
 		Responder:  r,
 		ReceivedAt: receivedAt,
-		Wait:       header.Timeout,
+		Timeout:    header.Timeout,
 		Token:      header.Token,
 		DataVolume: header.DataVolume(),
 		Request: scheduler.Request{
 			Class:           int(header.Class),
 			Cell:            int(header.Cell),
-			Retry:           header.Try > 0,
+			Retry:           header.ClientTry > 0,
 			Write:           r.write,
 			VolumeInstances: int(header.VolumeInstances),
 			Plan:            int(header.Plan),
@@ -102,7 +102,7 @@
 	r.connection.remove(r.stream)
 	conn.CloseStream(r.stream)
 	err := conn.Send(proto.TypeAnswer, r.stream, answer, payload)
-	if errors.Is(err, proto.ErrPayload) || errors.Is(err, proto.ErrHeader) {
+	if errors.Is(err, proto.ErrPayloadTooLong) || errors.Is(err, proto.ErrHeaderTooLong) {
 		answer = proto.Answer{Code: proto.Failed, Reason: ReasonTooLarge}
 		_ = conn.Send(proto.TypeAnswer, r.stream, answer, nil) // a closed connection reports itself
 	}
--- a/internal/daemon/counters.go
+++ b/internal/daemon/counters.go
@@ -16,7 +16,7 @@
 
 	// Attempts dispatched, ended twice (the later end does not count) and not sent as they made no sense any
 	// more; batches; endpoint snapshots that could not be saved.
-	Attempts, Late, Withheld, Batches, SnapshotFailures atomic.Uint64
+	Attempts, LateResults, Withheld, Batches, SnapshotFailures atomic.Uint64
 
 	// Attempts that ended, by result code.
 	OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled, NotApplicable atomic.Uint64
@@ -92,7 +92,7 @@
 		{"failed", &s.Failed},
 		{"client_gone", &s.ClientGone},
 		{"attempts", &s.Attempts},
-		{"late", &s.Late},
+		{"late", &s.LateResults},
 		{"overdue", &s.Overdue},
 		{"ok", &s.OK},
 		{"error", &s.Error},
--- a/internal/daemon/environment_test.go
+++ b/internal/daemon/environment_test.go
@@ -195,8 +195,12 @@
 // client connects a client to the instance.
 func (e *testEnvironment) client() *testClient {
 	e.t.Helper()
-	conn, err := proto.Dial(e.ctx, e.instance.Addr().String(), proto.Config{Limits: proto.Limits{Header: 4096,
-		Payload: 8 << 20, Streams: 1 << 16, Backlog: 256 << 20}})
+	conn, err := proto.Dial(
+		e.ctx,
+		e.instance.Addr().String(),
+		proto.Config{Limits: proto.Limits{MaxHeader: 4096,
+			MaxPayload: 8 << 20, MaxStreams: 1 << 16, MaxBacklog: 256 << 20}},
+	)
 	if err != nil {
 		e.t.Fatal(err)
 	}
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -49,7 +49,12 @@
 		t.Errorf("served %d, rejected %d, overdue %d", stats.Served.Load(), stats.Rejected.Load(),
 			stats.Overdue.Load())
 	}
-	t.Logf("served %d, timed out %d, late answers %d", stats.Served.Load(), n.Load(), stats.Late.Load())
+	t.Logf(
+		"served %d, timed out %d, late answers %d",
+		stats.Served.Load(),
+		n.Load(),
+		stats.LateResults.Load(),
+	)
 }
 
 // A scheduler that decides nothing: the loop fails the call when it is overdue and logs that as a fault.
@@ -93,7 +98,7 @@
 		&Call{
 			Responder:  drivers,
 			ReceivedAt: l.now,
-			Wait:       time.Second,
+			Timeout:    time.Second,
 			Request: scheduler.Request{Units: 1, VolumeInstances: 1,
 				Volume: 1},
 		},
--- a/internal/daemon/merging_failures_test.go
+++ b/internal/daemon/merging_failures_test.go
@@ -52,7 +52,7 @@
 func TestMerging_RetriesMembersOfLostReadAlone(t *testing.T) {
 	for name, lose := range map[string]func(conn *proto.Conn){
 		"reset":   func(conn *proto.Conn) { conn.Close(nil) },
-		"corrupt": func(conn *proto.Conn) { conn.Raw(bytes.Repeat([]byte("this is no frame "), 10)) },
+		"corrupt": func(conn *proto.Conn) { conn.SendRaw(bytes.Repeat([]byte("this is no frame "), 10)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			env := newRangedEnvironment(t, nil)
--- a/internal/daemon/merging_test.go
+++ b/internal/daemon/merging_test.go
@@ -68,7 +68,7 @@
 	if ops := disk.ranged(); len(ops[0].Members) != 2 || ops[0].Timeout > 700*time.Millisecond {
 		t.Errorf("the node saw %+v", ops[0])
 	}
-	for env.instance.Stats.Late.Load() == 0 { // the part of the short one came after its client's time
+	for env.instance.Stats.LateResults.Load() == 0 { // the part of the short one came after its client's time
 		time.Sleep(time.Millisecond)
 	}
 	env.defaultClient.expectOneAnswerEach()
@@ -139,9 +139,9 @@
 	})
 	volume := env.volumeAt(0, 0)
 	free := env.read(volume, 0, 1000, nil)
-	limited := env.read(volume+1, 1000, 1000, func(q *proto.Request) { q.Data, q.Plan = volume, 1 })
-	other := env.read(volume+2, 2000, 1000, func(q *proto.Request) { q.Data = volume })
-	again := env.read(volume+3, 0, 2000, func(q *proto.Request) { q.Data = volume })
+	limited := env.read(volume+1, 1000, 1000, func(q *proto.Request) { q.DataVolumeID, q.Plan = volume, 1 })
+	other := env.read(volume+2, 2000, 1000, func(q *proto.Request) { q.DataVolumeID = volume })
+	again := env.read(volume+3, 0, 2000, func(q *proto.Request) { q.DataVolumeID = volume })
 	env.expectRead(free, volume, 0, 1000)
 	env.expectRead(again, volume, 0, 2000)
 	env.expectRead(other, volume, 2000, 1000)
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -89,7 +89,7 @@
 		call := &Call{
 			Responder:  drivers,
 			ReceivedAt: l.now,
-			Wait:       time.Second,
+			Timeout:    time.Second,
 			Request:    scheduler.Request{Units: 1, VolumeInstances: 1},
 		}
 		var wg sync.WaitGroup
--- a/internal/daemon/upstream_pool.go
+++ b/internal/daemon/upstream_pool.go
@@ -36,12 +36,12 @@
 		group:    group,
 		instance: instance,
 		config: proto.Config{
-			Hello:     instance.hello(),
-			Gate:      instance.cfg.Hooks.Gate,
-			Handshake: limits.ConnectTimeout,
-			Idle:      limits.IdleTimeout,
-			Silence:   limits.SilenceTimeout,
-			Limits:    proto.LimitsFor(int(limits.MaxPayload), limits.Streams),
+			Hello:            instance.hello(),
+			Gate:             instance.cfg.Hooks.Gate,
+			HandshakeTimeout: limits.ConnectTimeout,
+			IdleTimeout:      limits.IdleTimeout,
+			SilenceTimeout:   limits.SilenceTimeout,
+			Limits:           proto.LimitsFor(int(limits.MaxPayload), limits.Streams),
 		},
 		nodes: map[scheduler.Server]*upstreamNode{},
 	}
--- a/internal/daemon/upstream_pool_test.go
+++ b/internal/daemon/upstream_pool_test.go
@@ -49,7 +49,7 @@
 // opened for one and never ended would be lost for good.
 func TestUpstreamPool_OversizedRequestsTakeNoStreams(t *testing.T) {
 	env := newTestEnvironment(t)
-	limits := proto.Limits{Header: 4096, Payload: 10, Streams: 4, Backlog: 1 << 20}
+	limits := proto.Limits{MaxHeader: 4096, MaxPayload: 10, MaxStreams: 4, MaxBacklog: 1 << 20}
 	env.nodeWithConfig(proto.Config{Limits: limits}, 0, echo)
 	env.start(func(cfg *Config) { cfg.Site.Limits.NodeConnections = 1 })
 	env.awaitLog("node listed")
--- a/internal/daemon/upstream_request.go
+++ b/internal/daemon/upstream_request.go
@@ -26,8 +26,8 @@
 	header.Cell = int32(leader.request.piece.Cell)
 	header.Offset, header.Length = o.extent.Range.Offset, uint32(o.extent.Range.Length)
 	header.Units = uint32(o.extent.Units)
-	header.Data, header.Write = o.extent.DataVolume, o.extent.Write
-	header.Piece = uint16(leader.request.piece.Nth)
+	header.DataVolumeID, header.Write = o.extent.DataVolume, o.extent.Write
+	header.Piece = uint16(leader.request.piece.Index)
 	if len(o.members) == 1 {
 		return upstreamRequest{header: header, payload: leader.pieceData()}
 	}
@@ -44,16 +44,16 @@
 		client, slice := &clientRequestOf(member).header, o.extent.Slice(o.extent.Members[i])
 		request.header.Timeout = min(request.header.Timeout, member.deadline-now)
 		request.header.Members = append(request.header.Members, proto.Member{
-			Token:  client.Token,
-			Volume: client.Volume,
-			Key:    client.Key,
-			Plan:   client.Plan,
-			Units:  uint32(max(1, member.request.piece.Units)),
-			Offset: uint32(slice.Offset),
-			Length: uint32(slice.Length),
-			Piece:  uint16(member.request.piece.Nth),
-			Try:    client.Try,
-			Client: client.Client,
+			Token:     client.Token,
+			Volume:    client.Volume,
+			Key:       client.Key,
+			Plan:      client.Plan,
+			Units:     uint32(max(1, member.request.piece.Units)),
+			Offset:    uint32(slice.Offset),
+			Length:    uint32(slice.Length),
+			Piece:     uint16(member.request.piece.Index),
+			ClientTry: client.ClientTry,
+			Client:    client.Client,
 		})
 		if header.Write {
 			request.copied += copy(request.payload[slice.Offset:slice.End()], member.pieceData())
--- a/internal/http1/benchmark_test.go
+++ b/internal/http1/benchmark_test.go
@@ -10,11 +10,11 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		reader := NewReader(bytes.NewReader(source), testLimits)
-		request, err := reader.Request()
+		request, err := reader.ReadRequest()
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := reader.Body(request.Length); err != nil {
+		if _, err := reader.ReadBody(request.Length); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -29,7 +29,7 @@
 			source := []byte(message.source)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := NewReader(bytes.NewReader(source), testLimits).Response(); err != nil {
+				if _, err := NewReader(bytes.NewReader(source), testLimits).ReadResponse(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -20,7 +20,7 @@
 		if size+int64(len(body)) > int64(r.limits.MaxBody) {
 			return nil, errBodyTooLong
 		}
-		chunk, err := r.Body(size)
+		chunk, err := r.ReadBody(size)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -12,11 +12,11 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		reader := readerOf(string(text))
 		for range 4 {
-			request, err := reader.Request()
+			request, err := reader.ReadRequest()
 			if err != nil {
 				return
 			}
-			body, err := reader.Body(request.Length)
+			body, err := reader.ReadBody(request.Length)
 			if err != nil {
 				return
 			}
@@ -38,7 +38,7 @@
 		}
 	}
 	written := string(AppendRequest(nil, request.Method, request.Target, header, body))
-	again, err := NewReader(strings.NewReader(written), Limits{MaxHead: 4096, MaxBody: 4096}).Request()
+	again, err := NewReader(strings.NewReader(written), Limits{MaxHead: 4096, MaxBody: 4096}).ReadRequest()
 	if err != nil || again.Method != request.Method || again.Target != request.Target ||
 		again.Length != request.Length {
 		t.Fatalf("%+v became %+v, %v", request, again, err)
@@ -49,14 +49,14 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		response, err := readerOf(string(text)).Response()
+		response, err := readerOf(string(text)).ReadResponse()
 		if err != nil {
 			return
 		}
 		if len(response.Body) > testLimits.MaxBody || response.Status < 200 {
 			t.Fatalf("status %d with %d bytes", response.Status, len(response.Body))
 		}
-		again, err := readerOf(string(AppendResponse(nil, 200, "OK", nil, response.Body))).Response()
+		again, err := readerOf(string(AppendResponse(nil, 200, "OK", nil, response.Body))).ReadResponse()
 		if err != nil || string(again.Body) != string(response.Body) {
 			t.Fatalf("a body of %d bytes became %v, %v", len(response.Body), again, err)
 		}
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -30,7 +30,7 @@
 	}
 	reads := reader.ReadCount()
 	for number := range requests {
-		if request, err := reader.Request(); err != nil || request.Target != "/a" {
+		if request, err := reader.ReadRequest(); err != nil || request.Target != "/a" {
 			t.Fatalf("request %d: %+v, %v", number, request, err)
 		}
 	}
@@ -47,7 +47,7 @@
 	reader := readerOf(strings.Repeat("a", 2*testLimits.MaxHead))
 	for reader.ReadAhead(2*testLimits.MaxHead) == nil {
 	}
-	if _, err := reader.Request(); !hasStatus(t, err, http.StatusRequestHeaderFieldsTooLarge) {
+	if _, err := reader.ReadRequest(); !hasStatus(t, err, http.StatusRequestHeaderFieldsTooLarge) {
 		t.Error(err)
 	}
 }
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -17,7 +17,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := NewReader(source, testLimits)
-			request, err := reader.Request()
+			request, err := reader.ReadRequest()
 			if err != nil || request.Method != "PUT" || request.Target != "/api?extent=01" ||
 				request.Length != 3 || request.Close {
 				t.Fatalf("%+v, %v", request, err)
@@ -25,13 +25,13 @@
 			if id, count := request.Header.Get("x-call-id"); id != "1" || count != 1 {
 				t.Fatalf("id %q, %d times", id, count)
 			}
-			if body, err := reader.Body(request.Length); err != nil || string(body) != "abc" {
+			if body, err := reader.ReadBody(request.Length); err != nil || string(body) != "abc" {
 				t.Fatalf("body %q, %v", body, err)
 			}
-			if request, err = reader.Request(); err != nil || request.Method != "GET" || !request.Close {
+			if request, err = reader.ReadRequest(); err != nil || request.Method != "GET" || !request.Close {
 				t.Fatalf("second: %+v, %v", request, err)
 			}
-			if _, err = reader.Request(); !errors.Is(err, io.EOF) {
+			if _, err = reader.ReadRequest(); !errors.Is(err, io.EOF) {
 				t.Fatalf("end: %v", err)
 			}
 		})
@@ -82,7 +82,7 @@
 		"many fields":      {"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 100) + "\r\n", 431},
 	} {
 		t.Run(name, func(t *testing.T) {
-			request, err := readerOf(test.text).Request()
+			request, err := readerOf(test.text).ReadRequest()
 			if !hasStatus(t, err, test.status) {
 				t.Errorf("%+v, %v; want status %d", request, err, test.status)
 			}
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -16,7 +16,7 @@
 
 // Response reads a complete response to a request other than HEAD. Interim responses (status 1xx) ahead of
 // it are skipped. A response that is not accepted is an *Error.
-func (r *Reader) Response() (*Response, error) {
+func (r *Reader) ReadResponse() (*Response, error) {
 	for range maxInterimResponses + 1 {
 		response, err := r.readResponse()
 		if err != nil || !response.isInterim() {
@@ -110,7 +110,7 @@
 		response.Close = true
 		response.Body, err = r.readToEnd()
 	default:
-		response.Body, err = r.Body(stated.length)
+		response.Body, err = r.ReadBody(stated.length)
 	}
 	return err
 }
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := readerOf(test.text)
-			response, err := reader.Response()
+			response, err := reader.ReadResponse()
 			if err != nil || response.Status != test.status || string(response.Body) != test.body ||
 				response.Close != test.closes || reader.Buffered() != test.buffered {
 				t.Errorf("%+v, %v, %d bytes buffered", response, err, reader.Buffered())
@@ -70,7 +70,7 @@
 		t.Run(name, func(t *testing.T) {
 			tail := &endlessSource{}
 			source := io.MultiReader(strings.NewReader(text), tail)
-			response, err := NewReader(source, testLimits).Response()
+			response, err := NewReader(source, testLimits).ReadResponse()
 			var rejected *Error
 			if !errors.As(err, &rejected) {
 				t.Errorf("%+v, %v", response, err)
@@ -88,7 +88,7 @@
 		"in the body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\na",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := readerOf(text).Response(); !errors.Is(err, io.ErrUnexpectedEOF) {
+			if _, err := readerOf(text).ReadResponse(); !errors.Is(err, io.ErrUnexpectedEOF) {
 				t.Error(err)
 			}
 		})
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -110,7 +110,7 @@
 		return attemptResult{code: scheduler.ConnectFailed} // its last byte was not written
 	}
 	connection.conn.SetReadDeadline(time.Now().Add(max(2*timeLeft, minReadTimeout)))
-	response, err := connection.reader.Response()
+	response, err := connection.reader.ReadResponse()
 	if err != nil {
 		a.pool.discard(connection)
 		a.reportInvalid(entry, err)
--- a/internal/platform/fake_disk_server_test.go
+++ b/internal/platform/fake_disk_server_test.go
@@ -91,11 +91,11 @@
 	defer conn.Close()
 	reader := http1.NewReader(conn, http1.Limits{MaxHead: 8192, MaxBody: maxBody})
 	for {
-		head, err := reader.Request()
+		head, err := reader.ReadRequest()
 		if err != nil {
 			return
 		}
-		body, err := reader.Body(head.Length)
+		body, err := reader.ReadBody(head.Length)
 		if err != nil {
 			return
 		}
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -38,7 +38,7 @@
 	if _, err := connection.conn.Write(request); err != nil {
 		return scheduler.ConnectFailed
 	}
-	response, err := connection.reader.Response()
+	response, err := connection.reader.ReadResponse()
 	switch {
 	case isTimeout(err):
 		return scheduler.TimedOut
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -60,7 +60,7 @@
 	if expected, _ := head.Header.Get(fieldExpect); strings.EqualFold(expected, "100-continue") {
 		_, _ = client.conn.Write([]byte(continueResponse)) // if this fails, reading the body does too
 	}
-	body, err := client.reader.Body(head.Length)
+	body, err := client.reader.ReadBody(head.Length)
 	if err != nil {
 		f.bodyBytes.Add(-head.Length)
 		return nil, err
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -17,7 +17,7 @@
 	defer f.unregister(client)
 	defer client.conn.Close()
 	for f.awaitRequest(client) {
-		head, err := client.reader.Request()
+		head, err := client.reader.ReadRequest()
 		if err != nil {
 			f.refuse(client, err)
 			return
--- a/internal/platform/validation.go
+++ b/internal/platform/validation.go
@@ -79,7 +79,7 @@
 		return err
 	}
 	class := &f.site.Settings.Classes[call.Request.Class]
-	if call.Wait, err = parseClientWait(fields.budget, class); err != nil {
+	if call.Timeout, err = parseClientWait(fields.budget, class); err != nil {
 		return err
 	}
 	if call.Request.Key, err = parseExtentQuery(head.Target); err != nil {
--- a/internal/proto/bytes_test.go
+++ b/internal/proto/bytes_test.go
@@ -20,7 +20,7 @@
 		Units:           6,
 		Cell:            7,
 		Timeout:         8 * time.Millisecond,
-		Try:             9,
+		ClientTry:       9,
 		Attempt:         10,
 		VolumeInstances: 11,
 		Write:           true,
@@ -28,11 +28,11 @@
 		Length:          14,
 		Client:          15,
 		Ranged:          true,
-		Data:            17,
+		DataVolumeID:    17,
 		Piece:           18,
 		WorkFactor:      20,
 		Members: []Member{{Token: 1, Volume: 2, Key: 3, Plan: 4, Units: 5, Offset: 6, Length: 7,
-			Piece: 8, Try: 9, Client: 10}},
+			Piece: 8, ClientTry: 9, Client: 10}},
 	}
 	fullAnswer = Answer{
 		Code:           Rejected,
--- a/internal/proto/config.go
+++ b/internal/proto/config.go
@@ -20,7 +20,7 @@
 	// Handshake bounds the greeting, Idle how long a connection without requests in flight stays open,
 	// Silence how long nothing may be received on one with requests in flight, Write how long a write may
 	// make no progress.
-	Handshake, Idle, Silence, Write time.Duration
+	HandshakeTimeout, IdleTimeout, SilenceTimeout, WriteTimeout time.Duration
 	// Gate, where set, is called before each read and write and may block: the testbed suspends a process by
 	// it.
 	Gate func()
@@ -28,14 +28,14 @@
 
 // Defaults returns the configuration with defaults for what is not set.
 func (c Config) Defaults() Config {
-	c.Handshake = cmp.Or(c.Handshake, defaultHandshake)
-	c.Idle = cmp.Or(c.Idle, defaultIdle)
-	c.Silence = cmp.Or(c.Silence, defaultSilence)
-	c.Write = cmp.Or(c.Write, defaultWrite)
+	c.HandshakeTimeout = cmp.Or(c.HandshakeTimeout, defaultHandshake)
+	c.IdleTimeout = cmp.Or(c.IdleTimeout, defaultIdle)
+	c.SilenceTimeout = cmp.Or(c.SilenceTimeout, defaultSilence)
+	c.WriteTimeout = cmp.Or(c.WriteTimeout, defaultWrite)
 	c.Limits = cmp.Or(c.Limits, DefaultLimits)
 	c.Hello.Version = Version
-	c.Hello.Header = uint32(c.Limits.Header)
-	c.Hello.Payload = uint32(c.Limits.Payload)
-	c.Hello.Streams = uint32(c.Limits.Streams)
+	c.Hello.Header = uint32(c.Limits.MaxHeader)
+	c.Hello.Payload = uint32(c.Limits.MaxPayload)
+	c.Hello.Streams = uint32(c.Limits.MaxStreams)
 	return c
 }
--- a/internal/proto/conn.go
+++ b/internal/proto/conn.go
@@ -15,12 +15,12 @@
 
 // Errors of connections.
 var (
-	ErrClosed         = errors.New("connection is closed")
-	ErrBacklog        = errors.New("the other side does not read: too much waits to be written")
-	ErrTooManyStreams = errors.New("more requests in flight than agreed")
-	ErrStreamInUse    = errors.New("stream is in use")
-	ErrVersion        = errors.New("the other side speaks another version")
-	ErrSilent         = errors.New("nothing was heard for too long")
+	ErrClosed          = errors.New("connection is closed")
+	ErrBacklogFull     = errors.New("the other side does not read: too much waits to be written")
+	ErrTooManyStreams  = errors.New("more requests in flight than agreed")
+	ErrStreamInUse     = errors.New("stream is in use")
+	ErrVersionMismatch = errors.New("the other side speaks another version")
+	ErrSilent          = errors.New("nothing was heard for too long")
 )
 
 // errGoodbye is the end of reading after an orderly end by the other side.
--- a/internal/proto/conn_read.go
+++ b/internal/proto/conn_read.go
@@ -57,7 +57,7 @@
 		_, err := c.reader.Peek(1)
 		switch {
 		case err == nil:
-			return c.netConn.SetReadDeadline(time.Now().Add(c.cfg.Silence))
+			return c.netConn.SetReadDeadline(time.Now().Add(c.cfg.SilenceTimeout))
 		case errors.Is(err, os.ErrDeadlineExceeded): // silent so far
 		case errors.Is(err, io.EOF):
 			return errGoodbye
@@ -80,12 +80,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.openStreams) == 0 {
-		return silence{idle: true, limit: c.cfg.Idle, since: since}
+		return silence{idle: true, limit: c.cfg.IdleTimeout, since: since}
 	}
 	if c.busySince.After(since) {
 		since = c.busySince // the connection was idle before
 	}
-	return silence{limit: c.cfg.Silence, since: since}
+	return silence{limit: c.cfg.SilenceTimeout, since: since}
 }
 
 // endSilentConnection returns the error of a connection that was silent for too long; an idle one is closed
--- a/internal/proto/conn_test.go
+++ b/internal/proto/conn_test.go
@@ -56,7 +56,7 @@
 }
 
 func TestConn_EndsAfterSilenceNotCountingIdleTime(t *testing.T) {
-	cfg := Config{Idle: time.Minute, Silence: 1200 * time.Millisecond}
+	cfg := Config{IdleTimeout: time.Minute, SilenceTimeout: 1200 * time.Millisecond}
 	client, _ := connect(t, cfg, ignoreServerFrame) // never answers
 	go func() {
 		time.Sleep(1500 * time.Millisecond) // idle for longer than Silence
@@ -74,7 +74,7 @@
 }
 
 func TestConn_ClosesGracefullyWhenIdle(t *testing.T) {
-	client, ended := connect(t, Config{Idle: 100 * time.Millisecond}, ignoreServerFrame)
+	client, ended := connect(t, Config{IdleTimeout: 100 * time.Millisecond}, ignoreServerFrame)
 	if err := client.Run(context.Background(), ignoreFrame); err != nil {
 		t.Errorf("client: %v", err)
 	}
@@ -85,7 +85,7 @@
 
 func TestConn_EndsIfTheOtherSideDoesNotRead(t *testing.T) {
 	block := make(chan struct{})
-	limits := Limits{Header: 4096, Payload: 1 << 20, Streams: 4, Backlog: 4 << 20}
+	limits := Limits{MaxHeader: 4096, MaxPayload: 1 << 20, MaxStreams: 4, MaxBacklog: 4 << 20}
 	client, _ := connect(t, Config{Limits: limits}, func(*Conn, Frame) error { <-block; return nil })
 	defer close(block)
 	go client.Run(context.Background(), ignoreFrame)
@@ -93,13 +93,13 @@
 	for stream := uint64(0); stream < 1000 && err == nil; stream++ {
 		err = client.Send(TypeRequest, stream, Request{}, make([]byte, 1<<20))
 	}
-	if !errors.Is(err, ErrBacklog) {
+	if !errors.Is(err, ErrBacklogFull) {
 		t.Errorf("got %v", err)
 	}
 }
 
 func TestConn_BoundsStreamsInFlight(t *testing.T) {
-	limits := Limits{Header: 4096, Payload: 1, Streams: 2, Backlog: 1 << 20}
+	limits := Limits{MaxHeader: 4096, MaxPayload: 1, MaxStreams: 2, MaxBacklog: 1 << 20}
 	client, _ := connect(t, Config{Limits: limits}, ignoreServerFrame)
 	err := errors.Join(client.OpenStream(1), client.OpenStream(2))
 	if err != nil || !errors.Is(client.OpenStream(2), ErrStreamInUse) ||
--- a/internal/proto/conn_write.go
+++ b/internal/proto/conn_write.go
@@ -22,17 +22,17 @@
 	if err := appendFrame(c.pending, frameType, stream, header, payload, c.peerLimits); err != nil {
 		return err
 	}
-	if c.pending.Len() > c.peerLimits.Backlog {
-		c.err = ErrBacklog
+	if c.pending.Len() > c.peerLimits.MaxBacklog {
+		c.err = ErrBacklogFull
 		c.stopQueueing()
-		return ErrBacklog
+		return ErrBacklogFull
 	}
 	c.notifyWriter()
 	return nil
 }
 
 // Raw queues bytes as they are. Only the testbed sends what is no frame.
-func (c *Conn) Raw(data []byte) {
+func (c *Conn) SendRaw(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending.Write(data)
@@ -99,7 +99,7 @@
 	if c.cfg.Gate != nil {
 		c.cfg.Gate()
 	}
-	if err := c.netConn.SetWriteDeadline(time.Now().Add(c.cfg.Write)); err != nil && !closing {
+	if err := c.netConn.SetWriteDeadline(time.Now().Add(c.cfg.WriteTimeout)); err != nil && !closing {
 		c.Close(err)
 		return err
 	}
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -58,12 +58,12 @@
 
 // Errors of frames. One in a frame that was received ends its connection, and no other.
 var (
-	ErrChecksum  = errors.New("checksum does not match")
-	ErrHeader    = errors.New("header is over the limit")
-	ErrPayload   = errors.New("payload is over the limit")
-	ErrReserved  = errors.New("reserved bytes are not zero")
-	ErrType      = errors.New("frame type is not known")
-	ErrTruncated = errors.New("frame is cut short")
+	ErrChecksum       = errors.New("checksum does not match")
+	ErrHeaderTooLong  = errors.New("header is over the limit")
+	ErrPayloadTooLong = errors.New("payload is over the limit")
+	ErrReservedBytes  = errors.New("reserved bytes are not zero")
+	ErrUnknownType    = errors.New("frame type is not known")
+	ErrTruncated      = errors.New("frame is cut short")
 )
 
 // Layout of the prefix of fixed size in front of each frame's header. Numbers are little-endian.
@@ -109,9 +109,9 @@
 func (p prefix) validate(limits Limits) error {
 	switch {
 	case p.frameType == 0 || p.frameType > lastType:
-		return fmt.Errorf("%w: %d", ErrType, uint8(p.frameType))
+		return fmt.Errorf("%w: %d", ErrUnknownType, uint8(p.frameType))
 	case p.reservedSet:
-		return fmt.Errorf("%v: %w", p.frameType, ErrReserved)
+		return fmt.Errorf("%v: %w", p.frameType, ErrReservedBytes)
 	}
 	return checkLengths(p.frameType, uint64(p.headerLength), uint64(p.payloadLength), limits)
 }
@@ -119,10 +119,10 @@
 // checkLengths checks the bytes of a header and of a payload against the limits.
 func checkLengths(frameType Type, header, payload uint64, limits Limits) error {
 	switch {
-	case header > uint64(limits.Header):
-		return fmt.Errorf("%v: %w: %d bytes of %d", frameType, ErrHeader, header, limits.Header)
-	case payload > uint64(limits.Payload):
-		return fmt.Errorf("%v: %w: %d bytes of %d", frameType, ErrPayload, payload, limits.Payload)
+	case header > uint64(limits.MaxHeader):
+		return fmt.Errorf("%v: %w: %d bytes of %d", frameType, ErrHeaderTooLong, header, limits.MaxHeader)
+	case payload > uint64(limits.MaxPayload):
+		return fmt.Errorf("%v: %w: %d bytes of %d", frameType, ErrPayloadTooLong, payload, limits.MaxPayload)
 	}
 	return nil
 }
--- a/internal/proto/frame_test.go
+++ b/internal/proto/frame_test.go
@@ -16,21 +16,21 @@
 
 func drawRequest(t *rapid.T) Request {
 	request := Request{
-		Token:   rapid.Uint64().Draw(t, "token"),
-		Class:   rapid.Uint16().Draw(t, "class"),
-		Key:     rapid.Uint64().Draw(t, "key"),
-		Units:   rapid.Uint32().Draw(t, "units"),
-		Cell:    rapid.Int32().Draw(t, "cell"),
-		Write:   rapid.Bool().Draw(t, "write"),
-		Timeout: time.Duration(rapid.Int64().Draw(t, "timeout")),
-		Ranged:  rapid.Bool().Draw(t, "ranged"),
-		Data:    rapid.Uint64().Draw(t, "data"),
+		Token:        rapid.Uint64().Draw(t, "token"),
+		Class:        rapid.Uint16().Draw(t, "class"),
+		Key:          rapid.Uint64().Draw(t, "key"),
+		Units:        rapid.Uint32().Draw(t, "units"),
+		Cell:         rapid.Int32().Draw(t, "cell"),
+		Write:        rapid.Bool().Draw(t, "write"),
+		Timeout:      time.Duration(rapid.Int64().Draw(t, "timeout")),
+		Ranged:       rapid.Bool().Draw(t, "ranged"),
+		DataVolumeID: rapid.Uint64().Draw(t, "data"),
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "members") {
 		request.Members = append(request.Members, Member{
-			Token:  rapid.Uint64().Draw(t, "member token"),
-			Offset: rapid.Uint32().Draw(t, "member offset"),
-			Try:    rapid.Uint16().Draw(t, "member try"),
+			Token:     rapid.Uint64().Draw(t, "member token"),
+			Offset:    rapid.Uint32().Draw(t, "member offset"),
+			ClientTry: rapid.Uint16().Draw(t, "member try"),
 		})
 	}
 	return request
@@ -64,19 +64,20 @@
 func TestAppendFrame_FitsTheMostMembersIntoAHeader(t *testing.T) {
 	const most = 1<<64 - 1
 	request := Request{Token: most, Class: 1<<16 - 1, Plan: 1<<16 - 1, Volume: most, Key: most,
-		Units: 1<<32 - 1, Cell: 1<<31 - 1, Timeout: 1<<63 - 1, Try: 1<<16 - 1, VolumeInstances: 1<<16 - 1,
-		Write: true, Offset: most, Length: 1<<32 - 1, Client: 1<<32 - 1, Ranged: true, Data: most,
+		Units: 1<<32 - 1, Cell: 1<<31 - 1, Timeout: 1<<63 - 1, ClientTry: 1<<16 - 1,
+		VolumeInstances: 1<<16 - 1,
+		Write:           true, Offset: most, Length: 1<<32 - 1, Client: 1<<32 - 1, Ranged: true, DataVolumeID: most,
 		Piece: 1<<16 - 1}
 	for range extent.MaxMembers {
 		request.Members = append(request.Members, Member{Token: most, Volume: most, Key: most,
 			Plan: 1<<16 - 1, Units: 1<<32 - 1, Offset: 1<<32 - 1, Length: 1<<32 - 1, Piece: 1<<16 - 1,
-			Try: 1<<16 - 1, Client: 1<<32 - 1})
+			ClientTry: 1<<16 - 1, Client: 1<<32 - 1})
 	}
 	var buffer bytes.Buffer
 	if err := appendFrame(&buffer, TypeRequest, 1, request, nil, DefaultLimits); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes of %d", buffer.Len()-prefixSize, DefaultLimits.Header)
+	t.Logf("%d bytes of %d", buffer.Len()-prefixSize, DefaultLimits.MaxHeader)
 }
 
 // A frame that is cut anywhere, changed anywhere or over a limit is one clear error.
@@ -107,8 +108,8 @@
 			limits Limits
 			want   error
 		}{
-			{Limits{Header: 3, Payload: 100}, ErrHeader},
-			{Limits{Header: 100, Payload: 3}, ErrPayload},
+			{Limits{MaxHeader: 3, MaxPayload: 100}, ErrHeaderTooLong},
+			{Limits{MaxHeader: 100, MaxPayload: 3}, ErrPayloadTooLong},
 		} {
 			if err := read(good, test.limits); !errors.Is(err, test.want) {
 				t.Errorf("got %v, want %v", err, test.want)
@@ -127,7 +128,7 @@
 	f.Add(frameBytes(f, TypeAnswer, 7, Answer{Code: OK, Load: []float64{1}}, nil))
 	f.Add(frameBytes(f, TypeHello, 0, Hello{Version: 1}, nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		reader := NewReader(bytes.NewReader(data), Limits{Header: 512, Payload: 1024})
+		reader := NewReader(bytes.NewReader(data), Limits{MaxHeader: 512, MaxPayload: 1024})
 		for {
 			frame, err := reader.Next()
 			if err != nil {
--- a/internal/proto/handshake.go
+++ b/internal/proto/handshake.go
@@ -32,7 +32,7 @@
 }
 
 func (c *Conn) greet() error {
-	if err := c.netConn.SetDeadline(time.Now().Add(c.cfg.Handshake)); err != nil {
+	if err := c.netConn.SetDeadline(time.Now().Add(c.cfg.HandshakeTimeout)); err != nil {
 		return err
 	}
 	if err := c.sendHello(); err != nil {
@@ -42,10 +42,10 @@
 		return err
 	}
 	c.peerLimits = Limits{
-		Header:  min(int(c.peerHello.Header), c.cfg.Limits.Header),
-		Payload: min(int(c.peerHello.Payload), c.cfg.Limits.Payload),
-		Streams: min(int(c.peerHello.Streams), c.cfg.Limits.Streams),
-		Backlog: c.cfg.Limits.Backlog,
+		MaxHeader:  min(int(c.peerHello.Header), c.cfg.Limits.MaxHeader),
+		MaxPayload: min(int(c.peerHello.Payload), c.cfg.Limits.MaxPayload),
+		MaxStreams: min(int(c.peerHello.Streams), c.cfg.Limits.MaxStreams),
+		MaxBacklog: c.cfg.Limits.MaxBacklog,
 	}
 	return c.netConn.SetDeadline(time.Time{})
 }
@@ -62,7 +62,7 @@
 }
 
 func (c *Conn) receiveHello() error {
-	frame, err := NewReader(c.reader, Limits{Header: DefaultLimits.Header}).Next()
+	frame, err := NewReader(c.reader, Limits{MaxHeader: DefaultLimits.MaxHeader}).Next()
 	if err != nil {
 		return fmt.Errorf("greeting: %w", err)
 	}
@@ -73,7 +73,7 @@
 		return err
 	}
 	if c.peerHello.Version != Version {
-		return fmt.Errorf("%w: %d, not %d", ErrVersion, c.peerHello.Version, Version)
+		return fmt.Errorf("%w: %d, not %d", ErrVersionMismatch, c.peerHello.Version, Version)
 	}
 	return nil
 }
--- a/internal/proto/limits.go
+++ b/internal/proto/limits.go
@@ -2,14 +2,14 @@
 
 // Limits bound what one connection accepts from the other side.
 type Limits struct {
-	Header  int // bytes of one header
-	Payload int // bytes of one payload
-	Streams int // requests in flight
-	Backlog int // bytes waiting to be written
+	MaxHeader  int // bytes of one header
+	MaxPayload int // bytes of one payload
+	MaxStreams int // requests in flight
+	MaxBacklog int // bytes waiting to be written
 }
 
 // DefaultLimits fit object reads and writes of a few MiB.
-var DefaultLimits = Limits{Header: 4 << 10, Payload: 8 << 20, Streams: 1024, Backlog: 32 << 20}
+var DefaultLimits = Limits{MaxHeader: 4 << 10, MaxPayload: 8 << 20, MaxStreams: 1024, MaxBacklog: 32 << 20}
 
 // The backlog of LimitsFor holds some payloads and their headers.
 const (
@@ -20,9 +20,9 @@
 // LimitsFor returns limits for payloads of up to a number of bytes: a few of them may wait to be written.
 func LimitsFor(payload, streams int) Limits {
 	return Limits{
-		Header:  DefaultLimits.Header,
-		Payload: payload,
-		Streams: streams,
-		Backlog: backlogPayloads*payload + backlogHeaders,
+		MaxHeader:  DefaultLimits.MaxHeader,
+		MaxPayload: payload,
+		MaxStreams: streams,
+		MaxBacklog: backlogPayloads*payload + backlogHeaders,
 	}
 }
--- a/internal/proto/messages.go
+++ b/internal/proto/messages.go
@@ -27,9 +27,9 @@
 	Units  uint32 `cbor:"6,keyasint"`           // the scheduler's measure of cost
 	Cell   int32  `cbor:"7,keyasint"`           // where the data is stored, or NewObject
 	// Timeout is how long the sender waits, counted from when this is read.
-	Timeout time.Duration `cbor:"8,keyasint"`
-	Try     uint16        `cbor:"9,keyasint,omitempty"`  // of the client, counted from 0
-	Attempt uint16        `cbor:"10,keyasint,omitempty"` // of the instance, counted from 0
+	Timeout   time.Duration `cbor:"8,keyasint"`
+	ClientTry uint16        `cbor:"9,keyasint,omitempty"`  // of the client, counted from 0
+	Attempt   uint16        `cbor:"10,keyasint,omitempty"` // of the instance, counted from 0
 	// VolumeInstances is how many instances the volume's requests come through.
 	VolumeInstances uint16 `cbor:"11,keyasint,omitempty"`
 	Write           bool   `cbor:"12,keyasint,omitempty"`
@@ -40,7 +40,7 @@
 	// Length.
 	Ranged bool `cbor:"16,keyasint,omitempty"`
 	// Data is the volume whose bytes are meant; 0: Volume.
-	Data uint64 `cbor:"17,keyasint,omitempty"`
+	DataVolumeID uint64 `cbor:"17,keyasint,omitempty"`
 	// Piece, to a node, is which piece of the client's request this is.
 	Piece uint16 `cbor:"18,keyasint,omitempty"`
 	// Members, to a node, are the requests of an operation that merges several; the leader is first.
@@ -51,8 +51,8 @@
 
 // DataVolume returns the volume whose bytes a ranged request is for.
 func (r *Request) DataVolume() uint64 {
-	if r.Data != 0 {
-		return r.Data
+	if r.DataVolumeID != 0 {
+		return r.DataVolumeID
 	}
 	return r.Volume
 }
@@ -60,17 +60,17 @@
 // Member is one piece of an operation that several requests share; what is not here is the operation's. It
 // is an array on the wire: the order of its fields must not change.
 type Member struct {
-	_      struct{} `cbor:",toarray"`
-	Token  uint64
-	Volume uint64 // that is charged
-	Key    uint64
-	Plan   uint16
-	Units  uint32
-	Offset uint32 // bytes, from the operation's first byte
-	Length uint32 // bytes
-	Piece  uint16
-	Try    uint16
-	Client uint32
+	_         struct{} `cbor:",toarray"`
+	Token     uint64
+	Volume    uint64 // that is charged
+	Key       uint64
+	Plan      uint16
+	Units     uint32
+	Offset    uint32 // bytes, from the operation's first byte
+	Length    uint32 // bytes
+	Piece     uint16
+	ClientTry uint16
+	Client    uint32
 }
 
 // Code is how a request ended. Codes below 400 come from a node and are those of scheduler.ResultCode; codes
--- a/internal/proto/serve_test.go
+++ b/internal/proto/serve_test.go
@@ -11,7 +11,7 @@
 
 // What goes wrong on one connection ends that one, with its cause, and no other.
 func TestServe_EndsABadConnectionAlone(t *testing.T) {
-	cfg := Config{Handshake: 300 * time.Millisecond}
+	cfg := Config{HandshakeTimeout: 300 * time.Millisecond}
 	addr, ended := startServer(t, cfg, 8, func(conn *Conn, frame Frame) error {
 		return conn.Send(TypeAnswer, frame.Stream, Answer{Code: OK}, nil)
 	})
@@ -21,7 +21,7 @@
 		sent []byte
 		want error
 	}{
-		{"garbage", []byte(strings.Repeat("garbage ", 10)), ErrType},
+		{"garbage", []byte(strings.Repeat("garbage ", 10)), ErrUnknownType},
 		{"cut", frameBytes(t, TypeRequest, 1, Request{}, []byte("abc"))[:30], ErrTruncated},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/proto/streams.go
+++ b/internal/proto/streams.go
@@ -6,7 +6,7 @@
 )
 
 // Streams returns how many requests may be in flight.
-func (c *Conn) Streams() int { return c.peerLimits.Streams }
+func (c *Conn) Streams() int { return c.peerLimits.MaxStreams }
 
 // InFlight returns how many streams are open.
 func (c *Conn) InFlight() int {
@@ -24,8 +24,8 @@
 	if _, inUse := c.openStreams[stream]; inUse {
 		return fmt.Errorf("%w: %d", ErrStreamInUse, stream)
 	}
-	if len(c.openStreams) >= c.peerLimits.Streams {
-		return fmt.Errorf("%w: %d", ErrTooManyStreams, c.peerLimits.Streams)
+	if len(c.openStreams) >= c.peerLimits.MaxStreams {
+		return fmt.Errorf("%w: %d", ErrTooManyStreams, c.peerLimits.MaxStreams)
 	}
 	if len(c.openStreams) == 0 {
 		c.busySince = time.Now()
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -71,7 +71,7 @@
 		cfg.ReconnectDelay = defaultReconnectDelay
 	}
 	cfg.Conn.Limits = Limits
-	cfg.Conn.Idle = watchIdleTimeout
+	cfg.Conn.IdleTimeout = watchIdleTimeout
 	return &Client{cfg: cfg, commands: make(chan command, maxCommands)}
 }
 
@@ -193,7 +193,7 @@
 }
 
 func (c *Client) connect(ctx context.Context, group *errgroup.Group) (*link, error) {
-	dialCtx, cancel := context.WithTimeout(ctx, c.cfg.Conn.Defaults().Handshake)
+	dialCtx, cancel := context.WithTimeout(ctx, c.cfg.Conn.Defaults().HandshakeTimeout)
 	defer cancel()
 	conn, err := proto.Dial(dialCtx, c.cfg.Addr, c.cfg.Conn)
 	if err != nil {
--- a/internal/registry/message.go
+++ b/internal/registry/message.go
@@ -15,7 +15,7 @@
 const MaxEndpoints = 20_000
 
 // Limits of the registry protocol's frames: a list is one header.
-var Limits = proto.Limits{Header: 4 << 20, Payload: 0, Streams: 16, Backlog: 64 << 20}
+var Limits = proto.Limits{MaxHeader: 4 << 20, MaxPayload: 0, MaxStreams: 16, MaxBacklog: 64 << 20}
 
 // Errors of endpoints read from outside.
 var (
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -15,7 +15,7 @@
 // Register keeps a node listed for as long as ctx lasts: each endpoint received from changes is sent to the
 // registry, and the last one again after a reconnect.
 func Register(ctx context.Context, addr string, cfg proto.Config, changes <-chan endpoints.Endpoint) error {
-	cfg.Limits, cfg.Idle = Limits, watchIdleTimeout
+	cfg.Limits, cfg.IdleTimeout = Limits, watchIdleTimeout
 	r := &registration{changes: changes}
 	for ctx.Err() == nil {
 		conn, err := proto.Dial(ctx, addr, cfg)
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -65,7 +65,7 @@
 func NewServer(cfg ServerConfig) *Server {
 	cfg.Workers, cfg.MaxConns = max(cfg.Workers, 1), cmp.Or(cfg.MaxConns, defaultMaxConns)
 	cfg.Conn.Limits = Limits
-	cfg.Conn.Idle = watchIdleTimeout
+	cfg.Conn.IdleTimeout = watchIdleTimeout
 	cfg.Conn.Hello.Role = "list"
 	return &Server{
 		cfg:         cfg,
--- a/internal/sexpr/errors.go
+++ b/internal/sexpr/errors.go
@@ -7,16 +7,16 @@
 
 // Error is an error at a place of the input.
 type Error struct {
-	Pos  Pos
-	Text string
+	Pos     Pos
+	Message string
 }
 
 // Error returns the place and the text.
-func (e *Error) Error() string { return e.Pos.String() + ": " + e.Text }
+func (e *Error) Error() string { return e.Pos.String() + ": " + e.Message }
 
 // Errorf returns an *Error at a place.
 func Errorf(pos Pos, format string, args ...any) error {
-	return &Error{Pos: pos, Text: fmt.Sprintf(format, args...)}
+	return &Error{Pos: pos, Message: fmt.Sprintf(format, args...)}
 }
 
 // WrapError gives an error a place unless it is nil or has one. The result keeps the text only.
@@ -25,5 +25,5 @@
 	if err == nil || errors.As(err, &placed) {
 		return err
 	}
-	return &Error{Pos: pos, Text: err.Error()}
+	return &Error{Pos: pos, Message: err.Error()}
 }
--- a/internal/sexpr/include.go
+++ b/internal/sexpr/include.go
@@ -11,8 +11,8 @@
 // Bounds of inclusion: without them, a few files that include one another many times would take for ever to
 // read.
 const (
-	MostDepth = 16  // files within one another
-	MostFiles = 256 // read in all, each time counted
+	MaxIncludeDepth = 16  // files within one another
+	MaxIncludeFiles = 256 // read in all, each time counted
 )
 
 // includeHead is the head of the form that a file's expressions replace.
@@ -97,10 +97,10 @@
 	case first >= 0:
 		cycle := append(slices.Clone(chain[first:]), path)
 		return Errorf(node.Pos, "%s includes itself: %s", path, strings.Join(cycle, " -> "))
-	case len(chain) >= MostDepth:
-		return Errorf(node.Pos, "files are included more than %d deep", MostDepth)
-	case r.files >= MostFiles:
-		return Errorf(node.Pos, "more than %d files are included", MostFiles)
+	case len(chain) >= MaxIncludeDepth:
+		return Errorf(node.Pos, "files are included more than %d deep", MaxIncludeDepth)
+	case r.files >= MaxIncludeFiles:
+		return Errorf(node.Pos, "more than %d files are included", MaxIncludeFiles)
 	}
 	return nil
 }
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -92,7 +92,7 @@
 	turn := 0
 	request.Client = uint32(c.number)
 	for try := 0; ; try++ {
-		request.Try = uint16(try)
+		request.ClientTry = uint16(try)
 		request.Timeout = time.Until(deadline)
 		if patience > 0 {
 			request.Timeout = min(request.Timeout, patience)
@@ -163,14 +163,14 @@
 
 func (c *Client) connConfig() proto.Config {
 	return proto.Config{
-		Hello:     proto.Hello{Role: "client", Number: uint32(c.number)},
-		Handshake: clientHandshake,
-		Silence:   clientSilence,
+		Hello:            proto.Hello{Role: "client", Number: uint32(c.number)},
+		HandshakeTimeout: clientHandshake,
+		SilenceTimeout:   clientSilence,
 		Limits: proto.Limits{
-			Header:  clientMaxHeader,
-			Payload: clientMaxPayload,
-			Streams: clientMaxRequests,
-			Backlog: clientMaxBacklog,
+			MaxHeader:  clientMaxHeader,
+			MaxPayload: clientMaxPayload,
+			MaxStreams: clientMaxRequests,
+			MaxBacklog: clientMaxBacklog,
 		},
 	}
 }
--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -110,7 +110,7 @@
 		Conn:     cc.number,
 		Seq:      stream,
 		Token:    request.Token,
-		Try:      int(request.Try),
+		Try:      int(request.ClientTry),
 		Class:    int(request.Class),
 		Plan:     int(request.Plan),
 		Volume:   request.Volume,
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -112,7 +112,7 @@
 	}
 	process.mu.Lock()
 	process.draining = true
-	if n.cfg.Model.Notices {
+	if n.cfg.Model.DrainNotices {
 		for conn := range process.conns {
 			process.sendDrainNotice(conn)
 		}
--- a/internal/testbed/node_answer.go
+++ b/internal/testbed/node_answer.go
@@ -20,7 +20,7 @@
 	case answerLost:
 		return // it stays known, so that its cancellation is logged
 	case answerCorrupted:
-		op.conn.Raw([]byte(corruptFrame))
+		op.conn.SendRaw([]byte(corruptFrame))
 		return
 	}
 	p.mu.Lock()
@@ -60,7 +60,7 @@
 
 // payloadOf is what was read, or as many bytes as the node's model answers a read with.
 func (p *nodeProcess) payloadOf(op *operation, code proto.Code) []byte {
-	bytesPerUnit := p.node.cfg.Model.Bytes
+	bytesPerUnit := p.node.cfg.Model.BytesPerUnit
 	switch {
 	case op.request.Ranged:
 		return op.data
--- a/internal/testbed/node_cancel.go
+++ b/internal/testbed/node_cancel.go
@@ -9,7 +9,8 @@
 	p.logOperation(KindCancelArrived, op, 0)
 	model := &p.node.cfg.Model
 	p.mu.Lock()
-	if op.state == operationQueued && model.Drops || op.state == operationRunning && model.Stops {
+	if op.state == operationQueued && model.CancelDropsWaiting ||
+		op.state == operationRunning && model.CancelStopsRunning {
 		op.state = operationCancelled
 		p.forgetEffects(op)
 	}
@@ -27,7 +28,7 @@
 		}
 		cancelled := op.withOnly(op.members[place])
 		p.logOperation(KindCancelArrived, cancelled, 0)
-		if op.state == operationQueued && p.node.cfg.Model.Drops && !op.members[place].dropped {
+		if op.state == operationQueued && p.node.cfg.Model.CancelDropsWaiting && !op.members[place].dropped {
 			op.members[place].dropped = true // it takes no effect, and its end is logged now
 			p.logOperation(KindCancel, cancelled, proto.Cancelled)
 			p.forgetEffects(cancelled)
--- a/internal/testbed/node_conn.go
+++ b/internal/testbed/node_conn.go
@@ -14,7 +14,7 @@
 	operations := map[uint64]*operation{}
 	p.mu.Lock()
 	p.conns[conn] = operations
-	if p.draining && p.node.cfg.Model.Notices {
+	if p.draining && p.node.cfg.Model.DrainNotices {
 		p.sendDrainNotice(conn)
 	}
 	p.mu.Unlock()
--- a/internal/testbed/node_process.go
+++ b/internal/testbed/node_process.go
@@ -66,7 +66,7 @@
 	defer p.log(Event{Kind: KindNodeStopped, StartedAt: p.startedAt})
 	conn := p.connConfig()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return proto.Serve(ctx, listener, conn, cfg.Model.Conns, p.serveConn) })
+	group.Go(func() error { return proto.Serve(ctx, listener, conn, cfg.Model.MaxConnections, p.serveConn) })
 	for range cfg.Model.Cores {
 		group.Go(func() error { return p.runCore(ctx) })
 	}
@@ -80,14 +80,14 @@
 	cfg := &p.node.cfg
 	return proto.Config{
 		Limits: proto.Limits{
-			Header:  nodeMaxHeader,
-			Payload: int(cfg.Site.Limits.MaxPayload),
-			Streams: cfg.Site.Limits.Streams,
-			Backlog: nodeMaxBacklog,
+			MaxHeader:  nodeMaxHeader,
+			MaxPayload: int(cfg.Site.Limits.MaxPayload),
+			MaxStreams: cfg.Site.Limits.Streams,
+			MaxBacklog: nodeMaxBacklog,
 		},
-		Idle:  nodeIdleTimeout,
-		Gate:  p.node.Faults.waitWhileStuck,
-		Hello: proto.Hello{Role: "node", Number: uint32(cfg.Number), StartedAt: p.startedAt},
+		IdleTimeout: nodeIdleTimeout,
+		Gate:        p.node.Faults.waitWhileStuck,
+		Hello:       proto.Hello{Role: "node", Number: uint32(cfg.Number), StartedAt: p.startedAt},
 	}
 }
 
@@ -134,17 +134,17 @@
 // pauseAndFlush pauses the node now and then, as its model says, and does the work that was put off.
 func (p *nodeProcess) pauseAndFlush(ctx context.Context) error {
 	model := &p.node.cfg.Model
-	pause, flush := p.jitteredTimer(model.Every), p.jitteredTimer(model.Flush)
+	pause, flush := p.jitteredTimer(model.PauseInterval), p.jitteredTimer(model.FlushInterval)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-pause:
-			p.node.Faults.Pause(model.Pause)
-			pause = p.jitteredTimer(model.Every)
+			p.node.Faults.Pause(model.PauseLength)
+			pause = p.jitteredTimer(model.PauseInterval)
 		case <-flush:
 			p.node.Faults.Pause(p.takeDeferred() / time.Duration(model.Cores))
-			flush = p.jitteredTimer(model.Flush)
+			flush = p.jitteredTimer(model.FlushInterval)
 		}
 	}
 }
--- a/internal/testbed/node_work.go
+++ b/internal/testbed/node_work.go
@@ -74,7 +74,7 @@
 	}
 	p.logOperation(KindStart, op, 0)
 	running := ctx
-	if p.node.cfg.Model.Stops {
+	if p.node.cfg.Model.CancelStopsRunning {
 		running = op.ctx
 	}
 	if free.Before(op.arrived) {
@@ -104,16 +104,16 @@
 	work := float64(model.PerOperation) + float64(model.PerUnit)*float64(request.Units)
 	work *= (1 + model.Jitter*(2*p.rng.Float64()-1)) * float64(max(1, request.WorkFactor))
 	if request.Write {
-		work *= model.WritePer
+		work *= model.WriteFactor
 		p.deferred += time.Duration(work * model.Deferred)
 		work *= 1 - model.Deferred
 	}
-	if request.Key != 0 && model.Last > 0 {
+	if request.Key != 0 && model.RecentKeys > 0 {
 		if slices.Contains(p.recentKeys, request.Key) && request.Attempt == 0 {
-			work *= 1 - model.Again
+			work *= 1 - model.RepeatSaving
 		}
 		p.recentKeys = append(p.recentKeys, request.Key)
-		p.recentKeys = p.recentKeys[max(0, len(p.recentKeys)-model.Last):]
+		p.recentKeys = p.recentKeys[max(0, len(p.recentKeys)-model.RecentKeys):]
 	}
 	return time.Duration(work * p.node.Faults.workFactor() / p.slowStart.capacity())
 }
--- a/internal/testbed/operation.go
+++ b/internal/testbed/operation.go
@@ -49,15 +49,15 @@
 func membersOf(request *proto.Request) ([]member, bool) {
 	if len(request.Members) == 0 {
 		return []member{{Member: proto.Member{
-			Token:  request.Token,
-			Volume: request.Volume,
-			Key:    request.Key,
-			Plan:   request.Plan,
-			Units:  request.Units,
-			Length: request.Length,
-			Piece:  request.Piece,
-			Try:    request.Try,
-			Client: request.Client,
+			Token:     request.Token,
+			Volume:    request.Volume,
+			Key:       request.Key,
+			Plan:      request.Plan,
+			Units:     request.Units,
+			Length:    request.Length,
+			Piece:     request.Piece,
+			ClientTry: request.ClientTry,
+			Client:    request.Client,
 		}}}, true
 	}
 	members := make([]member, len(request.Members))
@@ -88,7 +88,7 @@
 		Kind:      kind,
 		Instance:  o.instance,
 		Token:     m.Token,
-		Try:       int(m.Try),
+		Try:       int(m.ClientTry),
 		Attempt:   int(request.Attempt),
 		Class:     int(request.Class),
 		Plan:      int(m.Plan),
--- a/internal/testbed/throughput_test.go
+++ b/internal/testbed/throughput_test.go
@@ -182,7 +182,7 @@
 	server := registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
 	running.Go(func() { _ = server.Serve(ctx, registryListener) })
 	registryAddr := registryListener.Addr().String()
-	model := config.NodeModel{Cores: 4, Queue: 4096, PerUnit: work, WritePer: 1, Conns: 64}
+	model := config.NodeModel{Cores: 4, Queue: 4096, PerUnit: work, WriteFactor: 1, MaxConnections: 64}
 	group := NewDedupGroup()
 	var direct []string
 	for i := range throughputNodes {
--- a/internal/testbed/traffic.go
+++ b/internal/testbed/traffic.go
@@ -39,7 +39,7 @@
 	request.Length, request.Cell = uint32(min(f.Slice, f.Size-sexpr.Size(request.Offset))), 0
 	if f.Shared {
 		plan := request.Volume >> 32
-		request.Data = volumeNumber(plan, 1)
+		request.DataVolumeID = volumeNumber(plan, 1)
 	}
 }
 
--- a/internal/wire/actions_test.go
+++ b/internal/wire/actions_test.go
@@ -48,7 +48,7 @@
 		})
 	}
 	reply := NewReply()
-	reply.Fault(3, "index out of range")
+	reply.AddFault(3, "index out of range")
 	want := "59 16000000 0300 1200 696e646578206f7574206f662072616e6765"
 	if got := reply.Bytes()[replyHeaderSize:]; !bytes.Equal(got, unhex(t, want)) {
 		t.Errorf("fault: got %x", got)
