--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// Body reads a body of a length in bytes that a head stated. One over Limits.MaxBody is an *Error and is not
-// read.
+// ReadBody reads a body of a length in bytes that a head stated. One over Limits.MaxBody is an *Error and is
+// not read.
 func (r *Reader) ReadBody(length int64) ([]byte, error) {
 	if length > int64(r.limits.MaxBody) {
 		return nil, errBodyTooLong
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -20,7 +20,7 @@
 	Close          bool  // the client sends no more requests on this connection
 }
 
-// Request reads the head of a request. Its body, of Length bytes, is read by Body next. io.EOF means that
+// ReadRequest reads the head of a request. Its body, of Length bytes, is read by Body next. io.EOF means that
 // the connection ended before a request began; a request that is not accepted is an *Error.
 func (r *Reader) ReadRequest() (*Request, error) {
 	if err := r.WaitReadable(); err != nil {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -14,8 +14,8 @@
 	Close  bool // the connection cannot be used again
 }
 
-// Response reads a complete response to a request other than HEAD. Interim responses (status 1xx) ahead of
-// it are skipped. A response that is not accepted is an *Error.
+// ReadResponse reads a complete response to a request other than HEAD. Interim responses (status 1xx) ahead
+// of it are skipped. A response that is not accepted is an *Error.
 func (r *Reader) ReadResponse() (*Response, error) {
 	for range maxInterimResponses + 1 {
 		response, err := r.readResponse()
--- a/internal/proto/config.go
+++ b/internal/proto/config.go
@@ -17,10 +17,14 @@
 type Config struct {
 	Hello  Hello  // the greeting to send; Defaults fills its version and limits
 	Limits Limits // zero: DefaultLimits
-	// Handshake bounds the greeting, Idle how long a connection without requests in flight stays open,
-	// Silence how long nothing may be received on one with requests in flight, Write how long a write may
-	// make no progress.
-	HandshakeTimeout, IdleTimeout, SilenceTimeout, WriteTimeout time.Duration
+	// HandshakeTimeout bounds the greeting.
+	HandshakeTimeout time.Duration
+	// IdleTimeout is how long a connection without requests in flight stays open.
+	IdleTimeout time.Duration
+	// SilenceTimeout is how long nothing may be received on a connection with requests in flight.
+	SilenceTimeout time.Duration
+	// WriteTimeout is how long a write may make no progress.
+	WriteTimeout time.Duration
 	// Gate, where set, is called before each read and write and may block: the testbed suspends a process by
 	// it.
 	Gate func()
--- a/internal/proto/conn_read.go
+++ b/internal/proto/conn_read.go
@@ -39,7 +39,8 @@
 }
 
 // waitForFrame waits for the first byte of a frame. A connection with nothing in flight may be silent for
-// Idle, one with requests in flight for Silence; the rest of a frame must come within Silence too.
+// IdleTimeout, one with requests in flight for SilenceTimeout; the rest of a frame must come within
+// SilenceTimeout too.
 func (c *Conn) waitForFrame() error {
 	if c.reader.Buffered() >= prefixSize {
 		return nil // deadlines are set once for a burst of frames, not for each
--- a/internal/proto/conn_test.go
+++ b/internal/proto/conn_test.go
@@ -59,7 +59,7 @@
 	cfg := Config{IdleTimeout: time.Minute, SilenceTimeout: 1200 * time.Millisecond}
 	client, _ := connect(t, cfg, ignoreServerFrame) // never answers
 	go func() {
-		time.Sleep(1500 * time.Millisecond) // idle for longer than Silence
+		time.Sleep(1500 * time.Millisecond) // idle for longer than SilenceTimeout
 		client.OpenStream(1)
 		client.Send(TypeRequest, 1, Request{}, nil)
 	}()
--- a/internal/proto/conn_write.go
+++ b/internal/proto/conn_write.go
@@ -11,8 +11,8 @@
 const maxSpareBuffer = 1 << 20
 
 // Send queues a frame; it never blocks on the socket. A header or payload over the limits of the other side
-// is an error of that frame alone (ErrHeader, ErrPayload). A full queue ends the connection with ErrBacklog,
-// as the other side does not read.
+// is an error of that frame alone (ErrHeaderTooLong, ErrPayloadTooLong). A full queue ends the connection
+// with ErrBacklogFull, as the other side does not read.
 func (c *Conn) Send(frameType Type, stream uint64, header any, payload []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Raw queues bytes as they are. Only the testbed sends what is no frame.
+// SendRaw queues bytes as they are. Only the testbed sends what is no frame.
 func (c *Conn) SendRaw(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proto/frame_test.go
+++ b/internal/proto/frame_test.go
@@ -65,9 +65,8 @@
 	const most = 1<<64 - 1
 	request := Request{Token: most, Class: 1<<16 - 1, Plan: 1<<16 - 1, Volume: most, Key: most,
 		Units: 1<<32 - 1, Cell: 1<<31 - 1, Timeout: 1<<63 - 1, ClientTry: 1<<16 - 1,
-		VolumeInstances: 1<<16 - 1,
-		Write:           true, Offset: most, Length: 1<<32 - 1, Client: 1<<32 - 1, Ranged: true, DataVolumeID: most,
-		Piece: 1<<16 - 1}
+		VolumeInstances: 1<<16 - 1, Write: true, Offset: most, Length: 1<<32 - 1, Client: 1<<32 - 1,
+		Ranged: true, DataVolumeID: most, Piece: 1<<16 - 1}
 	for range extent.MaxMembers {
 		request.Members = append(request.Members, Member{Token: most, Volume: most, Key: most,
 			Plan: 1<<16 - 1, Units: 1<<32 - 1, Offset: 1<<32 - 1, Length: 1<<32 - 1, Piece: 1<<16 - 1,
--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Fault appends the report that an instance's scheduler has failed.
+// AddFault appends the report that an instance's scheduler has failed.
 func (r *Reply) AddFault(instance uint16, text string) {
 	body := binary.LittleEndian.AppendUint16(nil, instance)
 	r.addRecord(codeFault, appendText(body, []byte(text)))
