--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -54,6 +54,11 @@
 }
 
 // Settings configure a Scheduler. They do not change during its lifetime.
+//
+// They are what a site states; some only drivers read, and no decision rests on these yet: HealthChecks,
+// PeerMessages, Cancellation, HedgedRequests, ConnectTimeout, BatchInterval, MeterPeriod, SpareWeight,
+// DrainGrace, LoadFields, Zone and ReportsElsewhere, and of a Class or Plan Writes, LateFraction and
+// LimitSlack.
 type Settings struct {
 	InstanceIndex     int // of this instance, from 0
 	Instances         int // that share the nodes
