--- /dev/null
+++ b/endpoints/view_properties_test.go
@@ -0,0 +1,145 @@
+package endpoints
+
+import (
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"landingpaddle/scheduler"
+)
+
+// nodesInModel is how many nodes the registry of a viewModel lists.
+const nodesInModel = 3
+
+// viewModel feeds a view what a registry and nodes say, and checks what the view makes of it.
+type viewModel struct {
+	view     *View
+	elapsed  time.Duration
+	version  uint64 // of the registry's list
+	listed   map[scheduler.Server]Endpoint
+	starts   map[scheduler.Server]int64                   // wall clock of a node's last start
+	noticed  map[scheduler.Server]int64                   // the start that the last drain notice gave
+	reported map[scheduler.Server]map[int64]time.Duration // by start: its clock value in the view
+}
+
+// In any order of inputs: the scheduler is never told of a start in the future; the same start always has the
+// same time, and a later start of a node a later one; a node that gave a drain notice is not ready again in
+// that incarnation.
+func TestView_Properties(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		model := &viewModel{
+			view:     New(skew),
+			listed:   map[scheduler.Server]Endpoint{},
+			starts:   map[scheduler.Server]int64{},
+			noticed:  map[scheduler.Server]int64{},
+			reported: map[scheduler.Server]map[int64]time.Duration{},
+		}
+		for range rapid.IntRange(1, 40).Draw(t, "steps") {
+			model.step(t)
+		}
+	})
+}
+
+// step lets some time pass and one thing happen to one node, as its clock has it.
+func (m *viewModel) step(t *rapid.T) {
+	m.elapsed += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "elapsed"))
+	node := rapid.IntRange(1, nodesInModel).Draw(t, "node")
+	now := clock(m.elapsed)
+	now.Wall += drawSkew(t, "drift")
+	switch rapid.IntRange(0, 3).Draw(t, "event") {
+	case 0:
+		m.startNode(t, now, node)
+	case 1:
+		m.sendDrainNotice(t, now, server(node))
+	case 2:
+		m.sendFullList(t, now)
+	case 3:
+		m.sendGreeting(t, now, server(node))
+	}
+}
+
+func drawSkew(t *rapid.T, label string) int64 {
+	return rapid.Int64Range(-int64(skew), int64(skew)).Draw(t, label)
+}
+
+// startNode starts a node's process anew and lists it by a change; after a gap the full list follows.
+func (m *viewModel) startNode(t *rapid.T, now Clock, node int) {
+	address := server(node)
+	m.starts[address] = max(m.starts[address]+1, now.Wall+drawSkew(t, "skew"))
+	m.listed[address] = ready(node, m.starts[address])
+	m.version++
+	update, result := m.view.Apply(now, change(m.version-1, m.version, m.listed[address]))
+	if result == Gap {
+		update, _ = m.view.Apply(now, m.fullList())
+	}
+	m.check(t, update)
+}
+
+func (m *viewModel) sendDrainNotice(t *rapid.T, now Clock, address scheduler.Server) {
+	startedAt, hasStarted := m.starts[address]
+	if !hasStarted {
+		return
+	}
+	if update, changed := m.view.ApplyDrainNotice(now, address, startedAt); changed {
+		m.noticed[address] = startedAt
+		m.check(t, update)
+	}
+}
+
+func (m *viewModel) sendFullList(t *rapid.T, now Clock) {
+	if update, result := m.view.Apply(now, m.fullList()); result == Applied {
+		m.check(t, update)
+	}
+}
+
+func (m *viewModel) sendGreeting(t *rapid.T, now Clock, address scheduler.Server) {
+	startedAt, hasStarted := m.starts[address]
+	if !hasStarted {
+		return
+	}
+	if update, changed := m.view.ApplyGreeting(now, address, startedAt); changed {
+		m.check(t, update)
+	}
+}
+
+func (m *viewModel) fullList() Update {
+	return fullList(m.version, slices.Collect(maps.Values(m.listed))...)
+}
+
+// check checks an update of the view.
+func (m *viewModel) check(t *rapid.T, update scheduler.EndpointUpdate) {
+	for _, endpoint := range update.Endpoints {
+		m.checkStart(t, endpoint)
+		startedAt := m.starts[endpoint.Server]
+		noticed, hasNotice := m.noticed[endpoint.Server]
+		if hasNotice && startedAt <= noticed && endpoint.Status == scheduler.Ready {
+			t.Fatal("ready after its drain notice")
+		}
+	}
+}
+
+// checkStart checks that no start lies in the future, that a start keeps its clock value and that a later one
+// has a later value.
+func (m *viewModel) checkStart(t *rapid.T, endpoint scheduler.Endpoint) {
+	now := time.Hour + m.elapsed
+	if endpoint.StartedAt > now+time.Microsecond { // starts of one moment are told apart by nanoseconds
+		t.Fatalf("start in the future: %v at %v", endpoint.StartedAt, now)
+	}
+	reported := m.reported[endpoint.Server]
+	if reported == nil {
+		reported = map[int64]time.Duration{}
+		m.reported[endpoint.Server] = reported
+	}
+	startedAt := m.starts[endpoint.Server]
+	for other, at := range reported {
+		hasMoved := other == startedAt && at != endpoint.StartedAt
+		isReversed := other < startedAt && at >= endpoint.StartedAt && at != 0
+		if hasMoved || isReversed {
+			t.Fatalf("start %d reported as %v, start %d as %v", other, at, startedAt, endpoint.StartedAt)
+		}
+	}
+	reported[startedAt] = endpoint.StartedAt
+}
--- a/endpoints/view_test.go
+++ b/endpoints/view_test.go
@@ -4,8 +4,6 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"landingpaddle/scheduler"
 )
 
@@ -155,82 +153,3 @@
 		t.Error("a start long ago is told as a time")
 	}
 }
-
-// In any order of inputs: the scheduler is never told of a start in the future; the same start always has the
-// same time, and a later start of a node a later one; a node that gave a drain notice is not ready again in
-// that incarnation.
-func TestView_Properties(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		view := New(skew)
-		now, version := time.Duration(0), uint64(0)
-		told := map[scheduler.Server]map[int64]time.Duration{}
-		noticed := map[scheduler.Server]int64{}
-		listed := map[scheduler.Server]Endpoint{}
-		starts := map[scheduler.Server]int64{}
-		check := func(m scheduler.EndpointUpdate) {
-			for _, e := range m.Endpoints {
-				// Starts of one moment are told apart by nanoseconds.
-				if e.StartedAt > time.Hour+now+time.Microsecond {
-					t.Fatalf("start in the future: %v at %v", e.StartedAt, time.Hour+now)
-				}
-				b := starts[e.Server]
-				if told[e.Server] == nil {
-					told[e.Server] = map[int64]time.Duration{}
-				}
-				for other, at := range told[e.Server] {
-					if b == other && at != e.StartedAt || b > other && at >= e.StartedAt && at != 0 {
-						t.Fatalf("start %d told as %v, start %d as %v", other, at, b, e.StartedAt)
-					}
-				}
-				told[e.Server][b] = e.StartedAt
-				if n, ok := noticed[e.Server]; ok && b <= n && e.Status == scheduler.Ready {
-					t.Fatalf("ready after its drain notice")
-				}
-			}
-		}
-		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "elapsed"))
-			i := rapid.IntRange(1, 3).Draw(t, "node")
-			s := server(i)
-			c := clock(now)
-			c.Wall += rapid.Int64Range(-int64(skew), int64(skew)).Draw(t, "drift")
-			switch rapid.IntRange(0, 3).Draw(t, "event") {
-			case 0: // it starts, and is listed
-				starts[s] = max(starts[s]+1, c.Wall+rapid.Int64Range(-int64(skew), int64(skew)).Draw(t,
-					"skew"))
-				version++
-				listed[s] = ready(i, starts[s])
-				m, v := view.Apply(c, change(version-1, version, listed[s]))
-				if v == Gap {
-					var all []Endpoint
-					for _, e := range listed {
-						all = append(all, e)
-					}
-					m, _ = view.Apply(c, fullList(version, all...))
-				}
-				check(m)
-			case 1:
-				if b, ok := starts[s]; ok {
-					if m, ok := view.ApplyDrainNotice(c, s, b); ok {
-						noticed[s] = b
-						check(m)
-					}
-				}
-			case 2: // the full list again
-				var all []Endpoint
-				for _, e := range listed {
-					all = append(all, e)
-				}
-				if m, v := view.Apply(c, fullList(version, all...)); v == Applied {
-					check(m)
-				}
-			case 3:
-				if b, ok := starts[s]; ok {
-					if m, ok := view.ApplyGreeting(c, s, b); ok {
-						check(m)
-					}
-				}
-			}
-		}
-	})
-}
--- /dev/null
+++ b/extent/planner_model_test.go
@@ -0,0 +1,478 @@
+package extent
+
+import (
+	"bytes"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// diskSize is the size of a volume in plannerDriver, in bytes.
+const diskSize = 200
+
+// expectedRequest is what the model knows of a request: what was asked, and the state of its pieces.
+type expectedRequest struct {
+	Request
+	written    []byte // the bytes that it writes
+	pieces     map[uint32]Piece
+	queued     map[uint32]bool // by piece
+	mayHaveRun map[uint32]bool // by piece
+	answered   bool
+}
+
+// plannerDriver drives a planner as the daemon does, at random, and compares each answer with a model that
+// neither merges nor splits: which bytes the disks hold.
+type plannerDriver struct {
+	t          *rapid.T
+	planner    *Planner
+	settings   Settings
+	requests   map[uint64]*expectedRequest
+	requestOf  map[uint32]*expectedRequest // by piece
+	disks      map[uint64][]byte           // by volume
+	inFlight   [][]uint32                  // the pieces of each operation, its leader first
+	operations map[uint32]Operation        // by leader
+	lastID     uint32
+	now        time.Duration
+	merged     int // operations of more than one member
+}
+
+func newPlannerDriver(t *rapid.T, settings Settings) *plannerDriver {
+	return &plannerDriver{
+		t:          t,
+		planner:    New(settings),
+		settings:   settings,
+		requests:   map[uint64]*expectedRequest{},
+		requestOf:  map[uint32]*expectedRequest{},
+		disks:      map[uint64][]byte{},
+		operations: map[uint32]Operation{},
+	}
+}
+
+// In any order of events: each request gets one answer, with the bytes that a planner which never merges or
+// splits would give it; a rejection means that nothing ran; operations keep their bounds; in the end nothing
+// is left.
+func TestPlanner_MatchesAModelWithoutMerging(t *testing.T) {
+	merged := 0
+	rapid.Check(t, playRandomCase(&merged))
+	if merged < 10 {
+		t.Errorf("only %d merged operations in all cases: too few to prove anything", merged)
+	}
+}
+
+// FuzzPlanner runs the same driver on what the fuzzer finds.
+func FuzzPlanner(f *testing.F) {
+	merged := 0
+	f.Fuzz(rapid.MakeFuzz(playRandomCase(&merged)))
+}
+
+// playRandomCase plays one random case and adds up what was merged.
+func playRandomCase(merged *int) func(*rapid.T) {
+	return func(t *rapid.T) {
+		d := newPlannerDriver(t, drawNarrowSettings(t))
+		for range rapid.SampledFrom([]int{20, 60, 150}).Draw(t, "steps") {
+			d.step()
+		}
+		d.checkNothingIsLeft()
+		*merged += d.merged
+	}
+}
+
+// drawNarrowSettings draws bounds that requests to a disk of diskSize reach.
+func drawNarrowSettings(t *rapid.T) Settings {
+	settings := drawSettings(t)
+	settings.ExtentSize = rapid.SampledFrom([]uint64{64, 32, 16}).Draw(t, "extents")
+	operationSizes := []uint64{settings.ExtentSize, settings.ExtentSize / 2, 8}
+	settings.MaxOperation = rapid.SampledFrom(operationSizes).Draw(t, "operation")
+	settings.Window = rapid.SampledFrom([]time.Duration{0, 20, 5}).Draw(t, "window")
+	settings.MaxMembers = rapid.SampledFrom([]int{4, 8, 2, 1}).Draw(t, "most members")
+	return settings
+}
+
+// step lets one thing happen.
+func (d *plannerDriver) step() {
+	switch event := rapid.IntRange(0, 19).Draw(d.t, "event"); {
+	case event < 10:
+		d.add()
+	case event < 14:
+		d.send()
+	case event < 18:
+		d.endOperation()
+	case event == 18:
+		d.reject()
+	default:
+		d.abandon()
+	}
+	d.now++
+}
+
+// add adds a random request. Few volumes, classes and plans, and offsets on a coarse grid, let many touch.
+func (d *plannerDriver) add() {
+	offset := 4 * rapid.Uint64Range(0, diskSize/4-1).Draw(d.t, "offset")
+	length := min(diskSize-offset, 4*rapid.Uint64Range(1, 15).Draw(d.t, "length"))
+	request := Request{
+		ID:         uint64(len(d.requests) + 1),
+		DataVolume: 1 + rapid.Uint64Range(0, 9).Draw(d.t, "data")/9,
+		Range:      Range{offset, length},
+		Write:      rapid.Bool().Draw(d.t, "write"),
+		Class:      rapid.IntRange(0, 9).Draw(d.t, "class") / 9,
+		Plan:       rapid.IntRange(0, 9).Draw(d.t, "plan") / 9,
+		Units:      rapid.IntRange(1, 9).Draw(d.t, "units"),
+		ReceivedAt: d.now,
+		RetrySafe:  rapid.Bool().Draw(d.t, "retry safe"),
+	}
+	expected := &expectedRequest{
+		Request:    request,
+		written:    bytes.Repeat([]byte{byte(request.ID)}, int(length)),
+		pieces:     map[uint32]Piece{},
+		queued:     map[uint32]bool{},
+		mayHaveRun: map[uint32]bool{},
+	}
+	d.requests[request.ID] = expected
+	pieces, err := d.planner.Add(request, func() uint32 { d.lastID++; return d.lastID })
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	for _, piece := range pieces {
+		expected.pieces[piece.ID], expected.queued[piece.ID] = piece, true
+		d.requestOf[piece.ID] = expected
+	}
+}
+
+// isQueued reports whether a piece is queued and its request still wants an answer.
+func (d *plannerDriver) isQueued(id uint32) bool {
+	request := d.requestOf[id]
+	return request != nil && request.queued[id] && !request.answered
+}
+
+// queuedPieces returns all queued pieces by ID.
+func (d *plannerDriver) queuedPieces() []uint32 {
+	var queued []uint32
+	for id := range d.requestOf {
+		if d.isQueued(id) {
+			queued = append(queued, id)
+		}
+	}
+	slices.Sort(queued)
+	return queued
+}
+
+// send sends a random queued piece, with whatever the planner proposes and chance accepts.
+func (d *plannerDriver) send() {
+	queued := d.queuedPieces()
+	if len(queued) == 0 {
+		return
+	}
+	leader := queued[rapid.IntRange(0, len(queued)-1).Draw(d.t, "leader")]
+	ids := []uint32{leader}
+	lastUnits := 0.0
+	d.planner.Propose(leader, func(id uint32, units float64) bool {
+		if !d.isQueued(id) || slices.Contains(ids, id) {
+			d.t.Fatalf("piece %d was proposed, which is not queued", id)
+		}
+		if rapid.IntRange(0, 3).Draw(d.t, "refuse") == 0 {
+			return false
+		}
+		if units < lastUnits {
+			d.t.Fatalf("an operation shrank from %v to %v units", lastUnits, units)
+		}
+		lastUnits = units
+		ids = append(ids, id)
+		return true
+	})
+	for _, id := range ids {
+		d.planner.AttemptSent(id)
+		d.requestOf[id].queued[id] = false
+	}
+	if operation := d.seal(ids); len(ids) > 1 && float64(operation.Units) != lastUnits {
+		d.t.Fatalf("%d units were sent, %v were proposed", operation.Units, lastUnits)
+	}
+}
+
+// seal seals an operation as it is sent, and checks it.
+func (d *plannerDriver) seal(ids []uint32) Operation {
+	operation := d.planner.SealOperation(ids)
+	d.checkBounds(operation, len(ids))
+	for _, member := range operation.Members {
+		d.checkKind(operation, d.requestOf[member.ID], d.requestOf[ids[0]])
+	}
+	d.checkCover(operation)
+	d.inFlight = append(d.inFlight, ids)
+	d.operations[ids[0]] = operation
+	if len(ids) > 1 {
+		d.merged++
+	}
+	return operation
+}
+
+// checkBounds checks that an operation lies within one extent and keeps the limits of the settings.
+func (d *plannerDriver) checkBounds(operation Operation, members int) {
+	isTooLarge := operation.Range.Length > d.settings.MaxOperation || members > d.settings.MaxMembers
+	firstExtent := operation.Range.Offset / d.settings.ExtentSize
+	lastExtent := (operation.Range.End() - 1) / d.settings.ExtentSize
+	isElsewhere := firstExtent != operation.Extent || lastExtent != operation.Extent
+	if isTooLarge || isElsewhere || len(operation.Members) != members {
+		d.t.Fatalf("operation out of bounds: %+v", operation)
+	}
+}
+
+// checkKind checks that a member's request may share an operation with that of the leader.
+func (d *plannerDriver) checkKind(operation Operation, member, leader *expectedRequest) {
+	isSameData := member.DataVolume == operation.DataVolume && member.Write == operation.Write
+	isSamePlan := !member.Write || member.Plan == leader.Plan
+	if !isSameData || !isSamePlan || member.Class != leader.Class {
+		d.t.Fatalf("members of different kinds: %+v", operation)
+	}
+	apart := (member.ReceivedAt - leader.ReceivedAt).Abs()
+	if d.settings.Window > 0 && apart > d.settings.Window {
+		d.t.Fatal("members arrived too far apart")
+	}
+}
+
+// checkCover checks that members cover an operation, those of writes without overlap, and that it counts no
+// more units than they do.
+func (d *plannerDriver) checkCover(operation Operation) {
+	covered := make([]int, operation.Range.Length)
+	units := 0
+	for _, member := range operation.Members {
+		at := operation.Slice(member)
+		for i := at.Offset; i < at.End(); i++ {
+			covered[i]++
+		}
+		units += max(1, member.Units)
+	}
+	for _, n := range covered {
+		if n == 0 || operation.Write && n > 1 {
+			d.t.Fatalf("a byte of the operation belongs to %d members: %+v", n, operation)
+		}
+	}
+	if operation.Units < 1 || operation.Units > units {
+		d.t.Fatalf("%d units of %d", operation.Units, units)
+	}
+}
+
+// operationEnd is how an operation ends.
+type operationEnd int
+
+const (
+	endServed     operationEnd = iota
+	endUnreadable              // served, but for one byte
+	endLost
+	endRejected // before it ran
+)
+
+// endOperation ends a random operation.
+func (d *plannerDriver) endOperation() {
+	if len(d.inFlight) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(d.inFlight)-1).Draw(d.t, "operation")
+	ids := d.inFlight[i]
+	d.inFlight = slices.Delete(d.inFlight, i, i+1)
+	end := operationEnd(rapid.IntRange(int(endServed), int(endRejected)).Draw(d.t, "end"))
+	parts := make([]Part, len(ids)) // none of them served
+	if end == endServed || end == endUnreadable {
+		parts = d.serve(d.operations[ids[0]], end == endUnreadable)
+	}
+	for n, id := range ids {
+		d.endAttempt(id, end != endRejected, parts[n])
+	}
+	d.forgetAnswered()
+}
+
+// serve carries an operation out, where wanted but for one random byte, and checks which members are served.
+func (d *plannerDriver) serve(operation Operation, isUnreadable bool) []Part {
+	var unreadable []Range
+	unreadableAt := operation.Range.Length // beyond all members
+	if isUnreadable {
+		unreadableAt = rapid.Uint64Range(0, operation.Range.Length-1).Draw(d.t, "unreadable")
+		unreadable = []Range{{unreadableAt, 1}}
+	}
+	disk := d.disk(operation.DataVolume)
+	var data []byte
+	if !operation.Write {
+		data = slices.Clone(disk[operation.Range.Offset:operation.Range.End()])
+	}
+	parts := operation.Distribute(unreadable, data)
+	writeFailed := false // writes after the first that fails have failed too
+	for n, member := range operation.Members {
+		at := operation.Slice(member)
+		fails := writeFailed || at.Offset <= unreadableAt && unreadableAt < at.End()
+		writeFailed = operation.Write && fails
+		if parts[n].OK == fails {
+			d.t.Fatalf("unreadable %v: member %+v got %v", unreadable, at, parts[n].OK)
+		}
+		if operation.Write && parts[n].OK {
+			copy(disk[member.Range.Offset:member.Range.End()], d.requestOf[member.ID].written)
+		}
+	}
+	return parts
+}
+
+// endAttempt ends a member's attempt. A piece that was not served may be sent again, alone.
+func (d *plannerDriver) endAttempt(id uint32, mayHaveRun bool, part Part) {
+	d.planner.AttemptEnded(id, mayHaveRun)
+	request := d.requestOf[id]
+	if mayHaveRun {
+		request.mayHaveRun[id] = true
+	}
+	switch {
+	case part.OK:
+		d.resolve(id, Served, part.Data)
+	case rapid.Bool().Draw(d.t, "retry") && !request.answered:
+		d.planner.AttemptSent(id)
+		d.seal([]uint32{id})
+	case request.mayHaveRun[id] && !request.RetrySafe:
+		d.resolve(id, Failed, nil)
+	default:
+		d.resolve(id, Rejected, nil)
+	}
+}
+
+// reject lets the scheduler reject the first queued piece.
+func (d *plannerDriver) reject() {
+	queued := d.queuedPieces()
+	if len(queued) == 0 {
+		return
+	}
+	id := queued[0]
+	d.requestOf[id].queued[id] = false
+	d.resolve(id, Rejected, nil)
+	d.forgetAnswered()
+}
+
+// abandon lets a random client go, whatever state its request is in.
+func (d *plannerDriver) abandon() {
+	if len(d.requests) == 0 {
+		return
+	}
+	id := rapid.Uint64Range(1, uint64(len(d.requests))).Draw(d.t, "client")
+	request := d.requests[id]
+	answer, withdrawn := d.planner.Abandon(id)
+	if (answer == nil) != request.answered {
+		d.t.Fatalf("request %d: abandoned %v, answered %v", id, answer, request.answered)
+	}
+	d.checkWithdrawn(request, withdrawn)
+	request.answered = true
+	d.forgetAnswered()
+}
+
+// checkWithdrawn checks that only pieces of a request are withdrawn with it.
+func (d *plannerDriver) checkWithdrawn(request *expectedRequest, ids []uint32) {
+	for _, id := range ids {
+		if d.requestOf[id] != request {
+			d.t.Fatalf("piece %d of another request is withdrawn", id)
+		}
+		request.queued[id] = false
+	}
+}
+
+// resolve resolves a piece and checks the answer, if there is one, against the model.
+func (d *plannerDriver) resolve(id uint32, outcome Outcome, data []byte) {
+	request := d.requestOf[id]
+	answer, withdrawn := d.planner.Resolve(id, outcome, data)
+	d.checkWithdrawn(request, withdrawn)
+	if answer == nil {
+		if outcome != Served && !request.answered {
+			d.t.Fatalf("request %d has no answer after a piece's failure", request.ID)
+		}
+		return
+	}
+	if answer.Request != request.ID || request.answered {
+		d.t.Fatalf("answer %+v for request %d, answered before: %v", answer, request.ID, request.answered)
+	}
+	request.answered = true
+	if answer.Outcome == Served {
+		d.checkServed(request, answer, outcome)
+		return
+	}
+	if answer.Outcome == Rejected && d.mayHaveRun(request) && !request.RetrySafe {
+		d.t.Fatalf("request %d is rejected though a piece may have run", request.ID)
+	}
+	if counted := answer.Done + answer.Uncertain + answer.Unsent; counted != len(request.pieces) {
+		d.t.Fatalf("%+v counts %d pieces, there are %d", answer, counted, len(request.pieces))
+	}
+}
+
+// checkServed checks the answer of a request that was served, by its last piece's outcome.
+func (d *plannerDriver) checkServed(request *expectedRequest, answer *Answer, last Outcome) {
+	if last != Served || answer.Done+answer.Uncertain+answer.Unsent != 0 {
+		d.t.Fatalf("served after %v: %+v", last, answer)
+	}
+	data := bytes.Join(answer.Data, nil)
+	if !request.Write && uint64(len(data)) != request.Range.Length {
+		d.t.Fatalf("%d bytes of %d", len(data), request.Range.Length)
+	}
+	for i, b := range data {
+		at := request.Range.Offset + uint64(i)
+		if b != initialByte(request.DataVolume, at) && !d.couldBeWritten(request.DataVolume, at, b) {
+			d.t.Fatalf("request %d: byte %d is %d, which was never there", request.ID, at, b)
+		}
+	}
+}
+
+// mayHaveRun reports whether an attempt of a request may have run or is in flight.
+func (d *plannerDriver) mayHaveRun(request *expectedRequest) bool {
+	if len(request.mayHaveRun) > 0 {
+		return true
+	}
+	for id := range request.pieces {
+		if d.isInFlight(id) {
+			return true
+		}
+	}
+	return false
+}
+
+func (d *plannerDriver) isInFlight(id uint32) bool {
+	return slices.ContainsFunc(d.inFlight, func(ids []uint32) bool { return slices.Contains(ids, id) })
+}
+
+// disk returns the bytes of a volume.
+func (d *plannerDriver) disk(volume uint64) []byte {
+	if d.disks[volume] == nil {
+		d.disks[volume] = make([]byte, diskSize)
+		for i := range d.disks[volume] {
+			d.disks[volume][i] = initialByte(volume, uint64(i))
+		}
+	}
+	return d.disks[volume]
+}
+
+// initialByte is what a volume holds at an offset before any write.
+func initialByte(volume, offset uint64) byte { return byte(offset*7 + volume) }
+
+// couldBeWritten reports whether a byte, which names the request that wrote it, can be at an offset.
+func (d *plannerDriver) couldBeWritten(volume, offset uint64, b byte) bool {
+	writer := d.requests[uint64(b)]
+	if writer == nil || !writer.Write || writer.DataVolume != volume {
+		return false
+	}
+	return offset >= writer.Range.Offset && offset < writer.Range.End()
+}
+
+// forgetAnswered lets the planner forget what is answered and not in flight, as the daemon does.
+func (d *plannerDriver) forgetAnswered() {
+	for id, request := range d.requestOf {
+		if request.answered && !d.isInFlight(id) {
+			d.planner.Forget(id)
+			delete(d.requestOf, id)
+		}
+	}
+}
+
+// checkNothingIsLeft lets all clients go and checks that the planner holds nothing more.
+func (d *plannerDriver) checkNothingIsLeft() {
+	for id, request := range d.requests {
+		d.planner.Abandon(id)
+		request.answered = true
+	}
+	d.inFlight = nil
+	d.forgetAnswered()
+	requests, pieces := d.planner.Counts()
+	queued := d.planner.queued.Len()
+	if requests != 0 || pieces != 0 || queued != 0 {
+		d.t.Fatalf("left: %d requests, %d pieces, %d queued", requests, pieces, queued)
+	}
+}
--- a/internal/daemon/statistics_test.go
+++ b/internal/daemon/statistics_test.go
@@ -125,65 +125,83 @@
 	}
 }
 
+// rewriteStatistics returns a function that changes the record in a file of statistics and writes it again,
+// under a magic.
+func rewriteStatistics(t *testing.T, magic string, change func(*checkpoint.Record)) func(path string) {
+	return func(path string) {
+		var record checkpoint.Record
+		if err := statefile.Read(path, statisticsMagic, &record); err != nil {
+			t.Fatal(err)
+		}
+		change(&record)
+		data, err := statefile.Encode(magic, record)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, data, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// rewriteBytes returns a function that changes the bytes of a file.
+func rewriteBytes(t *testing.T, change func([]byte) []byte) func(path string) {
+	return func(path string) {
+		data, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, change(data), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 // Statistics that cannot be trusted are logged in one line and ignored; the instance serves all the same.
 func TestStatistics_IgnoresInvalidFiles(t *testing.T) {
-	write := func(magic string, change func(*checkpoint.Record)) func(string) {
-		return func(path string) {
-			var rec checkpoint.Record
-			err := statefile.Read(path, statisticsMagic, &rec)
-			change(&rec)
-			var data []byte
-			if err == nil {
-				data, err = statefile.Encode(magic, rec)
-			}
-			if err == nil {
-				err = os.WriteFile(path, data, 0o644)
-			}
-			if err != nil {
-				t.Fatal(err)
-			}
-		}
+	remove := func(path string) { _ = os.Remove(path) }
+	flipLastByte := func(data []byte) []byte {
+		data[len(data)-1] ^= 1
+		return data
 	}
-	same := func(*checkpoint.Record) {}
+	cutInHalf := func(data []byte) []byte { return data[:len(data)/2] }
+	unchanged := func(*checkpoint.Record) {}
+	otherInstance := func(r *checkpoint.Record) { r.Fingerprint.Instance = 7 }
+	twoHoursOlder := func(r *checkpoint.Record) { r.WrittenAt -= int64(2 * time.Hour) }
+	negativeMedian := func(r *checkpoint.Record) { r.MedianLatency = -1 }
 	for _, c := range []struct {
 		name, logged string
-		spoil        func(string)
+		spoil        func(path string)
 	}{
-		{"none", "no saved statistics", func(p string) { _ = os.Remove(p) }},
-		{"damaged", "checksum does not match", func(p string) {
-			data, _ := os.ReadFile(p)
-			data[len(data)-1] ^= 1
-			_ = os.WriteFile(p, data, 0o644)
-		}},
-		{"cut", "bytes follow", func(p string) {
-			data, _ := os.ReadFile(p)
-			_ = os.WriteFile(p, data[:len(data)/2], 0o644)
-		}},
-		{"newer", "does not begin with", write("LPLEARN2", same)},
-		{"foreign", "it is of instance 7", write(statisticsMagic,
-			func(r *checkpoint.Record) { r.Fingerprint.Instance = 7 })},
-		{"old", "old, over", write(statisticsMagic, func(r *checkpoint.Record) {
-			r.WrittenAt -= int64(2 *
-				time.Hour)
-		})},
-		{"absurd", "out of range", write(statisticsMagic,
-			func(r *checkpoint.Record) { r.MedianLatency = -1 })},
+		{"none", "no saved statistics", remove},
+		{"damaged", "checksum does not match", rewriteBytes(t, flipLastByte)},
+		{"cut", "bytes follow", rewriteBytes(t, cutInHalf)},
+		{"newer", "does not begin with", rewriteStatistics(t, "LPLEARN2", unchanged)},
+		{"foreign", "it is of instance 7", rewriteStatistics(t, statisticsMagic, otherInstance)},
+		{"old", "old, over", rewriteStatistics(t, statisticsMagic, twoHoursOlder)},
+		{"absurd", "out of range", rewriteStatistics(t, statisticsMagic, negativeMedian)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			env, client := restartWithChangedSite(t, c.spoil)
 			env.awaitLog(c.logged)
-			for range 4 {
-				if answer := client.call(nil); answer.Code != proto.OK {
-					t.Errorf("got %+v", answer)
-				}
-			}
-			client.expectOneAnswerEach()
-			if strings.Contains(env.logs.String(), "saved statistics restored") {
-				t.Error("figures were taken over all the same")
-			}
+			expectServedWithoutStatistics(t, env, client)
 			if n := strings.Count(env.logs.String(), "saved statistics ignored"); c.name != "none" && n != 1 {
 				t.Errorf("logged in %d lines", n)
 			}
 		})
 	}
 }
+
+// expectServedWithoutStatistics checks that an instance serves requests and has not restored statistics.
+func expectServedWithoutStatistics(t *testing.T, env *testEnvironment, client *testClient) {
+	t.Helper()
+	for range 4 {
+		if answer := client.call(nil); answer.Code != proto.OK {
+			t.Errorf("got %+v", answer)
+		}
+	}
+	client.expectOneAnswerEach()
+	if strings.Contains(env.logs.String(), "saved statistics restored") {
+		t.Error("statistics were restored")
+	}
+}
