--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -3,25 +3,25 @@
 import "time"
 
 // Action is an output of the scheduler that its driver carries out: one of the types below. At present the
-// scheduler returns Send, Reject, Fail, SetTimer and WatchEndpoints only.
+// scheduler returns only Send, Reject, Fail, SetTimer and WatchEndpoints.
 type Action interface{ isAction() }
 
-// Send starts an attempt. Attempts of a request are numbered from 0 in the order of their sends.
+// Send starts an attempt. The attempts of a request are numbered from 0 in send order.
 type Send struct {
 	ID          uint32
 	Server      Server
-	Timeout     time.Duration // of the attempt; 0: as long as the client waits
-	StartBefore time.Duration // clock value after which the attempt must not begin; 0: no bound
-	Leader      uint32        // the request whose operation the attempt joins; 0: it joins none
+	Timeout     time.Duration // of the attempt; 0: until the request's ExpiresAt
+	StartBefore time.Duration // clock value after which the attempt must not begin; 0: no limit
+	Leader      uint32        // ID of the request whose operation the attempt joins; 0: it joins none
 }
 
-// Reject is a final answer that promises that a retry does no harm.
+// Reject is a final answer that guarantees that a retry is safe.
 type Reject struct {
 	ID         uint32
 	RetryAfter time.Duration // how long the client should wait before a retry; 0: not stated
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer without that guarantee: the request may have taken effect.
 type Fail struct{ ID uint32 }
 
 // Cancel cancels an attempt.
@@ -30,16 +30,16 @@
 	Attempt int
 }
 
-// SetTimer asks for a TimerFired after a while.
+// SetTimer requests a TimerFired with its token after a delay.
 type SetTimer struct {
 	Token uint32
 	After time.Duration
 }
 
-// CheckHealth asks for a HealthCheckResult of a node.
+// CheckHealth requests a HealthCheckResult of a node.
 type CheckHealth struct{ Server Server }
 
-// CloseIdle closes idle connections to a node.
+// CloseIdle closes the idle connections to a node.
 type CloseIdle struct{ Server Server }
 
 // AllPeers as SendToPeer.To addresses every other instance.
@@ -51,13 +51,13 @@
 	Body []byte
 }
 
-// WriteLog writes a line for the operators.
+// WriteLog writes a line to the log of the instance.
 type WriteLog struct{ Text string }
 
-// WatchEndpoints opens or ends the standing watch of the endpoint list.
+// WatchEndpoints opens (On) or closes the watch of the endpoint list.
 type WatchEndpoints struct{ On bool }
 
-// FetchEndpoints asks for the full endpoint list once.
+// FetchEndpoints requests the full endpoint list once.
 type FetchEndpoints struct{}
 
 func (Send) isAction()           {}
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// request is a client's request, from its arrival until it has its answer and no attempt of it is in flight.
+// request is a client's request, from its admission until it is answered and has no attempt in flight.
 type request struct {
 	Request
 	class           *class
 	volume          *volume
-	shard           *shardQueue // where it is queued or was sent from
-	sequence        uint64      // of its arrival
-	leader          *request    // of the operation of which it is a member; nil: it is alone or leads
-	operationUnits  float64     // of the operation that it leads
+	shard           *shardQueue // in whose queue it is, or was until it was sent
+	sequence        uint64      // number in arrival order
+	leader          *request    // of the operation that it joined; nil: it is alone or leads
+	operationUnits  float64     // size of the operation that it leads
 	startTag        float64
-	tagAdvance      float64 // by which it moved its volume's finish tag
+	tagAdvance      float64 // by which it advanced its volume's finish tag
 	reservedUnits   float64 // taken from the volume's reserve
 	slotCost        float64
-	backfilledCost  float64       // slot cost of the requests that were dispatched past it
+	backfilledCost  float64       // slot cost of the requests that were backfilled past it
 	objectiveAt     time.Duration // when its latency objective ends
 	sentAt          time.Duration
-	mayHaveRunSince time.Duration // send of the first attempt that may have run
-	mayHaveRunOn    *node         // and its node; nil: no attempt may have run
-	node            *node         // where an attempt is in flight; nil: none is
+	mayHaveRunSince time.Duration // when the first attempt that may have run was sent
+	mayHaveRunOn    *node         // node of that attempt; nil: no attempt may have run
+	node            *node         // at which its attempt is in flight; nil: none is
 	attempts        int
 	quotaCharged    bool
 	queued          bool
 	answered        bool
-	slotsReleased   bool          // its attempt uses no slots any more
-	sends           []sendRef     // of its attempts
-	uncertainAt     time.Duration // when an attempt last ended with its work possibly going on; 0: never
+	slotsReleased   bool          // its attempt does not use slots, or no longer does
+	sends           []sendRef     // its attempts, in the send records of their nodes
+	uncertainAt     time.Duration // when an attempt last ended that may still be running; 0: never
 }
 
-// class adds to a class's settings what this instance has learned of it.
+// class is a class's settings and the statistics that this instance has learned of it.
 type class struct {
 	Class
-	meanUnits   float64       // running mean of the sizes
+	meanUnits   float64       // running mean of request sizes
 	count       float64       // of requests
-	longestWait time.Duration // that a client granted: that of a first try
+	longestWait time.Duration // longest client wait so far: assumed to be that of a first try
 	latency     regression    // latency against size
 }
 
-// observeSize takes a request's size into the running mean.
+// observeSize adds a request's size to the running mean.
 func (c *class) observeSize(units float64) {
 	c.count++
 	c.meanUnits += (units - c.meanUnits) / c.count
 }
 
-// admit takes a request in, or rejects what cannot be served.
+// admit queues a request, or rejects it if it cannot be served.
 func (s *Scheduler) admit(incoming Request) {
 	if !incoming.Continuation {
 		s.retries.recordAdmission(s.now)
@@ -81,10 +81,11 @@
 	return knownClass && inTime && placeable
 }
 
-// objectiveTime is when a request's latency objective ends. The objective of a client's retry counts from its
-// first try, which is taken to have come with the longest wait that clients of the class grant. It counts
-// from now for a request with less time left than the objective, which comes from an impatient client or is a
-// retry so late that little is lost either way; and, where clients mark their retries, for all others.
+// objectiveTime returns when a request's latency objective ends. The objective of a client's retry counts
+// from its first try, which is assumed to have had the longest wait that clients of the class allow. It
+// counts from now for a request with less time left than the objective, which is from an impatient client or
+// is a retry so late that little is lost either way; and, where clients mark their retries, for all unmarked
+// requests.
 func (s *Scheduler) objectiveTime(r *request) time.Duration {
 	at := r.ExpiresAt
 	if objective := r.class.LatencyObjective; objective > 0 {
@@ -93,7 +94,7 @@
 			at = s.now + objective
 		}
 	}
-	// An instance that has seen nothing but retries takes too short a wait for the longest and gets too late
-	// a time: never hold a request beyond its own deadline.
+	// An instance that has received only retries underestimates the longest wait and computes too late an
+	// end: never hold a request beyond its own deadline.
 	return min(at, r.ExpiresAt-timingMargin)
 }
--- a/scheduler/batching.go
+++ b/scheduler/batching.go
@@ -1,28 +1,28 @@
 package scheduler
 
-// Batcher knows which queued requests could be sent to their node as one operation. It proposes; the
-// Scheduler decides on each member. Request IDs must not be 0 where a Batcher is used.
+// Batcher tracks which queued requests could be sent to their node as one operation. It proposes members; the
+// Scheduler decides on each. Request IDs must not be 0 where a Batcher is used.
 type Batcher interface {
-	// Propose is told that a request is sent for the first time. It calls join for each other request that
-	// fits the operation, with the units that the whole operation counts including it; join reports whether
-	// the request becomes a member. Propose must not call the Scheduler.
+	// Propose is called when a request is sent for the first time. It calls join for each other request that
+	// fits the operation, with the size in units that the whole operation would have with it; join reports
+	// whether the request becomes a member. Propose must not call the Scheduler.
 	Propose(id uint32, join func(id uint32, units float64) bool)
 }
 
-// SetBatcher lets queued requests be sent as one operation, as the batcher proposes. It must be called before
-// the first event.
+// SetBatcher sets the batcher that proposes queued requests to be sent as one operation. It must be called
+// before the first event.
 func (s *Scheduler) SetBatcher(b Batcher) { s.batcher = b }
 
-// operation is what an attempt that was just sent leads while others join it.
+// operation is an attempt that was just sent, together with the requests that join it.
 type operation struct {
 	leader *request
 	node   *node
 	cost   float64 // slots
 }
 
-// mergeOperation lets queued requests join an attempt just sent. A member keeps its tag, plan, quota,
-// objective and its key's turn. The operation costs the slots of its size, even beyond the slot limit, which
-// then holds the next sends back.
+// mergeOperation lets queued requests join an attempt that was just sent. Each member keeps its own tag,
+// plan, quota, objective and place in its key's order. The operation is charged the slot cost of its whole
+// size, even beyond the slot limit, which then holds back the next sends.
 func (s *Scheduler) mergeOperation(leader *request, n *node) {
 	op := &operation{leader: leader, node: n, cost: leader.slotCost}
 	s.batcher.Propose(leader.ID, func(id uint32, units float64) bool {
@@ -36,10 +36,10 @@
 	leader.slotCost = op.cost
 }
 
-// mayJoin reports whether a queued request may become a member, the operation then counting so many units. It
-// must be the next in tag order, or its finish tag must be ahead of the virtual time by no more than one
-// largest request. The operation must be expected to end within the objectives of member and leader, and no
-// later than either would end alone, give or take the node's mean deviation.
+// mayJoin reports whether a queued request may become a member of an operation whose size would then be the
+// given units. The request must be the next in tag order, or its finish tag must be ahead of the virtual time
+// by no more than one request of maximum size. The operation must be expected to end within the objectives of
+// member and leader, and no later than either would end alone plus the node's mean deviation.
 func (s *Scheduler) mayJoin(op *operation, r *request, units float64) bool {
 	leader, n, queue := op.leader, op.node, op.leader.shard
 	if !r.queued || r.attempts > 0 || r.shard != queue || r.class != leader.class {
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	initialDepth        = 8.0  // slots at a node of which nothing is known; the design's value
-	fleetSlots          = 128  // that all instances together may use at a node that answers quickly
-	congestionThreshold = 0.3  // of the shortest objective: a higher latency reduces fleetSlots
-	congestionExponent  = 4.0  // by this power of the latency over that
-	maxDepth            = 24.0 // of slots, and of attempts in flight at one node with lost ones included
-	depthGain           = 3.0  // slots that all instances together gain in a period
-	depthStep           = 0.5  // part of the way to the wanted depth that one period goes
-	nodeTimeFraction    = 0.1  // of the shortest objective that a request may spend at its node
-	extraSlots          = 8.0  // beyond the depth of one instance at an idle node, for volumes not ahead
-	extraSlotsThreshold = 0.5  // of the shortest objective: at this latency there are none of them
+	initialDepth        = 8.0  // slots at a new or restarted node
+	fleetSlots          = 128  // slots that all instances together may use at a node that answers quickly
+	congestionThreshold = 0.3  // of the shortest objective: higher latencies reduce fleetSlots
+	congestionExponent  = 4.0  // fleetSlots is divided by this power of latency over threshold
+	maxDepth            = 24.0 // in slots; also the limit of attempts in flight at a node, lost ones included
+	depthGain           = 3.0  // slots that all instances together add to the wanted depth per period
+	depthStep           = 0.5  // fraction of the difference to the wanted depth that is applied per period
+	nodeTimeFraction    = 0.1  // target latency at a node, as a fraction of the shortest objective
+	extraSlots          = 8.0  // added to the slot limit at an idle node, for volumes not ahead
+	extraSlotsThreshold = 0.5  // of the shortest objective: latency at which there are no extra slots
 	minAdaptPeriod      = 50 * time.Millisecond
 )
 
 // exceedsSlots reports whether a request must wait for slots of its shard's node. Pacing holds back requests
-// that start after the virtual time, and all new objects: they are not bound to this node, and where few
-// nodes are left the new objects of all instances would starve the reads that are.
+// whose start tag is beyond the virtual time, and all new objects: they are not bound to this node, and where
+// few nodes are left the new objects of all instances would starve the reads that are bound to it.
 func (s *Scheduler) exceedsSlots(queue *shardQueue, r *request) bool {
 	n, limit := queue.node, s.slotLimit(queue, r)
 	if n.slotsUsed > 0 && n.slotsUsed+r.slotCost > limit {
@@ -32,18 +32,18 @@
 	return (ahead && s.isPaced(n, limit)) || len(n.inFlight) >= maxDepth
 }
 
-// slotLimit is how many slots may be used at the shard's node when a request joins those in flight.
+// slotLimit returns how many slots may be used at the shard's node, those of the request included.
 //
 // It is the depth, but no more than this instance's share of the slots of all instances. At any moment most
-// instances have nothing at a given node, so their sum starts high; it falls steeply once the node's latency
-// passes the congestion threshold, so that the node recovers even when all of them use it.
+// instances have no requests at a given node, so the total is high at first; it falls steeply once the node's
+// latency exceeds the congestion threshold, so that the node recovers even when all instances use it.
 //
-// The latency of the work itself counts alike for all requests. The wait beyond it counts more for requests
-// of less priority weight: otherwise patient low-priority requests fill a slow node, and those with short
-// objectives expire first.
+// The execution time, estimated by the running median, counts equally for all requests. The wait beyond it
+// counts more for requests of lower priority weight: otherwise low-priority requests with long objectives
+// fill a slow node, and requests with short objectives expire first.
 //
-// A request that starts no later than the virtual time gets extra slots, as its volume has had no more than
-// its share while others may have filled the node. They shrink to none as the latency grows.
+// A request whose start tag is not beyond the virtual time gets extra slots, as its volume has received no
+// more than its share while others may have filled the node. They shrink to 0 as the latency grows.
 func (s *Scheduler) slotLimit(queue *shardQueue, r *request) float64 {
 	n := queue.node
 	if s.objectives.shortest <= 0 {
@@ -61,9 +61,9 @@
 	return limit + extraSlots*max(0, 1-usage/extraSlotsThreshold)
 }
 
-// relativeWeight is the priority weight of a request's units relative to the largest there is. The class's
-// weight is squared: classes of less weight mostly have the longer objectives, so their requests are still
-// queued whenever congestion eases. A weight that is not set counts as 1.
+// relativeWeight returns the priority weight of a request's units relative to the largest of the settings.
+// The class's weight is squared: classes of lower weight mostly have longer objectives, so their requests are
+// still queued when congestion eases. A weight that is not set counts as 1.
 func (s *Scheduler) relativeWeight(r *request) float64 {
 	reserved := r.reservedUnits / r.Units
 	classWeight := cmp.Or(r.class.PriorityWeight, 1) / cmp.Or(s.objectives.maxClassWeight, 1)
@@ -72,20 +72,20 @@
 	return classWeight * classWeight * planWeight * shareWeight
 }
 
-// isPaced reports whether a limit under one slot holds the next send back. Sends are then spaced by the
-// node's latency divided by the limit, as if the last one used its slot for that long.
+// isPaced reports whether a limit below one slot holds the next send back. Sends are then spaced by the
+// node's latency divided by the limit, as if the last attempt used its slot for that long.
 func (s *Scheduler) isPaced(n *node, limit float64) bool {
 	return limit < 1 && n.hasSent && s.now-n.lastSentAt < seconds(n.latency.Seconds()/limit)
 }
 
-// targetLatency is how long a request may be at its node.
+// targetLatency returns the latency of a node at which adaptDepth aims; 0: no class has an objective.
 func (s *Scheduler) targetLatency() time.Duration {
 	return time.Duration(nodeTimeFraction * float64(s.objectives.shortest))
 }
 
-// adaptDepth learns the depth at which a request's time at the node meets the target, so that requests wait
-// here, in tag order, and not in the node's own queue. Every instance that does so gets a like share of the
-// node. The depth grows only while it holds requests back.
+// adaptDepth adapts a node's depth so that its latency meets the target, and requests wait here, in tag
+// order, instead of in the node's own queue. Instances that all do so get similar shares of the node. The
+// depth grows only while it holds requests back.
 func (s *Scheduler) adaptDepth(n *node) {
 	if n.latency <= 0 || s.objectives.shortest <= 0 {
 		return
@@ -93,27 +93,27 @@
 	if s.now-n.depthAdaptedAt < max(n.latency, minAdaptPeriod) {
 		return
 	}
-	fitting := n.depth * float64(s.targetLatency()) / float64(n.latency)
-	wanted := min(fitting, n.depth) + s.instanceShare(depthGain)
-	if wanted < n.depth || n.depthReached {
-		n.depth = min(maxDepth, max(s.minDepth(), n.depth+depthStep*(wanted-n.depth)))
+	fittingDepth := n.depth * float64(s.targetLatency()) / float64(n.latency)
+	wantedDepth := min(fittingDepth, n.depth) + s.instanceShare(depthGain)
+	if wantedDepth < n.depth || n.depthReached {
+		n.depth = min(maxDepth, max(s.minDepth(), n.depth+depthStep*(wantedDepth-n.depth)))
 	}
 	n.depthReached, n.depthAdaptedAt = false, s.now
 }
 
-// startingDepth is the depth at a node of which nothing is known.
+// startingDepth returns the depth at a new or restarted node.
 func (s *Scheduler) startingDepth() float64 {
 	return min(initialDepth, s.instanceShare(fleetSlots))
 }
 
-// minDepth bounds the depth from below: one request of each instance may be sent, or where instances are very
-// many the share that each has of fleetSlots.
+// minDepth returns the least depth: one slot, so that each instance can send a request, or where there are
+// more instances than fleetSlots the instance's share of those.
 func (s *Scheduler) minDepth() float64 { return min(1, s.instanceShare(fleetSlots)) }
 
-// releaseLostSlots takes the slots back from attempts that are in flight for far longer than the node's
-// answers take: answers that get lost and requests that hang would hold theirs until the client's wait is
-// over, and a few of them stop a node's queue. At a node that hangs it lets a request through now and then,
-// as a trial.
+// releaseLostSlots releases the slots of attempts that are in flight for longer than the node's loss timeout:
+// lost answers and requests that hang would otherwise use their slots until the client's wait ends, and a few
+// of them block a node's queue. At a node that hangs, this lets a request through from time to time, as a
+// probe.
 func (n *node) releaseLostSlots(now time.Duration) {
 	for _, r := range n.inFlight {
 		if !r.slotsReleased && now-r.sentAt > n.lossTimeout() {
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// dispatchVerdict is what becomes of a queued request when its shard is dispatched.
+// dispatchVerdict is the decision on a queued request when its shard is dispatched.
 type dispatchVerdict uint8
 
 const (
 	dispatchNow       dispatchVerdict = iota
-	skipRequest                       // a guard holds it back; others may go
+	skipRequest                       // a check holds it back; others may be sent
 	holdForSlots                      // it does not fit the slot limit; smaller ones may be backfilled
 	shedRequest                       // it cannot be answered in time
-	backfillExhausted                 // nothing more may go past the request that waits for slots
+	backfillExhausted                 // no more requests may be backfilled past the one that waits for slots
 )
 
 // dispatch sends a shard's requests in tag order while they fit the slot limit of its node. When the first
-// that may go does not fit, smaller ones may, until the slot cost of those promoted past it would exceed its
-// own.
+// that may be sent does not fit, smaller ones are backfilled, until the slot cost of those sent past it would
+// exceed its own.
 func (s *Scheduler) dispatch(queue *shardQueue) {
 	n := queue.node
 	if n == nil {
 		return
 	}
 	n.releaseLostSlots(s.now)
-	var head *request // the first that waits for slots
+	var head *request // the first request that waits for slots
 	for i := 0; i < len(queue.requests) && s.isUsable(n); {
 		r := queue.requests[i]
 		switch s.verdictFor(queue, r, head) {
@@ -37,7 +37,7 @@
 				head = r
 			}
 			i++
-		case shedRequest: // it leaves the queue, so i is now the next request's
+		case shedRequest: // it leaves the queue, so i is now the index of the next request
 			s.finishUnserved(r, 0)
 		case backfillExhausted:
 			return
@@ -71,22 +71,22 @@
 	return dispatchNow
 }
 
-// dispatchAt sends the request at a place in the queue, with what may join it as one operation, and returns
-// the place of the request that follows it.
-func (s *Scheduler) dispatchAt(queue *shardQueue, place int) int {
-	r, n := queue.requests[place], queue.node
+// dispatchAt sends the request at an index of the queue, with the requests that join it as one operation, and
+// returns the index of the request that follows it.
+func (s *Scheduler) dispatchAt(queue *shardQueue, index int) int {
+	r, n := queue.requests[index], queue.node
 	s.backlog.dequeue(r)
 	s.sendAttempt(r, n, nil)
 	if s.batcher == nil || r.attempts > 1 {
-		return place
+		return index
 	}
 	s.mergeOperation(r, n)
-	place, _ = slices.BinarySearchFunc(queue.requests, r, compareTags)
-	return place
+	index, _ = slices.BinarySearchFunc(queue.requests, r, compareTags)
+	return index
 }
 
-// mayDispatch checks what concerns one request alone: its key's turn, its retries and its volume's quota.
-// With a leader given, the request is to be a member of its operation.
+// mayDispatch reports whether the order of its key, the limits on retries and its volume's quota allow a
+// request to be sent to a node; with a leader, as a member of the leader's operation.
 func (s *Scheduler) mayDispatch(r *request, n *node, leader *request) bool {
 	if !s.keys.isTurn(r, leader, s.now) {
 		return false
@@ -97,8 +97,8 @@
 	return r.quotaCharged || r.volume.plan.Limit <= 0 || s.quotaRemaining(r.volume) >= r.Units
 }
 
-// sendAttempt starts an attempt. The virtual time advances to the start tag of what is dispatched. A member
-// of an operation, which has a leader, uses no slots of its own.
+// sendAttempt starts an attempt. Without a leader, the attempt takes slots of the node and advances the
+// virtual time to its start tag. A member of an operation, which has a leader, uses no slots of its own.
 func (s *Scheduler) sendAttempt(r *request, n *node, leader *request) {
 	if r.attempts > 0 {
 		s.retries.recordRetry(s.now)
@@ -121,9 +121,10 @@
 	s.emit(send)
 }
 
-// attemptTimeout bounds an attempt. That of an idempotent request ends with the latency objective: a later
-// answer is worth little, and a node that is busy with requests for which nobody waits may never recover.
-// Other attempts may take as long as the client waits (0), as ending them would leave the outcome uncertain.
+// attemptTimeout returns the timeout of an attempt. That of an idempotent request ends with the latency
+// objective: a later answer has little value, and a node that is overloaded with requests for which no client
+// waits may never recover. Other attempts may last until the client's wait ends (0), as ending them earlier
+// would leave the outcome uncertain.
 func (s *Scheduler) attemptTimeout(r *request) time.Duration {
 	if r.class.Idempotency != Idempotent || r.objectiveAt <= s.now {
 		return 0
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -18,7 +18,7 @@
 	return cmp.Or(slices.Compare(s.Addr[:], o.Addr[:]), cmp.Compare(s.Port, o.Port))
 }
 
-// Status is a node's state as listed.
+// Status is a node's state in the endpoint list.
 type Status uint8
 
 // The states of a node.
@@ -28,7 +28,7 @@
 	Draining
 )
 
-// String returns the word for a status that logs use.
+// String returns the name of a status in logs.
 func (s Status) String() string { return [...]string{"gone", "ready", "draining"}[s] }
 
 // Endpoint is one node in the endpoint list.
@@ -42,13 +42,13 @@
 	NominalCapacity float64
 }
 
-// UpdateKind says how an EndpointUpdate is to be read.
+// UpdateKind specifies the content of an EndpointUpdate.
 type UpdateKind uint8
 
 // The kinds of updates.
 const (
 	UpdateDelta  UpdateKind = iota // only the endpoints that changed
-	UpdateCached                   // the full list as this instance last had it, possibly out of date
+	UpdateCached                   // the full list of this instance's snapshot, possibly out of date
 	UpdateFull                     // the full list
 	UpdateFailed                   // a watch broke or a fetch failed; no endpoints
 )
--- a/scheduler/endpoint_view.go
+++ b/scheduler/endpoint_view.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// removedNodeRetention is how long a node that was removed from the list is remembered.
+// removedNodeRetention is how long the state of a node is kept after it was removed from the list.
 const removedNodeRetention = 10 * time.Minute
 
-// node is the process of a storage node as this instance sees it.
+// node is the state that this instance keeps of a storage node's process.
 type node struct {
 	Endpoint
-	inFlight          []*request    // oldest first; members of operations are not in it
+	inFlight          []*request    // oldest first; without the members of operations
 	slotsUsed         float64       // by the attempts in flight
-	depth             float64       // slots that may be used, learned
+	depth             float64       // slots that may be used, adapted to the latency
 	depthReached      bool          // the depth held a request back since it was last adapted
-	latency           time.Duration // running mean of the usual request
-	deviation         time.Duration // running mean deviation from it
+	latency           time.Duration // running mean, normalized to the average request
+	deviation         time.Duration // running mean deviation from latency
 	lastAnswerAt      time.Duration
 	latencyUpdatedAt  time.Duration
 	depthAdaptedAt    time.Duration
-	failures          int     // in a row
+	failures          int     // consecutive
 	consecutiveResets int     // of connections
-	errorRate         float64 // running part of the answers that were errors
+	errorRate         float64 // running fraction of answers that were errors
 	retryAt           time.Duration
 	sends             slidingWindow[sendRecord] // within the last overload window
-	unitsSent         float64                   // sum over sends, but for rounding
+	unitsSent         float64                   // sum over sends, with rounding errors
 	lastSentAt        time.Duration
 	hasSent           bool
 	removedAt         time.Duration // 0: it is listed
 }
 
-// restart sets what is learned of a node back to the values of an unknown one, as its process is new.
+// restart resets the learned statistics of a node to those of an unknown one, as its process is new.
 func (n *node) restart(depth float64, target time.Duration) {
 	n.depth, n.latency, n.deviation = depth, target/2, target/4
 	n.failures, n.consecutiveResets, n.errorRate, n.retryAt = 0, 0, 0, 0
 }
 
-// removal records when a node was first seen gone.
+// removal records when a node was removed from the list.
 type removal struct {
 	node *node
 	at   time.Duration
@@ -53,7 +53,7 @@
 
 func compareCells(a, b *shardQueue) int { return cmp.Compare(a.cell, b.cell) }
 
-// shardFor returns the queue for a cell, which is made when it is first asked for.
+// shardFor returns the queue for a cell and creates it on first use.
 func (v *endpointView) shardFor(cell int) *shardQueue {
 	i, ok := slices.BinarySearchFunc(v.shards, &shardQueue{cell: cell}, compareCells)
 	if !ok {
@@ -62,14 +62,14 @@
 	return v.shards[i]
 }
 
-// removeUnlisted marks all nodes as gone that a full list does not contain.
+// removeUnlisted marks all nodes as removed that a full list does not contain.
 func (v *endpointView) removeUnlisted(listed []Endpoint, now time.Duration) {
-	known := map[Server]bool{}
+	isListed := map[Server]bool{}
 	for _, e := range listed {
-		known[e.Server] = true
+		isListed[e.Server] = true
 	}
 	for server, n := range v.nodes {
-		if !known[server] {
+		if !isListed[server] {
 			n.Status = Gone
 			v.markRemoved(n, now)
 		}
@@ -83,8 +83,8 @@
 	}
 }
 
-// forgetRemoved drops nodes that have been gone for very long, so that they do not accumulate over months. A
-// node that is listed again sooner is remembered as it was, and one with attempts in flight stays.
+// forgetRemoved deletes nodes that were removed removedNodeRetention ago, so that they do not accumulate over
+// months. A node that is listed again sooner keeps its state, and one with attempts in flight is kept.
 func (v *endpointView) forgetRemoved(now time.Duration) {
 	for len(v.removals) > 0 && now-v.removals[0].at >= removedNodeRetention {
 		oldest := v.removals[0]
@@ -98,7 +98,7 @@
 	}
 }
 
-// assignNodes points each shard at the ready node that holds it; of two, at the one that started last.
+// assignNodes assigns to each shard the ready node that holds it; of two, the one that started last.
 func (v *endpointView) assignNodes() {
 	ready := make([]*node, 0, len(v.nodes))
 	for _, n := range v.nodes {
@@ -117,7 +117,7 @@
 	}
 }
 
-// applyEndpointUpdate takes over a change of the endpoint list.
+// applyEndpointUpdate applies an update of the endpoint list, or handles the failure to get one.
 func (s *Scheduler) applyEndpointUpdate(update EndpointUpdate) {
 	if update.Kind == UpdateFailed {
 		s.watchFailed()
@@ -134,7 +134,7 @@
 	s.endpoints.forgetRemoved(s.now)
 }
 
-// applyEndpoint takes over one entry of the list. A newer start means that the process restarted.
+// applyEndpoint applies one entry of an update. A later start means that the process restarted.
 func (s *Scheduler) applyEndpoint(e Endpoint) {
 	n := s.endpoints.nodes[e.Server]
 	if n == nil {
--- a/scheduler/endpoint_watch.go
+++ b/scheduler/endpoint_watch.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// watchReopenDelay is the least delay before a failed watch is opened again; the most is twice as long.
+	// watchReopenDelay is the minimum delay before a failed watch is reopened; the maximum is twice as long.
 	watchReopenDelay = 750 * time.Millisecond
-	// brokenWatchSpeedup shortens the first delay after a watch that stood; it halves with each further
-	// failure.
+	// brokenWatchSpeedup divides the first delay after an established watch broke; the divisor halves with
+	// each further failure.
 	brokenWatchSpeedup = 8
-	// pushGraceParts is how many reopen delays fit into the grace of a pushed list.
+	// pushGraceParts is the number of reopen delays that fit into PushGrace.
 	pushGraceParts = 4
 )
 
-// endpointWatch tracks the standing watch of the endpoint list.
+// endpointWatch tracks the watch of the endpoint list.
 type endpointWatch struct {
-	heard       bool          // something came since the watch was last opened
-	reopenAt    time.Duration // when to open it again unless something comes
-	reopenDelay time.Duration // the least delay after a failure
-	speedup     time.Duration // by which the next delay is divided
+	heard       bool          // an update arrived since the watch was last opened or failed
+	reopenAt    time.Duration // when to reopen it unless an update arrives
+	reopenDelay time.Duration // minimum delay after a failure
+	speedup     time.Duration // divisor of the next delay; 0: the delay is not divided
 }
 
 func newEndpointWatch(settings Settings) endpointWatch {
@@ -28,8 +28,8 @@
 	return endpointWatch{reopenDelay: delay}
 }
 
-// openWatch opens the watch, and schedules that it is opened again unless something is heard of it within
-// half of PollTimeout, or within two reopen delays if those are longer: the registry's answer may get lost.
+// openWatch opens the watch and schedules that it is reopened unless an update arrives within half of
+// PollTimeout, or within two reopen delays if those are longer: the registry's answer may be lost.
 func (s *Scheduler) openWatch() {
 	s.watch.heard = false
 	s.emit(WatchEndpoints{On: true})
@@ -47,10 +47,11 @@
 	}
 }
 
-// watchFailed schedules a new watch, unless one is due soon already. A failed call does not tell whether a
-// watch still stands, so it is opened again in any case, after a random delay, so that the instances of a
-// fleet do not call in step. A watch that stood and broke can mostly be opened again at once, and the first
-// call for that may fail too: the delays after it are shorter.
+// watchFailed schedules the reopening of the watch, unless that is due within two reopen delays already. The
+// failure may be that of a fetch while the watch is still open; the watch is reopened in any case, after a
+// random delay, so that the instances of a fleet do not send their requests in step. A watch that was
+// established and broke can usually be reopened at once, and the first request for that may fail too: the
+// next delays are shorter.
 func (s *Scheduler) watchFailed() {
 	delay := s.watch.reopenDelay
 	pending := !s.watch.heard && s.watch.reopenAt <= s.now+2*delay
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -22,23 +22,23 @@
 	Cell            int  // the shard that holds the data, or NewObject
 	Retry           bool // the client marked it as a retry
 	Write           bool
-	VolumeInstances int // instances through which the volume's requests come
+	VolumeInstances int // number of instances through which the volume's requests arrive
 	Plan            int
-	Key             uint64 // orders requests of classes that are ordered by key; 0: none
+	Key             uint64 // ordering key, for classes that are ordered by key; 0: none
 	ExpiresAt       time.Duration
 	Volume          uint64
 	Units           float64
-	Continuation    bool // a further part of a request: the budget counts the first
+	Continuation    bool // a further piece of a split request: the retry budget counts the first only
 }
 
-// ResultCode tells how an attempt ended.
+// ResultCode states how an attempt ended.
 type ResultCode uint16
 
 // The result codes. Their numbers are those of the wire protocols.
 const (
 	OK            ResultCode = 100
 	Error         ResultCode = 301 // the node failed; the request may have run
-	Overloaded    ResultCode = 302 // the node turned the request away; it has not run
+	Overloaded    ResultCode = 302 // the node rejected the request; it has not run
 	TimedOut      ResultCode = 303
 	ConnectFailed ResultCode = 304 // nothing was sent
 	Reset         ResultCode = 305 // the connection broke; the request may have run
@@ -51,7 +51,7 @@
 	return c != Overloaded && c != ConnectFailed && c != NotApplicable
 }
 
-// AttemptResult is the end of one attempt. Each Send has exactly one.
+// AttemptResult reports the end of an attempt. There is exactly one for each Send.
 type AttemptResult struct {
 	ID             uint32
 	Attempt        int
@@ -59,12 +59,12 @@
 	Code           ResultCode
 	Latency        time.Duration
 	RequestDone    bool      // the request has its final answer
-	MeteredRate    int       // 1 + percent of the plan's rate that the volume was served; 0: unknown
-	ElsewhereUnits float64   // units served for the volume through other instances since its last answer here
-	Load           []float64 // load report, by Settings.LoadFields
+	MeteredRate    int       // 1 + percent of the plan's rate at which the volume was served; 0: unknown
+	ElsewhereUnits float64   // units served for the volume through other instances since the last answer here
+	Load           []float64 // load report, in the order of Settings.LoadFields
 }
 
-// ResponseStarted says that a streamed answer has begun.
+// ResponseStarted reports that a streamed answer has begun.
 type ResponseStarted struct {
 	ID      uint32
 	Attempt int
@@ -72,10 +72,10 @@
 	Latency time.Duration
 }
 
-// ClientGone says that a request is over and is owed no answer any more.
+// ClientGone reports that a request needs no answer any more, for example because its client disconnected.
 type ClientGone struct{ ID uint32 }
 
-// TimerFired says that a timer set by SetTimer is due.
+// TimerFired reports that a timer set by SetTimer is due.
 type TimerFired struct{ Token uint32 }
 
 // HealthCheckResult is the result of one CheckHealth.
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	latencyGain        = 0.25                   // weight of a new latency against a node's running mean
-	lossGain           = 0.12                   // and of the time of an attempt that was lost
-	latencyHalfLife    = 500 * time.Millisecond // after which a node's latency counts half
-	regressionMinCount = 16.0                   // answers before latency is taken to depend on size
-	regressionWindow   = 512.0                  // answers over which that is learned
-	medianStep         = 0.05                   // part of itself by which the median moves
-	recentMeanWindow   = 16.0                   // attempts over which the fleet's present latency is learned
+	latencyGain        = 0.25                   // weight of a new latency in a node's running mean
+	lossGain           = 0.12                   // fraction of a lost attempt's time added to that mean
+	latencyHalfLife    = 500 * time.Millisecond // age at which a node's latency counts half
+	regressionMinCount = 16.0                   // answers before latency is corrected for size
+	regressionWindow   = 512.0                  // answers over which a regression averages
+	medianStep         = 0.05                   // fraction of itself by which the running median moves
+	recentMeanWindow   = 16.0                   // attempts over which the recent mean of all nodes is taken
 )
 
 // regression is a running linear regression of latencies, in seconds, against sizes, in units.
@@ -32,7 +32,7 @@
 	g.meanProduct += (size*time - g.meanProduct) / g.count
 }
 
-// predict is the latency of a request of a size, in seconds.
+// predict returns the expected latency of a request of a size, in seconds.
 func (g *regression) predict(size float64) float64 {
 	slope, variance := 0.0, g.meanSquare-g.meanSize*g.meanSize
 	if g.count >= regressionMinCount && variance > 0 {
@@ -42,16 +42,17 @@
 	return g.meanTime + slope*(size-g.meanSize)
 }
 
-// latencyModel is what the usual request takes at any node.
+// latencyModel is the latency of the average request over all nodes: the one whose latency is the mean of
+// allClasses. Other latencies are normalized to it by subtracting their sizeCorrection.
 type latencyModel struct {
 	allClasses    regression    // over all classes and nodes
-	recentMean    time.Duration // over the last attempts
+	recentMean    time.Duration // over the last recentMeanWindow attempts
 	runningMedian time.Duration
 }
 
-// observe takes the latency of a usual request in. The running median stands for the work itself, as nodes
-// pause or are congested less than half of the time; the mean of the last few attempts stands for the present
-// state of the fleet.
+// observe records a normalized latency. The running median estimates the execution time without waits, as
+// nodes pause or are congested less than half of the time; the mean of the last few attempts reflects the
+// present state of the fleet.
 func (m *latencyModel) observe(latency time.Duration) {
 	step := medianStep * max(m.runningMedian.Seconds(), m.allClasses.meanTime)
 	direction := float64(latency - m.runningMedian)
@@ -60,7 +61,7 @@
 	m.recentMean += time.Duration(float64(latency-m.recentMean) / window)
 }
 
-// sizeCorrection is how much longer than the usual request one of this class and size takes.
+// sizeCorrection returns how much longer than the average request one of this class and size takes.
 func (m *latencyModel) sizeCorrection(c *class, units float64) time.Duration {
 	if m.allClasses.count < regressionMinCount || c.latency.count < regressionMinCount {
 		return 0
@@ -68,26 +69,26 @@
 	return seconds(c.latency.predict(units) - m.allClasses.meanTime)
 }
 
-// ofNode is what the usual request takes at a node. It fades towards the recent mean of all nodes as it gets
-// old: with many instances, each gets an answer of a node only now and then.
+// ofNode returns the latency of the average request at a node. With age it decays towards the recent mean of
+// all nodes: with many instances, each receives answers of a given node only from time to time.
 func (m *latencyModel) ofNode(n *node, now time.Duration) time.Duration {
 	if m.allClasses.count < regressionMinCount {
 		return n.latency
 	}
-	fading := math.Exp2(-(now - n.latencyUpdatedAt).Seconds() / latencyHalfLife.Seconds())
-	return m.recentMean + time.Duration(float64(n.latency-m.recentMean)*fading)
+	decay := math.Exp2(-(now - n.latencyUpdatedAt).Seconds() / latencyHalfLife.Seconds())
+	return m.recentMean + time.Duration(float64(n.latency-m.recentMean)*decay)
 }
 
 func (s *Scheduler) recentLatency(n *node) time.Duration { return s.latency.ofNode(n, s.now) }
 
-// expectedLatency is how long a request sent now will take at a node.
+// expectedLatency returns the expected latency of a request that is sent to a node now.
 func (s *Scheduler) expectedLatency(n *node, r *request) time.Duration {
 	return max(0, s.recentLatency(n)+s.latency.sizeCorrection(r.class, r.Units))
 }
 
-// learnLoss learns from an attempt that got no answer, of which only the time waited is known. The model of
-// all nodes takes in twice its mean at most, and nothing from a node that fails repeatedly, as nodes that are
-// cut off must not make all others look slow.
+// learnLoss records an attempt that got no answer, of which only the time waited is known. The model of all
+// nodes records twice its recent mean at most, and nothing from a node that fails repeatedly, as nodes that
+// are cut off from the network must not make all others appear slow.
 func (s *Scheduler) learnLoss(n *node, waited time.Duration) {
 	if n.failures <= 1 {
 		s.latency.observe(min(waited, 2*s.latency.recentMean))
@@ -96,13 +97,13 @@
 	s.latencyLearned(n)
 }
 
-// learnLatency takes in the latency of an answer.
+// learnLatency records the latency of an answer.
 func (s *Scheduler) learnLatency(n *node, r *request, latency time.Duration) {
-	usual := latency - s.latency.sizeCorrection(r.class, r.operationUnits)
+	normalized := latency - s.latency.sizeCorrection(r.class, r.operationUnits)
 	r.class.latency.add(r.operationUnits, latency.Seconds())
 	s.latency.allClasses.add(r.operationUnits, latency.Seconds())
-	s.latency.observe(usual)
-	difference := usual - n.latency
+	s.latency.observe(normalized)
+	difference := normalized - n.latency
 	n.latency += time.Duration(latencyGain * float64(difference))
 	n.deviation += time.Duration(latencyGain * float64(max(difference, -difference)-n.deviation))
 	s.latencyLearned(n)
--- a/scheduler/node_state.go
+++ b/scheduler/node_state.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// NodeState is what a scheduler believes of a node, for logs and tests; nothing is decided by it.
+// NodeState is the state that a scheduler keeps of a node, for logs and tests; no decision depends on it.
 type NodeState struct {
 	Server    Server
 	Status    Status
 	InFlight  int     // attempts
-	SlotsUsed float64 // by them
+	SlotsUsed float64 // by the attempts in flight
 	Depth     float64 // slots that may be used
 	Latency   time.Duration
-	Failures  int // in a row
+	Failures  int // consecutive
 }
 
-// NodeStates returns the states of all nodes that are listed or have attempts in flight, by server.
+// NodeStates returns the states of all nodes that are listed or have attempts in flight, ordered by server.
 func (s *Scheduler) NodeStates() []NodeState {
 	var states []NodeState
 	for server, n := range s.endpoints.nodes {
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -8,7 +8,7 @@
 // keyQueue holds the requests of one ordering key, oldest first.
 type keyQueue struct {
 	requests     []*request
-	blockedUntil time.Duration // no first attempt before this, as an earlier request may still be running
+	blockedUntil time.Duration // no first attempt is sent before, as an earlier request may still be running
 }
 
 // keyTable keeps requests with the same key in arrival order.
@@ -32,26 +32,26 @@
 	queue.requests = append(queue.requests, r)
 }
 
-// isTurn reports whether a request's key lets it be sent. A member of an operation may follow earlier
-// requests of its key that are in the same operation, unless the class is idempotent: a retry of one of those
-// could then run after it.
+// isTurn reports whether the order of its key allows a request to be sent. A member of an operation may
+// follow earlier requests of its key that are in the same operation, unless the class is idempotent: a retry
+// of one of those could then run after it.
 func (t *keyTable) isTurn(r, leader *request, now time.Duration) bool {
 	if !r.isOrdered() {
 		return true
 	}
-	queue, place := t.byKey[r.Key], 0
+	queue, position := t.byKey[r.Key], 0
 	if leader != nil && r.class.Idempotency != Idempotent {
-		for place < len(queue.requests) && queue.requests[place].isMemberOf(leader) {
-			place++
+		for position < len(queue.requests) && queue.requests[position].isMemberOf(leader) {
+			position++
 		}
 	}
-	if place == len(queue.requests) || queue.requests[place] != r {
+	if position == len(queue.requests) || queue.requests[position] != r {
 		return false
 	}
 	return r.attempts > 0 || now >= queue.blockedUntil
 }
 
-// remove takes a finished request out of its key's queue. Where its work may still be going on, the next
+// remove removes a finished request from its key's queue. If an attempt of it may still be running, the next
 // request waits for the pause.
 func (t *keyTable) remove(r *request, pause, now time.Duration) {
 	queue := t.byKey[r.Key]
@@ -68,7 +68,7 @@
 	t.forgetIdle(now)
 }
 
-// forgetIdle drops queues that are empty and not blocked, so that keys seen once do not accumulate.
+// forgetIdle deletes queues that are empty and not blocked, so that keys seen once do not accumulate.
 func (t *keyTable) forgetIdle(now time.Duration) {
 	for len(t.emptied) > 0 {
 		key := t.emptied[0]
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	initialBackoff      = 50 * time.Millisecond // before a failed node is tried again
+	initialBackoff      = 50 * time.Millisecond // mean delay before a failed node is tried again
 	maxBackoff          = time.Second
 	maxBackoffDoublings = 10
-	// lossDeviations is how many mean deviations over the mean latency an attempt counts as lost.
+	// lossDeviations is the number of mean deviations above the mean latency beyond which an attempt counts
+	// as lost.
 	lossDeviations = 8
 )
 
-// isUsable reports whether a node may be sent to: it is listed as ready, and after failures it gets one
-// request at a time.
+// isUsable reports whether requests may be sent to a node: it must be listed as ready, and after failures it
+// gets one request at a time, the first after a backoff.
 func (s *Scheduler) isUsable(n *node) bool {
 	return n.Status == Ready && (n.failures == 0 || (n.slotsUsed == 0 && s.now >= n.retryAt))
 }
 
-// lossTimeout is how long an attempt may be in flight before it is taken for lost.
+// lossTimeout returns how long an attempt may be in flight before it counts as lost.
 func (n *node) lossTimeout() time.Duration { return n.latency + lossDeviations*n.deviation }
 
-// learnFromResult learns from the end of an attempt how its node is doing.
+// learnFromResult updates the failures and the latency of a node from the end of an attempt.
 func (s *Scheduler) learnFromResult(n *node, r *request, result AttemptResult) {
 	lost := s.isLost(n, r, result)
 	silent := lost && result.Latency > min(n.lossTimeout(), s.objectives.shortest/2)
 	s.detectOutlier(n, r, result.Code, silent)
 	switch {
-	case r.leader != nil: // an operation is learned from once, by its leader
+	case r.leader != nil: // an operation is recorded once, with its leader
 	case lost:
 		s.learnLoss(n, result.Latency)
 	case result.Code == OK && !s.review.stalled:
@@ -33,17 +34,17 @@
 	}
 }
 
-// isLost reports whether a timeout speaks of the node. It does so only if nothing that the node answered is
-// newer: else that one attempt got lost, or the client's wait was short. Of a time in which this process
-// stalled it says nothing.
+// isLost reports whether a timeout indicates a fault of the node. It does so only if the node has answered
+// nothing since the attempt was sent and the wait was long enough: otherwise that one attempt was lost, or
+// the client's wait was short. A timeout while this process stalled indicates nothing.
 func (s *Scheduler) isLost(n *node, r *request, result AttemptResult) bool {
 	return result.Code == TimedOut && !s.review.stalled && n.lastAnswerAt <= r.sentAt &&
 		result.Latency > min(n.latency, s.objectives.shortest/2)
 }
 
-// detectOutlier counts a node's failures in a row. An error is an answer and ends the row. Of nodes that do
-// their work some answers may still get lost with a connection: one reset is no failure, the second in a row
-// is. A timeout counts if silent says so.
+// detectOutlier counts a node's consecutive failures. An error is an answer and resets the count. Answers of
+// a healthy node may be lost with a connection: one reset does not count as a failure, the second consecutive
+// one does. A timeout counts if silent is true.
 func (s *Scheduler) detectOutlier(n *node, r *request, code ResultCode, silent bool) {
 	switch {
 	case code == OK || code == Error:
@@ -65,8 +66,8 @@
 	}
 }
 
-// backoff is how long a failing node is left alone: it grows fourfold with each failure, and is spread at
-// random so that instances do not try in step.
+// backoff returns how long no request is sent to a failing node: it grows fourfold with each failure, up to a
+// mean of maxBackoff, and is randomized so that instances do not retry in step.
 func (s *Scheduler) backoff(n *node) time.Duration {
 	mean := min(maxBackoff, initialBackoff<<min(2*(n.failures-1), maxBackoffDoublings))
 	return mean/2 + time.Duration(s.random.Int64N(int64(mean)))
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// errorExponent is the power of a node's part of answers without error by which a new object's wait is
-// divided.
+// errorExponent is the power to which a node's fraction of answers without error is raised; a new object's
+// estimated wait is divided by the result.
 const errorExponent = 3.0
 
 // placeNewObject picks the shard for an object that may be placed anywhere: the one with the least expected
-// wait. Where no node can be used, the shard of the least cell is as good as any.
+// wait. Where no node is usable, any shard serves as well, and that of the lowest cell is picked.
 func (s *Scheduler) placeNewObject(r *request) *shardQueue {
 	var best *shardQueue
 	least := math.Inf(1)
@@ -23,10 +23,11 @@
 	return best
 }
 
-// placementWait estimates a new object's wait at a shard: the work at hand, in requests, times what the node
-// takes for one. A stuck node shows first in the age of its oldest attempt. A node that fails most requests
-// fast looks quick and idle, so errors count as wait. Nodes that never answered look alike, so their waits
-// are randomized: instances that start would else all pick the same one.
+// placementWait estimates a new object's wait at a shard, in seconds: the work in flight and queued, in
+// requests, times the node's latency for one. The age of its oldest attempt shows first that a node is stuck.
+// A node that fails most requests quickly appears fast and idle, so errors increase the wait. Nodes that have
+// never answered appear alike, so their waits are randomized: instances that start would otherwise all pick
+// the same one.
 func (s *Scheduler) placementWait(queue *shardQueue, r *request) float64 {
 	n := queue.node
 	wait := s.expectedLatency(n, r).Seconds()
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -8,7 +8,7 @@
 	filledAt time.Duration
 }
 
-// refill brings the bucket up to now. The rate is in units per second.
+// refill adds the units accrued since the last refill. The rate is in units per second.
 func (b *tokenBucket) refill(now time.Duration, rate, capacity float64) {
 	b.level = min(capacity, b.level+rate*(now-b.filledAt).Seconds())
 	b.filledAt = now
@@ -19,7 +19,8 @@
 	return b.level+rate*(now-b.filledAt).Seconds() >= capacity
 }
 
-// reserveCapacity is how many units a volume's reserve holds: one second's and one largest request's.
+// reserveCapacity returns the units that a volume's reserve can hold: those of one second and of one request
+// of maximum size.
 func (v *volume) reserveCapacity(maxUnits float64) float64 {
 	if v.plan.Reserve <= 0 {
 		return 0
@@ -27,7 +28,7 @@
 	return v.plan.Reserve + maxUnits
 }
 
-// takeReserve takes units from a volume's reserve and returns how many it held.
+// takeReserve takes units from a volume's reserve and returns the number taken, at most what it held.
 func (s *Scheduler) takeReserve(v *volume, units float64) float64 {
 	v.reserve.refill(s.now, v.plan.Reserve, v.reserveCapacity(s.settings.MaxUnits))
 	taken := min(units, max(0, v.reserve.level))
@@ -35,19 +36,20 @@
 	return taken
 }
 
-// quota is this instance's even share of a volume's limit: units per second, and units that the bucket holds.
+// quota returns this instance's even share of a volume's quota: its rate, in units per second, and the units
+// that its bucket can hold.
 func (v *volume) quota() (rate, burst float64) {
 	return v.plan.Limit / v.instances, v.plan.Burst / v.instances
 }
 
-// quotaRemaining is how many units of its quota a volume has left here now.
+// quotaRemaining returns the units of a volume's quota that remain at this instance.
 func (s *Scheduler) quotaRemaining(v *volume) float64 {
 	rate, burst := v.quota()
 	v.limit.refill(s.now, rate, burst)
 	return v.limit.level
 }
 
-// chargeQuota charges a request to its volume's quota, once over all its attempts.
+// chargeQuota charges a request to its volume's quota, once for all its attempts.
 func (s *Scheduler) chargeQuota(r *request) {
 	if !r.quotaCharged {
 		r.quotaCharged = true
--- a/scheduler/result.go
+++ b/scheduler/result.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// handleResult takes in how an attempt ended. Results of attempts that are not in flight are ignored.
+// handleResult processes the end of an attempt. Results of attempts that are not in flight are ignored.
 func (s *Scheduler) handleResult(result AttemptResult) {
 	r := s.requests[result.ID]
 	if r == nil || r.node == nil || result.Attempt != r.attempts-1 {
@@ -39,7 +39,8 @@
 	n.inFlight = slices.DeleteFunc(n.inFlight, func(other *request) bool { return other == r })
 }
 
-// recordEffects notes what a result says of the request and its volume.
+// recordEffects records from a result whether the request may have run, whether it may still be running, and
+// the units that its volume was served elsewhere.
 func (s *Scheduler) recordEffects(n *node, r *request, result AttemptResult) {
 	if result.Code.MayHaveRun() && r.mayHaveRunOn == nil {
 		r.mayHaveRunOn, r.mayHaveRunSince = n, r.sentAt
@@ -52,8 +53,8 @@
 	}
 }
 
-// requeue puts a request back for its next attempt. A new object is placed anew where a second copy of it
-// does no harm or cannot come about.
+// requeue queues a request for its next attempt. A new object is placed again if a second copy of it is
+// harmless or cannot exist.
 func (s *Scheduler) requeue(r *request) {
 	if r.Cell < 0 && (r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent) {
 		r.shard = s.placeNewObject(r)
@@ -61,9 +62,8 @@
 	s.backlog.enqueue(r)
 }
 
-// shedLate ends at once the queued requests that would miss their objective even if they were sent now, as
-// they would only take slots from requests that can still be in time, and those that may not be retried any
-// more.
+// shedLate ends the queued requests that would miss their objective even if they were sent now, as they would
+// only take slots from requests that can still be in time, and those that may no longer be retried.
 func (s *Scheduler) shedLate(queue *shardQueue) {
 	n := queue.node
 	for _, r := range slices.Clone(queue.requests) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// finishUnserved ends a request that is not served: by a rejection where its promise holds, else by a
-// failure.
+// finishUnserved ends a request that is not served: with Reject if a retry by the client is safe, else with
+// Fail.
 func (s *Scheduler) finishUnserved(r *request, retryAfter time.Duration) {
 	if r.mayHaveRunOn != nil && !r.class.RetrySafe() {
 		s.emit(Fail{ID: r.ID})
@@ -93,8 +93,8 @@
 	s.finish(r)
 }
 
-// finish closes a request that has its answer. While an attempt is in flight it stays known and keeps its
-// key's turn.
+// finish closes a request that has its answer. While an attempt is in flight, the request remains in the
+// table and keeps its place in its key's order.
 func (s *Scheduler) finish(r *request) {
 	s.backlog.dequeue(r)
 	if r.attempts == 0 {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -33,7 +33,7 @@
 }
 
 // allowsRetry reports whether one more retry stays within the budget. At the window's edge a retry still
-// counts and an admission does not, so that the budget holds whichever way the edge is counted.
+// counts and an admission does not, so that the budget is kept whichever way the edge is counted.
 func (b *retryBudget) allowsRetry(now time.Duration) bool {
 	if !b.enabled {
 		return true
@@ -48,8 +48,8 @@
 	b.admissions.dropWhile(func(at time.Duration) bool { return at <= now-b.window })
 }
 
-// mayRetry reports whether a request may be sent again, to a node: within the number of attempts and the
-// retry budget, and only where a second execution does no harm.
+// mayRetry reports whether a request may be sent again, to a node: it must be within MaxAttempts and the
+// retry budget, and a second execution must do no harm.
 func (s *Scheduler) mayRetry(r *request, n *node) bool {
 	if r.attempts >= s.settings.MaxAttempts || !s.retries.allowsRetry(s.now) {
 		return false
@@ -63,7 +63,7 @@
 	return r.class.deduplicates(r.mayHaveRunOn, n)
 }
 
-// deduplicates reports whether one node drops a repeat of what has run on another.
+// deduplicates reports whether the second node ignores a duplicate of a request that has run on the first.
 func (c *class) deduplicates(first, second *node) bool {
 	switch c.DedupScope {
 	case DedupAll:
@@ -76,8 +76,9 @@
 	return false
 }
 
-// retryDeadline is when the window ends in which nodes drop a repeat of a request that may have run, however
-// late the connection for its next attempt comes up; 0: there is no such window.
+// retryDeadline returns the time after which a request that may have run must not be sent again, however late
+// the connection for its next attempt is established: the end of its deduplication window, less a margin; 0:
+// there is no such window.
 func (r *request) retryDeadline() time.Duration {
 	if r.mayHaveRunOn == nil || r.class.Idempotency != IdempotentByKey {
 		return 0
@@ -85,7 +86,7 @@
 	return r.mayHaveRunSince + r.class.DedupWindow - timingMargin
 }
 
-// isRetryable reports whether a request whose attempt ended this way is worth another attempt.
+// isRetryable reports whether a request is queued for another attempt after one that ended with this code.
 func (s *Scheduler) isRetryable(r *request, code ResultCode) bool {
 	switch code {
 	case OK, NotApplicable, Cancelled:
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// reviewInterval is how often requests that wait or are in flight are looked at while no event arrives.
+	// reviewInterval is the interval between decisions on queued and in-flight requests while no event
+	// arrives.
 	reviewInterval = 5 * time.Millisecond
-	// stallThreshold is the delay of a review beyond which this process counts as having stalled.
+	// stallThreshold is the delay of a review beyond which this process is considered to have stalled.
 	stallThreshold = 50 * time.Millisecond
-	// timingMargin, two reviews, is kept before each time by which something must be over.
+	// timingMargin is the margin kept before each deadline: two review intervals.
 	timingMargin = 2 * reviewInterval
 )
 
@@ -20,7 +21,7 @@
 	tokenWatch  = 2
 )
 
-// Scheduler queues requests and decides when and where they are sent. Create one by New. It is owned by one
+// Scheduler queues requests and decides when and where they are sent. Create one with New. It is owned by one
 // goroutine.
 type Scheduler struct {
 	settings   Settings
@@ -31,7 +32,7 @@
 	actions    []Action // collected since the last Decide
 	classes    []*class // by number
 	requests   map[uint32]*request
-	sequence   uint64 // of the request admitted last
+	sequence   uint64 // number of the request admitted last
 	inFlight   int    // attempts
 	objectives objectives
 	endpoints  endpointView
@@ -45,7 +46,7 @@
 	batcher    Batcher // nil: each request is sent alone
 }
 
-// objectives are the extremes of the settings against which single requests are compared.
+// objectives are the extremes of the settings with which single requests are compared.
 type objectives struct {
 	shortest       time.Duration // latency objective of any class; 0: no class has one
 	maxClassWeight float64       // priority weight
@@ -56,11 +57,11 @@
 type reviewTimer struct {
 	pending bool
 	dueAt   time.Duration
-	stalled bool // the review due came so late that this process cannot have been running
+	stalled bool // the pending review is so late that this process must have stalled
 }
 
-// New returns a scheduler that knows nothing but its settings. Instances that share nodes want different
-// seeds.
+// New returns a scheduler without endpoints and statistics. Instances that share nodes need different seeds,
+// as random delays keep them from acting in step.
 func New(seed uint64, settings Settings) *Scheduler {
 	s := &Scheduler{
 		settings:   settings,
@@ -93,8 +94,8 @@
 	return o
 }
 
-// Handle takes one event in. The clock value must not be smaller than that of an earlier call. Events that
-// the scheduler makes no use of (ResponseStarted, HealthCheckResult, PeerMessage) only advance the clock.
+// Handle processes one event. The clock value must not be smaller than that of an earlier call. Events that
+// the scheduler does not use (ResponseStarted, HealthCheckResult, PeerMessage) only advance the clock.
 func (s *Scheduler) Handle(now time.Duration, event Event) {
 	s.advanceClock(now)
 	switch event := event.(type) {
@@ -131,7 +132,8 @@
 	return actions
 }
 
-// advanceClock sets the clock. At the first event it also opens the watch that a polling site needs.
+// advanceClock sets the clock. On the first call it also opens the watch of the endpoint list, if
+// PollEndpoints is set.
 func (s *Scheduler) advanceClock(now time.Duration) {
 	if now != s.now {
 		s.review.stalled = s.review.pending && now > s.review.dueAt+stallThreshold
@@ -163,7 +165,7 @@
 	}
 }
 
-// instanceShare is this instance's even share of what all instances together may have.
+// instanceShare returns this instance's even share of a total for all instances.
 func (s *Scheduler) instanceShare(total float64) float64 {
 	return total / float64(max(s.settings.Instances, 1))
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Idempotency says what a second execution of a request does.
+// Idempotency specifies the effect of a second execution of a request.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // a second execution does no harm
-	IdempotentByKey                    // nodes in the class's scope drop a repeated key within its window
+	IdempotentByKey                    // nodes in the class's scope deduplicate a key within its window
 	NotIdempotent                      // a second execution does harm
 )
 
-// DedupScope names the nodes that drop each other's repeated idempotency keys.
+// DedupScope specifies the nodes that deduplicate idempotency keys among each other.
 type DedupScope uint8
 
 // The scopes of deduplication.
 const (
 	DedupAll  DedupScope = iota // all nodes
 	DedupZone                   // the nodes of one zone
-	DedupCell                   // the nodes that hold one cell, one after the other
+	DedupCell                   // the successive nodes that hold one cell
 )
 
 // Class is a class of requests as the settings describe it.
 type Class struct {
-	LatencyObjective time.Duration // answers are wanted within; 0: no objective
+	LatencyObjective time.Duration // latency within which requests should be answered; 0: no objective
 	Deadline         time.Duration // total time that a client waits, over all its tries
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // of classes that are idempotent by key
-	DedupWindow      time.Duration // how long that scope remembers a key
+	DedupWindow      time.Duration // how long the nodes of that scope store a key
 	OrderedByKey     bool          // requests of one key run one at a time, in arrival order
 	Writes           bool
 	PriorityWeight   float64 // value of an answer within the objective; 0: not set
-	LateFraction     float64 // part of that value which a late answer still has
+	LateFraction     float64 // fraction of that value that a late answer still has
 }
 
 // RetrySafe reports whether a request of the class that may have run can be executed again on any node, so
-// that rejecting it with the promise of no harm stays true.
+// that it may be answered with Reject, which guarantees that a retry is safe.
 func (c Class) RetrySafe() bool {
 	return c.Idempotency == Idempotent || (c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll)
 }
@@ -49,40 +49,40 @@
 	Weight         float64 // of the fair share beyond the reserve
 	Limit          float64 // rate of the quota; 0: no quota
 	Burst          float64 // units that the quota's bucket holds
-	LimitSlack     float64 // part of the quota that may be exceeded; not used
+	LimitSlack     float64 // excess over the quota that is tolerated; not used
 	PriorityWeight float64 // value of the plan's answers; 0: not set
 }
 
 // Settings configure a Scheduler. They do not change during its lifetime.
 //
-// They are what a site states; some only drivers read, and no decision rests on these yet: HealthChecks,
-// PeerMessages, Cancellation, HedgedRequests, ConnectTimeout, BatchInterval, MeterPeriod, SpareWeight,
-// DrainGrace, LoadFields, Zone and ReportsElsewhere, and of a Class or Plan Writes, LateFraction and
-// LimitSlack.
+// They are part of a site's settings. Some are read by drivers only, and no decision depends on them yet:
+// HealthChecks, PeerMessages, Cancellation, HedgedRequests, ConnectTimeout, BatchInterval, MeterPeriod,
+// SpareWeight, DrainGrace, LoadFields, Zone and ReportsElsewhere, and of a Class or Plan Writes,
+// LateFraction, Rate and LimitSlack.
 type Settings struct {
 	InstanceIndex     int // of this instance, from 0
-	Instances         int // that share the nodes
+	Instances         int // number of instances that share the nodes
 	Classes           []Class
 	Plans             []Plan
-	PollEndpoints     bool // the endpoint list comes only when asked for
+	PollEndpoints     bool // the endpoint list arrives only if the scheduler watches it
 	MaxAttempts       int  // of one request
 	HealthChecks      bool
 	PeerMessages      bool
 	Cancellation      bool
 	HedgedRequests    bool
-	RetryAfter        bool          // rejections may say when to come back
+	RetryAfter        bool          // rejections may state a Retry-After
 	MaxRetryAfter     time.Duration // the longest Retry-After
 	ConnectTimeout    time.Duration
-	BatchInterval     time.Duration // batches begin at most this often
+	BatchInterval     time.Duration // minimum time between batches
 	MeanUnits         float64       // of a request
 	MaxUnits          float64       // of a request
-	ColdCapacity      float64       // units from all instances within OverloadWindow
+	ColdCapacity      float64       // units that a cold node accepts from all instances within OverloadWindow
 	MeterPeriod       time.Duration
 	ShareWeight       float64       // value of units within the fair share, relative to those in the reserve
-	SpareWeight       float64       // value of units beyond it
-	PollTimeout       time.Duration // within which an instance that polls must have asked
-	PushGrace         time.Duration // for a broken watch of a pushed list; 0: it is polled
-	ColdFraction      float64       // ColdCapacity as a part of a warm node's capacity
+	SpareWeight       float64       // value of units beyond the fair share, likewise
+	PollTimeout       time.Duration // within which an instance that polls must request the list
+	PushGrace         time.Duration // time to reopen a broken watch of a pushed list; 0: it is polled
+	ColdFraction      float64       // ColdCapacity as a fraction of a warm node's capacity
 	SlowStartPeriod   time.Duration // after which a restarted node is warm, at the latest
 	OverloadWindow    time.Duration // over which a cold node's load is counted
 	OverloadFactor    float64       // by which the load must exceed the capacity to overload a node
@@ -94,6 +94,6 @@
 	RetryBudgetWindow time.Duration
 	LoadFields        []string // names of the values of a load report, in order
 	Zone              uint8
-	ReportsElsewhere  bool // nodes report service through other instances
+	ReportsElsewhere  bool // nodes report units served through other instances
 	RetriesMarked     bool // clients mark their retries
 }
--- a/scheduler/sfq.go
+++ b/scheduler/sfq.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// maxSlotCost bounds the slot cost of a request; the design's value.
+// maxSlotCost is the maximum slot cost of a request.
 const maxSlotCost = 4.0
 
 // shardQueue is the SFQ queue of one cell: requests by start tag, and the virtual time.
@@ -21,7 +21,7 @@
 // backlog tracks the shards that have requests queued.
 type backlog struct {
 	shards []*shardQueue // by cell
-	batch  []*shardQueue // the same as a batch begins; reused
+	batch  []*shardQueue // copy of shards at the start of a batch; its memory is reused
 }
 
 // snapshot returns the shards with requests queued. It is valid until the next call.
@@ -60,14 +60,14 @@
 	r.queued = false
 }
 
-// compareTags orders requests by start tag. At equal tags those wholly inside their reserve go first, then
-// the order of arrival decides.
+// compareTags orders requests by start tag. At equal tags, requests wholly inside their reserve are first,
+// then the order of arrival decides.
 func compareTags(a, b *request) int {
 	return cmp.Or(cmp.Compare(a.startTag, b.startTag), cmp.Compare(a.beyondReserve(), b.beyondReserve()),
 		cmp.Compare(a.sequence, b.sequence))
 }
 
-// beyondReserve is 0 for a request wholly inside its volume's reserve, else 1.
+// beyondReserve returns 0 for a request wholly inside its volume's reserve, else 1.
 func (r *request) beyondReserve() int {
 	if r.tagAdvance > 0 {
 		return 1
@@ -76,8 +76,8 @@
 }
 
 // assignTags gives a request its start tag and advances its volume's finish tag. Units inside the reserve do
-// not advance it, and a request wholly inside starts at the virtual time: the reserve comes first, the fair
-// share next.
+// not advance it, and a request wholly inside starts at the virtual time: the reserve is served before the
+// fair share.
 func (s *Scheduler) assignTags(r *request) {
 	queue := r.shard
 	r.reservedUnits = s.takeReserve(r.volume, r.Units)
@@ -91,8 +91,8 @@
 	r.sequence = s.sequence
 }
 
-// refundTags gives back what a request that was never sent has taken from its volume: its part of the finish
-// tag and of the reserve.
+// refundTags returns to the volume what a request that was never sent has taken from it: its advance of the
+// finish tag and its units of the reserve.
 func (r *request) refundTags() {
 	r.volume.finishTags[r.shard] -= r.tagAdvance
 	r.volume.reserve.level += r.reservedUnits
@@ -108,8 +108,8 @@
 	r.volume.finishTags[queue] = tag + beyond/r.volume.plan.Weight
 }
 
-// slotCost is the design's cost of a request: 1 slot up to the running mean of the class's sizes, the ratio
-// above.
+// slotCost returns the slots that a request of a size uses: 1 up to the running mean of the class's sizes;
+// above it, the ratio to that mean, rounded up, maxSlotCost at most.
 func (c *class) slotCost(units float64) float64 {
 	if c.count > 0 && units > c.meanUnits {
 		return min(maxSlotCost, math.Ceil(units/c.meanUnits))
--- a/scheduler/sliding_window.go
+++ b/scheduler/sliding_window.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// slidingWindow is a queue in which push and drop take constant time on average: dropped items stay in memory
-// until they are more than half of all. Items keep their index for good.
+// slidingWindow is a queue in which push and drop take amortized constant time: dropped items stay in memory
+// until they are more than half of all. The index of an item never changes.
 type slidingWindow[T any] struct {
 	items   []T
-	head    int // of items, dropped already
-	trimmed int // cut off before items
+	head    int // number of dropped items at the head of items
+	trimmed int // number of items removed from memory
 }
 
 // values returns the items that were not dropped, oldest first.
@@ -13,12 +13,12 @@
 
 func (w *slidingWindow[T]) push(item T) { w.items = append(w.items, item) }
 
-// pushed is how many items were ever pushed: the index of the next one.
+// pushed returns the number of items pushed so far, which is the index of the next one.
 func (w *slidingWindow[T]) pushed() int { return w.trimmed + len(w.items) }
 
-// dropWhile drops items from the head while old reports true.
-func (w *slidingWindow[T]) dropWhile(old func(T) bool) {
-	for w.head < len(w.items) && old(w.items[w.head]) {
+// dropWhile drops items from the head while isOld reports true.
+func (w *slidingWindow[T]) dropWhile(isOld func(T) bool) {
+	for w.head < len(w.items) && isOld(w.items[w.head]) {
 		w.head++
 	}
 	if 2*w.head > len(w.items) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// at returns the item with an index among all that were ever pushed, or nil if it was dropped.
+// at returns the item with an index among all pushed so far, or nil if it was dropped.
 func (w *slidingWindow[T]) at(index int) *T {
 	if index < w.trimmed+w.head {
 		return nil
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sumTolerance is far more than the part by which a running sum of units can be off by rounding.
+// sumTolerance is far above the relative rounding error of a running sum of units.
 const sumTolerance = 1e-6
 
 // sendRecord is a send that counts against a node's slow-start capacity.
@@ -14,22 +14,22 @@
 	units float64
 }
 
-// sendRef finds a sendRecord again: the node and the record's index among all of that node.
+// sendRef identifies a sendRecord by its node and its index among all records of that node.
 type sendRef struct {
 	node  *node
 	index int
 }
 
-// slowStartAllows reports whether a node may be sent so many units more now. A cold node takes a stated
-// capacity in any window over all instances; this instance uses its even share. Where that share is less than
-// the usual request, instances take turns.
+// slowStartAllows reports whether the given units may be sent to a node now. A cold node accepts ColdCapacity
+// from all instances in any window, and more as it warms up; this instance uses its even share. Where that
+// share is less than one unit, the smallest request, instances take turns.
 func (s *Scheduler) slowStartAllows(n *node, units float64) bool {
 	age, window := s.now-n.StartedAt, s.overloadWindow()
 	if n.StartedAt == 0 || s.settings.SlowStartPeriod == 0 || age >= s.settings.SlowStartPeriod+window {
 		return true
 	}
 	if n.StartedAt < s.startedAt && s.now-s.startedAt < window {
-		return false // an instance that just restarted does not know what it sent before: assume all
+		return false // earlier sends of a restarted instance are unknown: assume its whole share
 	}
 	if s.instanceShare(s.settings.ColdCapacity) >= 1 {
 		return s.fitsOverloadWindow(n, units, s.instanceShare(s.slowStartCapacity(age-window)))
@@ -37,23 +37,24 @@
 	return s.slowStartTurnAllows(n, units)
 }
 
-// slowStartTurnAllows is slowStartAllows for so many instances that each one's share is less than a request.
-// They take turns of one window each, as many at a time as leave each a usual request. Any window meets two
-// turns at most, which share the capacity: all instances at once stay within it, at the price that many
-// reject most of a cold shard's requests.
+// slowStartTurnAllows is slowStartAllows where there are more instances than units of cold capacity, so that
+// the share of each is less than a request. They take turns of one window each; as many instances share a
+// turn as can send a request of mean size each. Any window overlaps two turns at most, which share the
+// capacity: all instances together stay within it, at the price that many instances reject most of a cold
+// shard's requests.
 func (s *Scheduler) slowStartTurnAllows(n *node, units float64) bool {
 	age, window := s.now-n.StartedAt, s.overloadWindow()
 	instances := float64(max(s.settings.Instances, 1))
-	usual := max(s.settings.MeanUnits, 1)
+	meanUnits := max(s.settings.MeanUnits, 1)
 	turn := age / window
 	turnCapacity := s.slowStartCapacity((turn-1)*window) / 2
-	turns := math.Ceil(instances / max(1, math.Floor(turnCapacity/usual)))
-	isOurs := math.Mod(float64(turn)+float64(s.settings.InstanceIndex), turns) == 0
-	return isOurs && s.fitsOverloadWindow(n, units, turnCapacity/math.Ceil(instances/turns))
+	turns := math.Ceil(instances / max(1, math.Floor(turnCapacity/meanUnits)))
+	isOwnTurn := math.Mod(float64(turn)+float64(s.settings.InstanceIndex), turns) == 0
+	return isOwnTurn && s.fitsOverloadWindow(n, units, turnCapacity/math.Ceil(instances/turns))
 }
 
-// slowStartCapacity is how many units a node takes in a window that begins so long after its start: the cold
-// capacity at first, growing evenly to that of a warm node at the end of the slow start.
+// slowStartCapacity returns the units that a node accepts in a window that begins sinceStart after the node's
+// start: the cold capacity at first, growing linearly to that of a warm node at the end of the slow start.
 func (s *Scheduler) slowStartCapacity(sinceStart time.Duration) float64 {
 	if sinceStart <= 0 || s.settings.ColdFraction <= 0 {
 		return s.settings.ColdCapacity
@@ -64,9 +65,9 @@
 
 func (s *Scheduler) overloadWindow() time.Duration { return max(s.settings.OverloadWindow, 1) }
 
-// fitsOverloadWindow reports whether units more stay within a capacity over one window. Only where the
-// running sum is too near to the capacity to tell are the sends added up one by one, so that the answer does
-// not hang on rounding.
+// fitsOverloadWindow reports whether a node's sends of one window and the given units stay within a capacity.
+// Only where the running sum is too close to the capacity to decide are the sends added up one by one, so
+// that the result does not depend on rounding.
 func (s *Scheduler) fitsOverloadWindow(n *node, units, capacity float64) bool {
 	n.dropOldSends(s.now, s.overloadWindow())
 	total := units + n.unitsSent
@@ -89,7 +90,7 @@
 	n.unitsSent += r.Units
 }
 
-// dropOldSends forgets what was sent before the window. It costs the same however many sends are recorded.
+// dropOldSends drops the records of sends before the window, in amortized constant time.
 func (n *node) dropOldSends(now, window time.Duration) {
 	n.sends.dropWhile(func(record sendRecord) bool {
 		if record.at >= now-window {
@@ -103,8 +104,8 @@
 	}
 }
 
-// creditServed reduces what a node has served by the overload factor: what it keeps up with does not overload
-// it, while what it does not answer counts in full.
+// creditServed divides the recorded units of a request that a node has served by the overload factor:
+// requests that the node keeps up with do not overload it, while those that it does not answer count in full.
 func (s *Scheduler) creditServed(n *node, r *request) {
 	factor := s.settings.OverloadFactor
 	if factor <= 1 {
@@ -112,7 +113,7 @@
 	}
 	for _, ref := range r.sends {
 		if ref.node != n {
-			continue // records are counted by node: another's index means nothing here
+			continue // the index is valid only in the records of its own node
 		}
 		if record := n.sends.at(ref.index); record != nil {
 			n.unitsSent -= record.units - record.units/factor
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// Statistics are what a scheduler has learned and may pass on to its next incarnation: latencies and sizes,
-// nothing that a guarantee rests on. Which of them are still valid there is not decided here (package
-// checkpoint).
+// Statistics are the latencies and sizes that a scheduler has learned and may pass on to its next
+// incarnation; no guarantee depends on them. Package checkpoint decides which of them are still valid there.
 type Statistics struct {
 	Nodes         map[Server]NodeStatistics
-	Classes       []ClassStatistics // by number of the class
+	Classes       []ClassStatistics // by class number
 	AllClasses    Regression
-	MedianLatency time.Duration // of the usual request
-	RecentLatency time.Duration // its mean over the last attempts
+	MedianLatency time.Duration // running median, normalized to the average request
+	RecentLatency time.Duration // mean over the last attempts, likewise
 }
 
-// NodeStatistics are the mean latency of the usual request at a node and its mean deviation.
+// NodeStatistics are the mean latency of the average request at a node and its mean deviation.
 type NodeStatistics struct {
 	Latency   time.Duration `cbor:"Latency"`
 	Deviation time.Duration `cbor:"Deviation"`
@@ -35,7 +34,8 @@
 	MeanProduct float64 `cbor:"Cross"`
 }
 
-// Statistics returns what the scheduler has learned. Nodes of which nothing was heard are left out.
+// Statistics returns the learned statistics. Nodes that are not ready or have no recorded latency are
+// omitted.
 func (s *Scheduler) Statistics() Statistics {
 	statistics := Statistics{Nodes: map[Server]NodeStatistics{}, AllClasses: s.latency.allClasses.export(),
 		MedianLatency: s.latency.runningMedian, RecentLatency: s.latency.recentMean}
@@ -51,20 +51,20 @@
 	return statistics
 }
 
-// RestoreStatistics takes over statistics of an earlier incarnation, each only where nothing was learned here
-// yet, so that it may be called again as nodes become known. It returns the number of nodes whose statistics
-// it took over.
+// RestoreStatistics restores the statistics of an earlier incarnation, each only where none were learned here
+// yet, so that it may be called again as nodes are listed. It returns the number of nodes whose statistics it
+// restored.
 func (s *Scheduler) RestoreStatistics(saved Statistics) (nodes int) {
-	for server, was := range saved.Nodes {
+	for server, learned := range saved.Nodes {
 		n := s.endpoints.nodes[server]
 		if n != nil && n.latencyUpdatedAt == 0 && n.Status == Ready {
-			n.latency, n.deviation = was.Latency, was.Deviation
+			n.latency, n.deviation = learned.Latency, learned.Deviation
 			nodes++
 		}
 	}
-	for i, was := range saved.Classes {
-		if c := s.classes[i]; c.count == 0 && was.Count > 0 {
-			c.meanUnits, c.count, c.latency = was.MeanUnits, was.Count, was.Latency.restore()
+	for i, learned := range saved.Classes {
+		if c := s.classes[i]; c.count == 0 && learned.Count > 0 {
+			c.meanUnits, c.count, c.latency = learned.MeanUnits, learned.Count, learned.Latency.restore()
 		}
 	}
 	if s.latency.allClasses.count == 0 && saved.AllClasses.Count > 0 {
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -1,25 +1,25 @@
 package scheduler
 
 const (
-	maxVolumes      = 1 << 16 // over so many, idle ones keep no finish tags
-	volumesPerSweep = 2       // looked at for each request admitted
+	maxVolumes      = 1 << 16 // above this number, idle ones keep no finish tags
+	volumesPerSweep = 2       // inspected for each request admitted
 )
 
 // volume is a flow in the sense of SFQ: its requests share tags, reserve and quota.
 type volume struct {
 	id           uint64
 	plan         Plan
-	instances    float64 // through which its requests come
+	instances    float64 // number of instances through which its requests arrive
 	reserve      tokenBucket
 	limit        tokenBucket
-	finishTags   map[*shardQueue]float64 // of its last request
+	finishTags   map[*shardQueue]float64 // of its last request in each shard
 	openRequests int
 }
 
-// volumeTable holds the volumes that have open requests or of which more is known than of a new one.
+// volumeTable holds the volumes that have open requests or whose state differs from that of a new one.
 type volumeTable struct {
 	byID       map[uint64]*volume
-	order      []*volume // the same, in the order in which sweeps look at them
+	order      []*volume // the same, in the order in which sweeps inspect them
 	sweepIndex int
 }
 
@@ -28,7 +28,7 @@
 	t.order = append(t.order, v)
 }
 
-// sweep looks at a few volumes in turn and forgets those that are forgettable.
+// sweep inspects the next volumesPerSweep volumes and deletes those that are forgettable.
 func (t *volumeTable) sweep(isForgettable func(*volume) bool) {
 	for range min(volumesPerSweep, len(t.order)) {
 		if t.sweepIndex >= len(t.order) {
@@ -46,9 +46,9 @@
 	}
 }
 
-// volumeFor returns a request's volume, which is made when it is first seen. The bucket of its quota starts
-// empty: an instance that was killed may have spent it before, and units that other instances count on must
-// not come twice.
+// volumeFor returns a request's volume and creates it on first use. The bucket of its quota starts empty: an
+// instance that was killed may have spent it before, and units that other instances rely on must not be
+// granted twice.
 func (s *Scheduler) volumeFor(r Request) *volume {
 	v := s.volumes.byID[r.Volume]
 	if v == nil {
@@ -67,9 +67,9 @@
 	return v
 }
 
-// forgetIdleVolumes forgets volumes of which no more is known than of a new one, so that volumes seen once do
-// not accumulate. Where very many volumes come once each, the virtual time hardly passes their finish tags:
-// over maxVolumes, idle ones are forgotten all the same, and one that comes again soon may start ahead of its
+// forgetIdleVolumes deletes volumes whose state equals that of a new one, so that volumes seen once do not
+// accumulate. Where very many volumes send one request each, the virtual time hardly passes their finish
+// tags: above maxVolumes, idle ones are deleted all the same, and one that returns soon may get more than its
 // share.
 func (s *Scheduler) forgetIdleVolumes() { s.volumes.sweep(s.isForgettable) }
 
@@ -77,7 +77,7 @@
 	if v.openRequests > 0 {
 		return false
 	}
-	// A bucket made anew must hold as much as this one: both are full.
+	// A new bucket must hold as much as this one: both must be full.
 	rate, burst := v.quota()
 	fresh := tokenBucket{filledAt: s.startedAt}
 	if v.plan.Limit > 0 && !(v.limit.isFullAt(s.now, rate, burst) && fresh.isFullAt(s.now, rate, burst)) {
@@ -89,7 +89,7 @@
 	return len(s.volumes.order) > maxVolumes || !v.isAhead()
 }
 
-// isAhead reports whether a finish tag of the volume lies beyond its shard's virtual time.
+// isAhead reports whether a finish tag of the volume is beyond its shard's virtual time.
 func (v *volume) isAhead() bool {
 	for queue, tag := range v.finishTags {
 		if tag > queue.virtualTime {
