--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -12,8 +12,8 @@
 	congestionThreshold = 0.3  // of the shortest objective: higher latencies reduce fleetSlots
 	congestionExponent  = 4.0  // fleetSlots is divided by this power of latency over threshold
 	maxDepth            = 24.0 // in slots; also the limit of attempts in flight at a node, lost ones included
-	depthGain           = 3.0  // slots that all instances together add to the wanted depth per period
-	depthStep           = 0.5  // fraction of the difference to the wanted depth that is applied per period
+	depthGain           = 3.0  // slots that all instances together add to the target depth per period
+	depthStep           = 0.5  // fraction of the difference to the target depth that is applied per period
 	nodeTimeFraction    = 0.1  // target latency at a node, as a fraction of the shortest objective
 	extraSlots          = 8.0  // added to the slot limit at an idle node, for volumes not ahead
 	extraSlotsThreshold = 0.5  // of the shortest objective: latency at which there are no extra slots
@@ -94,9 +94,9 @@
 		return
 	}
 	fittingDepth := n.depth * float64(s.targetLatency()) / float64(n.latency)
-	wantedDepth := min(fittingDepth, n.depth) + s.instanceShare(depthGain)
-	if wantedDepth < n.depth || n.depthReached {
-		n.depth = min(maxDepth, max(s.minDepth(), n.depth+depthStep*(wantedDepth-n.depth)))
+	targetDepth := min(fittingDepth, n.depth) + s.instanceShare(depthGain)
+	if targetDepth < n.depth || n.depthReached {
+		n.depth = min(maxDepth, max(s.minDepth(), n.depth+depthStep*(targetDepth-n.depth)))
 	}
 	n.depthReached, n.depthAdaptedAt = false, s.now
 }
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -28,14 +28,14 @@
 	t.order = append(t.order, v)
 }
 
-// sweep inspects the next volumesPerSweep volumes and deletes those that are forgettable.
-func (t *volumeTable) sweep(isForgettable func(*volume) bool) {
+// sweep inspects the next volumesPerSweep volumes and deletes those that isEvictable selects.
+func (t *volumeTable) sweep(isEvictable func(*volume) bool) {
 	for range min(volumesPerSweep, len(t.order)) {
 		if t.sweepIndex >= len(t.order) {
 			t.sweepIndex = 0
 		}
 		v := t.order[t.sweepIndex]
-		if !isForgettable(v) {
+		if !isEvictable(v) {
 			t.sweepIndex++
 			continue
 		}
