--- a/scheduler/batching_test.go
+++ b/scheduler/batching_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-// greedyBatcher proposes all requests that it knows, in order, each adding its units to the operation.
+// greedyBatcher proposes all requests added to it, in that order. Each adds its units to the operation.
 type greedyBatcher struct {
 	ids        []uint32
 	units      map[uint32]float64
-	maxMembers int // of an operation, its leader included
+	maxMembers int // limit per operation, including its leader
 }
 
 func newGreedyBatcher(maxMembers int) *greedyBatcher {
 	return &greedyBatcher{units: map[uint32]float64{}, maxMembers: maxMembers}
 }
 
-// Propose offers every other request that it knows until the operation has all the members it may have.
+// Propose proposes every other request added until the operation has maxMembers members.
 func (b *greedyBatcher) Propose(id uint32, join func(uint32, float64) bool) {
 	units, members := b.units[id], 1
 	for _, other := range b.ids {
@@ -30,14 +30,14 @@
 	}
 }
 
-// add makes a request known to the batcher and returns it.
+// add registers a request with the batcher and returns it.
 func (b *greedyBatcher) add(r Request) Request {
 	b.ids = append(b.ids, r.ID)
 	b.units[r.ID] = r.Units
 	return r
 }
 
-// batchingDriver is a testDriver whose scheduler has a batcher and one node, which takes one slot.
+// batchingDriver is a testDriver whose scheduler has a batcher and one node, with a depth of one slot.
 type batchingDriver struct {
 	*testDriver
 	batcher  *greedyBatcher
@@ -54,12 +54,12 @@
 	return batchingDriver{driver, batcher, n}
 }
 
-// newBatchable makes a request that the batcher proposes.
+// newBatchable returns a request that the batcher proposes.
 func (d batchingDriver) newBatchable(change func(*Request)) Request {
 	return d.batcher.add(d.newRequest(change))
 }
 
-// membersByLeader lists the members of the operations among actions, by their leader.
+// membersByLeader returns the members of the operations among actions, by the ID of the leader.
 func membersByLeader(actions []Action) map[uint32][]uint32 {
 	members := map[uint32][]uint32{}
 	for _, action := range actions {
@@ -72,8 +72,8 @@
 	return members
 }
 
-// Queued requests are sent with the one whose turn it is as one operation. It costs the slots of its size,
-// its end is learned from once, and each member ends by itself.
+// Queued requests are sent as one operation with the request that is dispatched. The operation is charged the
+// slot cost of its total size, its latency is recorded once, and each member ends separately.
 func TestBatching_QueuedRequestsFormOneOperation(t *testing.T) {
 	driver := startBatchingDriver(t, smallSiteSettings())
 	scheduler, n := driver.scheduler, driver.soleNode
@@ -85,37 +85,37 @@
 	wantEqual(t, "slots used, operations in flight, attempts in flight, queue length",
 		[]float64{n.slotsUsed, float64(len(n.inFlight)), float64(scheduler.inFlight),
 			float64(len(driver.queue(0).requests))}, 4, 1, 4, 0)
-	learnedBefore := scheduler.classes[0].latency.count
+	recordedBefore := scheduler.classes[0].latency.count
 	for id := uint32(1); id <= 3; id++ {
 		driver.handle(AttemptResult{ID: id, Server: testServer(0), Code: OK, Latency: 10 * ms,
 			RequestDone: true})
 	}
-	learned := scheduler.classes[0].latency.count - learnedBefore
-	wantEqual(t, "slots used, answers learned from", []float64{n.slotsUsed, learned}, 0, 1)
+	recorded := scheduler.classes[0].latency.count - recordedBefore
+	wantEqual(t, "slots used, latencies recorded", []float64{n.slotsUsed, recorded}, 0, 1)
 	wantEqual(t, "retries", sentIDs(driver.finishAttempt(4, 0, 0, Error, 10*ms)), 4)
-	if _, known := scheduler.requests[1]; known || len(scheduler.requests) != 1 {
-		t.Errorf("%d requests are known, want the last alone", len(scheduler.requests))
+	if _, open := scheduler.requests[1]; open || len(scheduler.requests) != 1 {
+		t.Errorf("got %d open requests, want only the last", len(scheduler.requests))
 	}
 }
 
-// An operation that is lost counts as one lost attempt: its members add nothing to what its leader added.
-func TestBatching_LostOperationIsLearnedFromOnce(t *testing.T) {
+// A lost operation counts as one lost attempt: only the leader's result changes the node's latency.
+func TestBatching_LostOperationUpdatesLatencyOnce(t *testing.T) {
 	driver := startBatchingDriver(t, smallSiteSettings())
 	driver.soleNode.latency = 100 * ms
 	driver.handle(driver.newBatchable(nil), driver.newBatchable(nil), driver.newBatchable(nil))
 	driver.now += time.Second
 	for id := uint32(1); id <= 3; id++ {
-		driver.scheduler.review.pending = false // else the jump of the clock would count as a stall
+		driver.scheduler.review.pending = false // else the clock jump counts as a stall
 		driver.scheduler.Handle(driver.now, AttemptResult{ID: id, Server: testServer(0), Code: TimedOut,
 			Latency: time.Second})
 	}
 	if want := 100*ms + time.Duration(lossGain*float64(time.Second)); driver.soleNode.latency != want {
-		t.Errorf("latency %v, want %v", driver.soleNode.latency, want)
+		t.Errorf("got latency %v, want %v", driver.soleNode.latency, want)
 	}
 }
 
-// An operation that fails counts as one failure of its node, and its members are retried alone.
-func TestBatching_MembersOfFailedOperationAreRetriedAlone(t *testing.T) {
+// A failed operation counts as one failure of its node, and its requests are retried separately.
+func TestBatching_RequestsOfFailedOperationAreRetriedSeparately(t *testing.T) {
 	driver := startBatchingDriver(t, smallSiteSettings())
 	n := driver.soleNode
 	driver.handle(driver.newBatchable(nil), driver.newBatchable(nil), driver.newBatchable(nil))
@@ -124,18 +124,18 @@
 			Latency: ms})
 	}
 	if n.failures != 1 {
-		t.Errorf("%d failures of the node, want 1", n.failures)
+		t.Errorf("got %d failures of the node, want 1", n.failures)
 	}
 	n.failures, n.depth = 0, 8
 	for leader, members := range membersByLeader(driver.handle()) {
 		if len(members) > 0 {
-			t.Errorf("request %d is retried with %v", leader, members)
+			t.Errorf("members of the retry of request %d: got %v, want none", leader, members)
 		}
 	}
 }
 
-// Each member is held to its own volume's quota, its own deadline and the turn of its own key.
-func TestBatching_GuardsHoldForEachMember(t *testing.T) {
+// Each member must be within its own volume's quota, its own deadline and the order of its own key.
+func TestBatching_LimitsApplyToEachMember(t *testing.T) {
 	t.Run("quota", func(t *testing.T) {
 		settings := limitSettings()
 		settings.Plans = append(settings.Plans, Plan{Rate: 10, Weight: 1})
@@ -146,7 +146,7 @@
 		actions := driver.handle(overQuota, driver.newBatchable(unlimited))
 		actions = append(actions, driver.finishAttempt(1, 0, 0, OK, ms)...)
 		if got := membersByLeader(actions); len(got) != 1 || len(got[2]) != 0 {
-			t.Errorf("members by leader, next to a volume beyond its quota: %v", got)
+			t.Errorf("members by leader: got %v, want none of a volume over its quota", got)
 		}
 	})
 	t.Run("deadline", func(t *testing.T) {
@@ -156,10 +156,10 @@
 			driver.scheduler.latency.allClasses.add(1, 0.1)
 		}
 		driver.scheduler.latency.recentMean = 100 * ms
-		impatient := func(r *Request) { r.ExpiresAt = driver.now + 40*ms }
-		driver.handle(driver.newBatchable(nil), driver.newBatchable(impatient))
+		withShortDeadline := func(r *Request) { r.ExpiresAt = driver.now + 40*ms }
+		driver.handle(driver.newBatchable(nil), driver.newBatchable(withShortDeadline))
 		if got := membersByLeader(driver.actions); len(got[1]) != 0 {
-			t.Errorf("a request with 40 ms left joined an operation that takes 100 ms: %v", got)
+			t.Errorf("members by leader: got %v, want none with 40 ms left for 100 ms", got)
 		}
 	})
 	t.Run("key", func(t *testing.T) {
@@ -172,14 +172,15 @@
 		}
 		first, second, third := withKey(5), withKey(5), withKey(5)
 		driver.batcher.add(first)
-		driver.batcher.add(third) // proposed before the second: it may not pass it
+		driver.batcher.add(third) // proposed before the second, which it must not overtake
 		driver.batcher.add(second)
 		driver.batcher.add(withKey(6))
 		wantEqual(t, "members", membersByLeader(driver.handle(first, second, third))[1], 2)
 	})
 }
 
-// A member joins only while the operation is expected to end no later than each of its requests would alone.
+// A member joins only if the operation is expected to end no later than each of its requests would end alone,
+// plus the node's mean deviation.
 func TestBatching_MemberIsNotDelayed(t *testing.T) {
 	driver := startBatchingDriver(t, smallSiteSettings())
 	for i := range 64 { // each unit takes 10 ms
@@ -197,9 +198,9 @@
 	wantEqual(t, "members", membersByLeader(driver.handle(requests...))[1], 2)
 }
 
-// Over a long backlog each volume's service differs from its share without merging by less than one largest
-// request beyond what start-time fair queueing itself allows, however eagerly the batcher proposes the
-// requests of one volume.
+// During a long backlog, merging shifts the service between two volumes by less than one request of the
+// largest size beyond the bound of start-time fair queueing, even if the batcher proposes the requests of one
+// volume only.
 func TestBatching_KeepsSharesOfVolumes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		backlog := newFullBacklog(t)
@@ -209,16 +210,16 @@
 			backlog.checkShares(t)
 		}
 		if math.IsNaN(backlog.scheduler.endpoints.shards[0].virtualTime) {
-			t.Fatal("virtual time is not a number")
+			t.Fatal("virtual time: got NaN, want a number")
 		}
 	})
 }
 
-// queuedPerVolume is how many requests a fullBacklog keeps queued for each volume.
+// queuedPerVolume is the number of requests that a fullBacklog keeps queued for each volume.
 const queuedPerVolume = 24
 
 // fullBacklog drives a scheduler with three volumes that always have requests queued. The batcher proposes
-// those of volume 0 alone.
+// only those of volume 0.
 type fullBacklog struct {
 	settings  Settings
 	scheduler *Scheduler
@@ -240,13 +241,13 @@
 	b.scheduler.Handle(b.now, update)
 	b.batcher = newGreedyBatcher(rapid.IntRange(1, 12).Draw(t, "members"))
 	b.scheduler.SetBatcher(b.batcher)
-	// Each request costs one slot, so that none is backfilled: backfill lets a volume be ahead by some more,
+	// Each request costs one slot, so that none is backfilled: backfill lets a volume get further ahead,
 	// which is not tested here.
 	b.scheduler.classes[0].count, b.scheduler.classes[0].meanUnits = 1e9, settings.MaxUnits
 	return b
 }
 
-// refill lets requests arrive until each volume has enough of them queued.
+// refill adds requests until each volume has queuedPerVolume of them queued.
 func (b *fullBacklog) refill(t *rapid.T) {
 	for volume := range b.queued {
 		for ; b.queued[volume] < queuedPerVolume; b.queued[volume]++ {
@@ -262,7 +263,7 @@
 	}
 }
 
-// serveBatch lets the scheduler send one batch, all of which is answered at once.
+// serveBatch lets the scheduler send one batch and answers all of its attempts at once.
 func (b *fullBacklog) serveBatch() {
 	n := b.scheduler.endpoints.nodes[testServer(0)]
 	n.depth, n.deviation, n.latency = 3, time.Hour, ms
@@ -279,15 +280,16 @@
 	b.now += ms
 }
 
-// checkShares compares the service of each two volumes. SFQ lets two backlogged flows differ by a largest
-// request of each; merging adds less than one of the volume that is ahead.
+// checkShares compares the service of each pair of volumes. SFQ lets two backlogged flows differ by a largest
+// request of each; merging adds less than one such request of the volume that is ahead.
 func (b *fullBacklog) checkShares(t *rapid.T) {
 	for v := range b.served {
 		for w := range b.served {
 			weightV, weightW := b.settings.Plans[v].Weight, b.settings.Plans[w].Weight
 			allowed := 2*b.settings.MaxUnits/weightV + b.settings.MaxUnits/weightW
 			if lead := b.served[v]/weightV - b.served[w]/weightW; lead > allowed+1e-9 {
-				t.Fatalf("volume %d is ahead of %d by %.1f, %.1f allowed: %v", v, w, lead, allowed, b.served)
+				t.Fatalf("lead of volume %d over %d: got %.1f, want %.1f at most; served %v", v, w, lead,
+					allowed, b.served)
 			}
 		}
 	}
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Extra slots beyond the depth are for volumes that have had no more than their share.
+// Only volumes that have received no more than their share get extra slots beyond the depth.
 func TestConcurrency_ExtraSlotsAreForVolumesNotAhead(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
 	driver.fixDepth(1).latency = 0
@@ -15,7 +15,7 @@
 		requests = append(requests, driver.newRequest(nil))
 	}
 	requests = append(requests, driver.newRequest(func(r *Request) { r.Volume = 2 }))
-	wantEqual(t, "one of the volume with four, one of the other", sentIDs(driver.handle(requests...)), 1, 5)
+	wantEqual(t, "sent, one request of each volume", sentIDs(driver.handle(requests...)), 1, 5)
 }
 
 func TestConcurrency_DepthFallsAtSlowNode(t *testing.T) {
@@ -29,22 +29,22 @@
 		driver.finishAttempt(driver.lastID, 0, 0, OK, 900*ms)
 	}
 	if n.depth > 1.01 {
-		t.Errorf("depth is %v at a node far over the target latency, want 1.01 at most", n.depth)
+		t.Errorf("depth at a node far above the target latency: got %v, want 1.01 at most", n.depth)
 	}
 }
 
-// Attempts whose answers never come must not use slots until the client's wait is over.
+// Attempts whose answers are lost must not use slots until the client's deadline.
 func TestConcurrency_ReleasesSlotsOfLostAttempts(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
 	n := driver.fixDepth(1)
 	n.latency, n.deviation = 600*ms, 10*ms
 	driver.handle(driver.newRequest(nil), driver.newRequest(nil))
-	wantEqual(t, "none while the first may still be answered", sentIDs(driver.advance(300*ms)))
-	wantEqual(t, "the second once the first counts as lost", sentIDs(driver.advance(390*ms)), 2)
+	wantEqual(t, "sent while the first may still be answered", sentIDs(driver.advance(300*ms)))
+	wantEqual(t, "sent once the first counts as lost", sentIDs(driver.advance(390*ms)), 2)
 }
 
-// Where one request of each instance is more than a node can serve in time, instances pace the requests that
-// start after the virtual time.
+// Where one request of each instance is more than a node can serve in time, the slot limit falls below one,
+// so that instances pace the requests whose start tag is after the virtual time.
 func TestConcurrency_SlotLimitFallsWithLatency(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Instances = 256
@@ -71,14 +71,15 @@
 				r.startTag = 2
 			}
 			if got := driver.scheduler.slotLimit(queue, r); got != test.want {
-				t.Errorf("slot limit is %v, want %v", got, test.want)
+				t.Errorf("slot limit: got %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Requests of less priority weight a unit must not fill a node that makes those of more weight wait; where
-// nothing waits at a node, all classes, plans and parts of the reserve get the same slots.
+// Requests of lower priority weight per unit must not fill a node at which those of higher weight wait. Where
+// nothing waits at the node, requests of all classes and plans, inside and outside the reserve, have the same
+// slot limit.
 func TestConcurrency_SlotLimitFallsEarlierForLowerPriority(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Instances, settings.ShareWeight = 256, 0.3
@@ -108,25 +109,25 @@
 			n.latency = 200 * ms
 			limit, highest := scheduler.slotLimit(queue, r), scheduler.slotLimit(queue, highPriority())
 			if limit != highest {
-				t.Errorf("slot limit is %v where nothing waits, want %v", limit, highest)
+				t.Errorf("slot limit where nothing waits: got %v, want %v", limit, highest)
 			}
 			n.latency = 500 * ms
 			limit, highest = scheduler.slotLimit(queue, r), scheduler.slotLimit(queue, highPriority())
 			if limit >= highest/2 {
-				t.Errorf("slot limit is %v where requests wait, want under half of %v", limit, highest)
+				t.Errorf("slot limit where requests wait: got %v, want under half of %v", limit, highest)
 			}
 		})
 	}
 }
 
-// Settings that state no priority weights leave all requests alike.
-func TestConcurrency_UnsetPriorityWeightsCountAlike(t *testing.T) {
+// Without priority weights in the settings, all requests have the same weight.
+func TestConcurrency_UnsetPriorityWeightsAreEqual(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Classes[0].PriorityWeight, settings.Plans[0].PriorityWeight, settings.ShareWeight = 0, 0, 0
 	driver := startDriver(t, settings, 1)
 	r := &request{Request: Request{Units: 2}, class: driver.scheduler.classes[0], volume: &volume{}}
 	if got := driver.scheduler.relativeWeight(r); got != 1 {
-		t.Errorf("relative weight is %v, want 1", got)
+		t.Errorf("relative weight: got %v, want 1", got)
 	}
 }
 
@@ -136,21 +137,21 @@
 	driver := startDriver(t, settings, 1)
 	n := driver.fixDepth(driver.scheduler.minDepth())
 	n.latency = 200 * ms
-	wantEqual(t, "least depth, a quarter of a slot", []float64{n.depth}, 0.25)
+	wantEqual(t, "minimum depth", []float64{n.depth}, 0.25)
 	settings.Instances = 2
-	wantEqual(t, "least depth where instances are few", []float64{New(1, settings).minDepth()}, 1)
+	wantEqual(t, "minimum depth with two instances", []float64{New(1, settings).minDepth()}, 1)
 	driver.queue(0).virtualTime = 1
 	driver.handle(driver.newRequest(nil), driver.newRequest(nil))
 	driver.now += 200 * ms
 	sent := sentIDs(driver.finishAttempt(1, 0, 0, OK, 200*ms))
-	wantEqual(t, "the next of a volume that is ahead waits for four latencies", sent)
+	wantEqual(t, "sent after one of the four latencies that a volume ahead waits", sent)
 	notAhead := driver.newRequest(func(r *Request) { r.Volume = 2 })
-	wantEqual(t, "one that is not ahead does not wait", sentIDs(driver.handle(notAhead)), 3)
+	wantEqual(t, "sent at once for a volume that is not ahead", sentIDs(driver.handle(notAhead)), 3)
 }
 
-// With many instances each hears of a node every few seconds: one pause of the node must not hold its
-// requests back until then.
-func TestConcurrency_PaceForgetsOneSlowAnswer(t *testing.T) {
+// With many instances, each gets an answer of a node only every few seconds: the high latency of one pause of
+// the node must not hold back requests until the next answer.
+func TestConcurrency_PaceRecoversAfterOneSlowAnswer(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Instances = 256
 	driver := startDriver(t, settings, 1)
@@ -161,17 +162,17 @@
 	queue.virtualTime, n.latency, n.latencyUpdatedAt = 1, 600*ms, driver.now
 	r := &request{Request: Request{Units: 1}, class: driver.scheduler.classes[0], volume: &volume{},
 		reservedUnits: 1, startTag: 2}
-	atOnce := driver.scheduler.slotLimit(queue, r)
+	initial := driver.scheduler.slotLimit(queue, r)
 	driver.scheduler.now += 4 * latencyHalfLife
-	if later := driver.scheduler.slotLimit(queue, r); later < 4*atOnce {
-		t.Errorf("slot limit is %v just after a slow answer and %v later, want four times as many", atOnce,
+	if later := driver.scheduler.slotLimit(queue, r); later < 4*initial {
+		t.Errorf("slot limit: got %v at a slow answer and %v later, want four times as much", initial,
 			later)
 	}
 }
 
-// New objects may go to any node, so none of them is due at one node: where restarts leave few nodes, those
-// of all instances would gather there and starve the reads that can go nowhere else. They are paced whatever
-// their volume has had; a read of a volume that is not ahead is not.
+// New objects may be placed on any node. Where restarts leave few nodes, the new objects of all instances
+// would concentrate there and starve reads that no other node can serve. New objects are therefore paced even
+// if their volume is not ahead; a read of such a volume is not paced.
 func TestConcurrency_NewObjectsArePaced(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Instances = 256
@@ -182,5 +183,5 @@
 	driver.now += 10 * ms
 	newObject := driver.newRequest(asNewObject)
 	read := driver.newRequest(func(r *Request) { r.Volume = 2 })
-	wantEqual(t, "the read is sent, the new object is not", sentIDs(driver.handle(newObject, read)), read.ID)
+	wantEqual(t, "sent, of a new object and a read", sentIDs(driver.handle(newObject, read)), read.ID)
 }
