--- a/scheduler/endpoint_watch_test.go
+++ b/scheduler/endpoint_watch_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pollingSettings are those of a small site that polls the endpoint list.
+// pollingSettings returns the settings of a small site that polls the endpoint list.
 func pollingSettings() Settings {
 	settings := smallSiteSettings()
 	settings.PollEndpoints = true
@@ -18,7 +18,7 @@
 	return slices.Contains(actions, Action(WatchEndpoints{On: true}))
 }
 
-// watchTimers lists the delays after which actions let the watch be opened again.
+// watchTimers returns the delays of the timers among the actions that reopen the watch.
 func watchTimers(actions []Action) (delays []time.Duration) {
 	for _, action := range actions {
 		if timer, ok := action.(SetTimer); ok && timer.Token == tokenWatch {
@@ -31,46 +31,47 @@
 func TestEndpointWatch_IsOpenedAndReopened(t *testing.T) {
 	driver := startDriver(t, pollingSettings(), 1)
 	if !opensWatch(driver.actions) {
-		t.Fatalf("no watch at the start: %v", driver.actions)
+		t.Fatalf("at the start: got %v, want the watch opened", driver.actions)
 	}
 	driver.handle(EndpointUpdate{Kind: UpdateFull})
 	actions := driver.handle(EndpointUpdate{Kind: UpdateFailed}, EndpointUpdate{Kind: UpdateFailed})
 	if timers := len(watchTimers(actions)); timers != 1 {
-		t.Errorf("%d timers for a new watch, want 1", timers)
+		t.Errorf("got %d timers for a new watch, want 1", timers)
 	}
 	driver.now += 2 * watchReopenDelay
 	if actions := driver.handle(TimerFired{Token: tokenWatch}); !opensWatch(actions) {
-		t.Errorf("not opened again: %v", actions)
+		t.Errorf("got %v, want the watch reopened", actions)
 	}
 	driver.handle(EndpointUpdate{Kind: UpdateDelta})
 	driver.now += time.Minute
 	if opensWatch(driver.handle(TimerFired{Token: tokenWatch})) {
-		t.Error("opened again though the watch stands")
+		t.Error("got the watch reopened, want it kept while it is established")
 	}
 }
 
-// The answer to a watch may get lost: one on which nothing comes does not count as standing.
+// The registry's answer to a watch may be lost: a watch that receives no update does not count as established
+// and is reopened.
 func TestEndpointWatch_IsReopenedAfterSilence(t *testing.T) {
 	settings := pollingSettings()
 	settings.PollTimeout = 10 * time.Second
 	driver := startDriver(t, settings, 1)
 	driver.now += 5 * time.Second
 	if actions := driver.handle(TimerFired{Token: tokenWatch}); !opensWatch(actions) {
-		t.Errorf("not opened again: %v", actions)
+		t.Errorf("got %v, want the watch reopened", actions)
 	}
 }
 
-// A watch that stood and broke is mostly back at once, and until then the list is out of date: it is opened
-// again soon. An update that it missed counts as notified soon, so a first call that fails is also repeated
-// sooner, and only then at the usual delay. A watch that never stood is opened again at the usual delay, as
-// its service is down or overloaded.
+// A watch that was established and broke can mostly be reopened at once, and until then the list is out of
+// date, so it is reopened after a short delay. An update that the watch missed counts as notified soon after
+// it was made, so failed calls are also repeated sooner, after delays that double up to the usual one. A
+// watch that was never established is reopened after the usual delay, as the registry is down or overloaded.
 func TestEndpointWatch_BrokenWatchIsReopenedSooner(t *testing.T) {
 	settings := pollingSettings()
 	settings.PollTimeout = 10 * time.Second
 	driver := startDriver(t, settings, 1)
-	for _, stood := range []bool{false, true, true} {
+	for _, established := range []bool{false, true, true} {
 		divisors := []time.Duration{1, 1}
-		if stood {
+		if established {
 			driver.handle(EndpointUpdate{Kind: UpdateDelta})
 			divisors = []time.Duration{8, 4, 2, 1, 1}
 		}
@@ -78,10 +79,11 @@
 			actions := driver.handle(EndpointUpdate{Kind: UpdateFailed})
 			delays := watchTimers(actions)
 			if len(delays) == 0 {
-				t.Fatalf("no new watch in %v", actions)
+				t.Fatalf("got %v, want a timer for a new watch", actions)
 			}
 			if delay := delays[0]; delay < watchReopenDelay/divisor || delay > 2*watchReopenDelay/divisor {
-				t.Errorf("stood %v, failure %d: opened again after %v", stood, failure, delay)
+				t.Errorf("established %v, failure %d: got a reopen delay of %v, want 1 to 2 shortened delays",
+					established, failure, delay)
 			}
 			driver.now += 2 * watchReopenDelay
 			driver.handle(TimerFired{Token: tokenWatch})
@@ -89,8 +91,8 @@
 	}
 }
 
-// Where lists are pushed, a change counts at once: a watch that failed, or on which nothing came, is opened
-// again well within the drain's grace, however often that happens.
+// Where the list is pushed, a change counts at once: a watch that failed or received nothing is reopened well
+// within the drain's grace, after any number of failures.
 func TestEndpointWatch_PushedWatchIsReopenedWithinGrace(t *testing.T) {
 	settings := pollingSettings()
 	settings.DrainGrace, settings.PushGrace = 700*ms, 700*ms
@@ -103,7 +105,8 @@
 		driver.now += max(delay, settings.PushGrace/2)
 		opened := opensWatch(driver.handle(TimerFired{Token: tokenWatch}))
 		if delay > settings.PushGrace/2 || !opened {
-			t.Errorf("failure %d: timer after %v, opened again %v", failure, delay, opened)
+			t.Errorf("failure %d: got a timer after %v and reopened %v, want half the grace at most and true",
+				failure, delay, opened)
 		}
 	}
 }
--- a/scheduler/latency_test.go
+++ b/scheduler/latency_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// With many instances each hears of a node only now and then: what it learned of congestion must not hold for
-// seconds.
+// With many instances, each gets an answer of a node only rarely: a latency observed during congestion must
+// not stay in effect for seconds.
 func TestLatency_OldValuesFadeToRecentMean(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
 	n := driver.node(0)
@@ -16,12 +16,12 @@
 	n.latency, n.latencyUpdatedAt, driver.scheduler.latency.recentMean = 900*ms, driver.now, 100*ms
 	driver.scheduler.now = driver.now + 3*latencyHalfLife
 	if got := driver.scheduler.recentLatency(n); got != 200*ms {
-		t.Errorf("recent latency is %v, want 200 ms", got)
+		t.Errorf("recent latency: got %v, want 200 ms", got)
 	}
 }
 
-// A lost attempt makes its node look slower for a moment, and the fleet a little: neither nodes of a zone
-// that is cut off nor those that lose a part of their answers may hold back requests to all others.
+// A lost attempt raises its node's latency for a short time and the fleet's recent mean slightly: neither
+// nodes of a zone that is cut off nor nodes that lose some of their answers may delay requests to all others.
 func TestLatency_LostAttemptsHardlyMoveRecentMean(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
 	n, model := driver.node(0), &driver.scheduler.latency
@@ -34,15 +34,16 @@
 	driver.now += time.Second
 	driver.finishAttempt(1, 0, 0, TimedOut, time.Second)
 	if n.latency <= 100*ms || n.deviation != 10*ms {
-		t.Errorf("after a lost attempt: mean %v, deviation %v", n.latency, n.deviation)
+		t.Errorf("after a lost attempt: got mean %v, deviation %v, want over 100 ms, 10 ms", n.latency,
+			n.deviation)
 	}
 	highest := 100*ms + 100*ms/recentMeanWindow
 	if model.recentMean <= 100*ms || model.recentMean > highest {
-		t.Errorf("recent mean is %v, want over 100 ms and at most %v", model.recentMean, highest)
+		t.Errorf("recent mean: got %v, want over 100 ms and at most %v", model.recentMean, highest)
 	}
 
 	meanAfterOne := model.recentMean
-	for range 20 { // the node goes on failing
+	for range 20 { // the node continues to fail
 		n.retryAt = 0
 		r := driver.newRequest(nil)
 		driver.handle(r)
@@ -50,11 +51,11 @@
 		driver.finishAttempt(r.ID, 0, 0, TimedOut, time.Second)
 	}
 	if n.failures < 10 || model.recentMean != meanAfterOne {
-		t.Errorf("after %d failures of one node the recent mean is %v, was %v", n.failures, model.recentMean,
-			meanAfterOne)
+		t.Errorf("after %d failures of one node (10 at least): got recent mean %v, want %v as before",
+			n.failures, model.recentMean, meanAfterOne)
 	}
 	driver.scheduler.now += 4 * latencyHalfLife
 	if got := driver.scheduler.recentLatency(n); got > n.latency/4 {
-		t.Errorf("two seconds later the recent latency is %v of the node's %v", got, n.latency)
+		t.Errorf("recent latency two seconds later: got %v, want a quarter of %v at most", got, n.latency)
 	}
 }
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -12,13 +12,13 @@
 	actions := driver.handle(driver.newRequest(asNewObject))
 	for _, action := range actions {
 		if send, ok := action.(Send); ok && send.Server != testServer(1) {
-			t.Errorf("sent to %v, want %v", send.Server, testServer(1))
+			t.Errorf("node: got %v, want %v", send.Server, testServer(1))
 		}
 	}
 	wantEqual(t, "sent", sentIDs(actions), 1)
 }
 
-// A node that is stuck with one heavy request shows it by the age of that attempt.
+// A node that is stuck on one heavy request is avoided because of the age of that attempt.
 func TestPlacement_AvoidsStuckNode(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 2)
 	driver.handle(driver.newRequest(nil)) // at the node of cell 0
@@ -27,26 +27,26 @@
 	driver.now += 500 * ms
 	driver.handle(driver.newRequest(asNewObject))
 	if got := driver.scheduler.requests[2].node.Cell; got != 1 {
-		t.Errorf("placed on the node of cell %d, want 1", got)
+		t.Errorf("cell of the node: got %d, want 1", got)
 	}
 }
 
-// Nodes that are overloaded turn requests away at once and so answer fastest; they must not attract the most
-// new objects by that.
-func TestPlacement_OverloadedNodeDoesNotAttract(t *testing.T) {
+// Overloaded nodes reject requests at once and so have the lowest latency; they must not receive the most new
+// objects because of it.
+func TestPlacement_OverloadedNodeDoesNotAttractNewObjects(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 2)
 	driver.handle(driver.newRequest(asNewObject))
 	overloaded := driver.scheduler.requests[1].node
 	actions := driver.finishAttempt(1, 0, int(overloaded.Cell), Overloaded, 3*ms)
 	for _, action := range actions {
 		if send, ok := action.(Send); ok && send.Server == overloaded.Server {
-			t.Error("sent again to the overloaded node")
+			t.Error("node: got the overloaded one again, want the other one")
 		}
 	}
 	wantEqual(t, "sent to the other node", sentIDs(actions), 1)
 }
 
-// A node that fails most of its requests fast looks quick and idle; new objects must not gather there.
+// A node that fails most requests quickly appears fast and idle; new objects must not concentrate there.
 func TestPlacement_AvoidsNodeWithErrors(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 2)
 	failing, healthy := driver.queue(0).node, driver.queue(1).node
@@ -63,15 +63,16 @@
 	healthy.lastAnswerAt = driver.now
 	r := &request{Request: Request{Units: 1}, class: driver.scheduler.classes[0]}
 	if queue := driver.scheduler.placeNewObject(r); queue.node == failing {
-		t.Errorf("a new object goes to a node of which %.2f of the answers are errors", failing.errorRate)
+		t.Errorf("node: got the one with an error rate of %.2f, want the healthy one", failing.errorRate)
 	}
 	failing.errorRate = 0
 	if queue := driver.scheduler.placeNewObject(r); queue.node != failing {
-		t.Error("a new object avoids the quicker node though it has no errors")
+		t.Error("node without errors on either: got the slower one, want the faster one")
 	}
 }
 
-// Instances that all start at once know nothing of any node: their new objects must not all go to the first.
+// Instances that start at the same time have no statistics of any node: their new objects must not all be
+// placed on the first.
 func TestPlacement_StartingInstancesSpreadNewObjects(t *testing.T) {
 	placed := map[int]int{} // new objects by cell
 	for seed := range uint64(40) {
@@ -84,7 +85,7 @@
 	}
 	for cell := range 4 {
 		if placed[cell] > 20 || placed[cell] == 0 {
-			t.Errorf("%d of 40 instances placed a new object on node %d, want 1 to 20", placed[cell], cell)
+			t.Errorf("got %d of 40 new objects on node %d, want 1 to 20", placed[cell], cell)
 		}
 	}
 }
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// limitSettings are those of a small site whose plan has a rate limit.
+// limitSettings returns the settings of a small site whose plan has a rate limit.
 func limitSettings() Settings {
 	settings := smallSiteSettings()
 	settings.Plans[0].Limit, settings.Plans[0].Burst = 10, 40
@@ -18,9 +18,9 @@
 		return driver.newRequest(func(r *Request) { r.VolumeInstances, r.Units = 2, 4 })
 	}
 	sent := sentIDs(driver.handle(newRequest()))
-	wantEqual(t, "none at the start, as the quota may have been spent before", sent)
-	wantEqual(t, "10 units/s for 2 instances give 4 units in 0.8 s", sentIDs(driver.advance(790*ms)))
-	wantEqual(t, "sent after that", sentIDs(driver.advance(10*ms)), 1)
+	wantEqual(t, "sent at the start, as the quota may have been spent before", sent)
+	wantEqual(t, "sent before 0.8 s, 4 units at 10 units/s for 2 instances", sentIDs(driver.advance(790*ms)))
+	wantEqual(t, "sent after 0.8 s", sentIDs(driver.advance(10*ms)), 1)
 	driver.finishAttempt(1, 0, 0, OK, 10*ms)
 	driver.now += time.Minute
 	var requests []Event
@@ -28,7 +28,7 @@
 		requests = append(requests, newRequest())
 	}
 	if got := len(sentIDs(driver.handle(requests...))); got != 5 {
-		t.Errorf("%d requests of 4 units sent at once, want 5: a burst of 40 for 2 instances", got)
+		t.Errorf("got %d requests of 4 units sent at once, want 5: a burst of 40 for 2 instances", got)
 	}
 }
 
@@ -38,12 +38,12 @@
 	driver.handle(driver.newRequest(nil))
 	driver.finishAttempt(1, 0, 0, Error, ms)
 	if got := driver.scheduler.volumes.byID[1].limit.level; got != 9 {
-		t.Errorf("the quota's bucket holds %v after two attempts of one request, want 9", got)
+		t.Errorf("units in the quota's bucket after two attempts of one request: got %v, want 9", got)
 	}
 }
 
-// Instances that use their quotas to the last unit must together never send more than one bucket of the whole
-// limit would hold, also when some of them are killed and restarted.
+// Instances that use up their quotas must together never send more than one token bucket of the whole limit
+// allows, even when some of them are killed and restarted.
 func TestQuota_AllInstancesStayWithinLimit(t *testing.T) {
 	const instances = 8
 	settings := smallSiteSettings()
@@ -71,10 +71,10 @@
 			}
 		}
 		if level < -1e-6 {
-			t.Fatalf("the bucket of the whole limit is at %v after %v", level, now-begin)
+			t.Fatalf("bucket of the whole limit: got %v units after %v, want 0 at least", level, now-begin)
 		}
 	}
 	if total < 400 {
-		t.Errorf("only %v units were sent, want 400 at least", total)
+		t.Errorf("got %v units sent, want 400 at least", total)
 	}
 }
--- a/scheduler/result_test.go
+++ b/scheduler/result_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A timeout that comes in at the client's deadline still gets its answer.
+// A request whose attempt times out at the client's deadline must still be answered.
 func TestResult_RejectsRequestTimedOutAtDeadline(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
 	driver.handle(driver.newRequest(nil))
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Whether a request is retried, fails or is rejected after an attempt follows from what a second execution
-// would do and whether the first may have run.
+// Whether a request is retried, fails or is rejected after an attempt depends on the idempotency of its class
+// and on whether the attempt may have run.
 func TestRetry_FollowsIdempotency(t *testing.T) {
 	idempotent := smallSiteSettings().Classes[0]
 	notIdempotent := Class{LatencyObjective: time.Second, Deadline: 4 * time.Second,
@@ -42,7 +42,7 @@
 			actions = append(actions, driver.advance(2*initialBackoff)...)
 			answer := append(finalAnswers(actions), "")[0]
 			if retries := len(sentIDs(actions)); retries != test.retries || answer != test.answer {
-				t.Errorf("%d retries and answer %q, want %d and %q", retries, answer, test.retries,
+				t.Errorf("got %d retries and answer %q, want %d and %q", retries, answer, test.retries,
 					test.answer)
 			}
 		})
@@ -59,17 +59,17 @@
 		mayHaveRunOn: &node{Endpoint: Endpoint{Zone: 1}}}
 	n := driver.node(0)
 	if driver.scheduler.mayRetry(r, n) {
-		t.Error("retried outside its zone")
+		t.Error("retry outside its zone: got allowed, want not allowed")
 	}
 	n.Zone = 1
 	if !driver.scheduler.mayRetry(r, n) {
-		t.Error("not retried inside its zone")
+		t.Error("retry inside its zone: got not allowed, want allowed")
 	}
 }
 
-// A request that is idempotent by key and may have run carries the time until which its retry may begin, as
-// the connection for it may take long to come up. A first attempt, and any of an idempotent request, may
-// begin at any time.
+// A retry of a request that is idempotent by key and may have run carries the time by which it must begin, as
+// its connection may take long to be established. A first attempt, and any attempt of an idempotent request,
+// may begin at any time.
 func TestRetry_CarriesStartDeadline(t *testing.T) {
 	for _, byKey := range []bool{true, false} {
 		t.Run(fmt.Sprint("byKey=", byKey), func(t *testing.T) {
@@ -92,7 +92,7 @@
 					want = 0
 				}
 				if startBefore != want {
-					t.Errorf("attempt %d is to start before %v, want %v", attempt, startBefore, want)
+					t.Errorf("attempt %d: got a start deadline of %v, want %v", attempt, startBefore, want)
 				}
 				driver.scheduler.Handle(driver.now, AttemptResult{ID: r.ID, Attempt: attempt,
 					Server: testServer(0), Code: Reset, Latency: ms})
@@ -103,8 +103,9 @@
 	}
 }
 
-// Where writes are not idempotent and rejections state no Retry-After, a write that may have run fails at
-// once with its attempt: it is not rejected and not retried. One that never ran is rejected in the end.
+// Where writes are not idempotent and rejections state no Retry-After, a write that may have run fails as
+// soon as its attempt ends: it is neither rejected nor retried. A write that never ran is rejected in the
+// end.
 func TestRetry_NonIdempotentWriteThatMayHaveRunFails(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.RetryAfter = false
@@ -128,14 +129,14 @@
 			driver.finishAttempt(1, 0, 0, code, ms)
 			driver.advance(time.Second)
 			if answers := finalAnswers(driver.actions); len(answers) != 1 {
-				t.Errorf("answers %v, want one", answers)
+				t.Errorf("got answers %v, want one", answers)
 			}
 			for _, action := range driver.actions {
 				if reject, ok := action.(Reject); ok && reject.RetryAfter != 0 {
-					t.Errorf("Retry-After is %v where none may be stated", reject.RetryAfter)
+					t.Errorf("Retry-After: got %v, want none", reject.RetryAfter)
 				}
 				if _, ok := action.(Fail); ok {
-					t.Error("a failure, though nothing ran")
+					t.Error("got a failure, want a rejection, as nothing ran")
 				}
 			}
 		})
@@ -155,7 +156,7 @@
 		driver.handle()
 	}
 	if got := len(sentIDs(driver.actions)) - 4; got != 3 {
-		t.Errorf("%d retries, want 1 + 0.5 x 4 = 3", got)
+		t.Errorf("got %d retries, want 1 + 0.5 x 4 = 3", got)
 	}
 }
 
@@ -168,13 +169,13 @@
 	retries    []time.Duration
 }
 
-// recordRetry counts a retry and checks that all those within the window stay within the budget.
+// recordRetry records a retry and checks that the retries within the window stay within the budget.
 func (c *retryBudgetCheck) recordRetry(t *testing.T, now time.Duration) {
 	t.Helper()
 	c.retries = append(c.retries, now)
 	retries, allowed := c.countInWindow(c.retries, now), c.floor+c.ratio*c.countInWindow(c.admissions, now)
 	if retries > allowed {
-		t.Fatalf("%v retries in %v, %v allowed", retries, c.window, allowed)
+		t.Fatalf("got %v retries in %v, want %v at most", retries, c.window, allowed)
 	}
 }
 
@@ -187,8 +188,8 @@
 	return count
 }
 
-// The budget holds in any window, from the start of the instance on; a restart knows nothing of what was
-// spent before.
+// The budget holds in any window from the start of the instance on. A restarted instance does not know which
+// retries it sent before.
 func TestRetryBudget_HoldsInAnyWindow(t *testing.T) {
 	for _, name := range []string{"first start", "restart"} {
 		t.Run(name, func(t *testing.T) {
@@ -201,19 +202,19 @@
 				driver.now += 50 * ms
 				check.admissions = append(check.admissions, driver.now)
 				actions := driver.handle(driver.newRequest(nil))
-				for range 3 { // each attempt fails, up to the largest number of attempts
+				for range 3 { // each attempt fails, up to MaxAttempts
 					actions = failAttempts(t, driver, sentIDs(actions), &check)
 				}
 			}
 			if len(check.retries) < 20 {
-				t.Fatalf("only %d retries: the budget was not reached", len(check.retries))
+				t.Fatalf("got %d retries, want 20 at least, to reach the budget", len(check.retries))
 			}
 		})
 	}
 }
 
-// failAttempts lets the attempts that were just sent end in an error, and counts those that are retries. It
-// returns the actions that follow.
+// failAttempts ends the attempts of the requests sent with an error, records those that are retries, and
+// returns the resulting actions.
 func failAttempts(t *testing.T, driver *testDriver, sent []uint32, check *retryBudgetCheck) (next []Action) {
 	t.Helper()
 	for _, id := range sent {
