--- a/scheduler/characterization_test.go
+++ b/scheduler/characterization_test.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// characterization is one run of the random driver with the hash of all actions that the scheduler returned
-// in it, and of what it had learned at the end. The hashes were taken before the package was restructured: a
-// change that is meant to keep behaviour keeps them.
+// characterization is one run of the random driver, with the expected hash of all actions that the scheduler
+// returns in it and of its state and statistics at the end. The hashes were recorded before the package was
+// restructured: a change that preserves behaviour must not change them.
 type characterization struct {
 	name             string
 	seed             uint64
 	shape            uint8           // of the random driver's settings
 	change           func(*Settings) // nil: none
-	reportsElsewhere bool            // results tell of service through other instances
+	reportsElsewhere bool            // results report service through other instances
 	want             string
 }
 
@@ -54,30 +54,30 @@
 	s.ShareWeight, s.SpareWeight = 0.35, 0.08
 }
 
-// Actions are what they were before the package was restructured.
+// The scheduler returns the same actions as before the package was restructured.
 func TestScheduler_ActionsMatchCharacterization(t *testing.T) {
 	for _, c := range characterizations() {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			if got := c.play(t); got != c.want {
-				t.Errorf("hash of actions and state %s, want %s", got, c.want)
+				t.Errorf("hash of actions and state: got %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// play runs the driver, hands what was learned to a second instance and runs that as well. It returns the
-// hash.
+// play runs the driver, restores its statistics in a second instance, runs that as well, and returns the hash
+// over both runs.
 func (c characterization) play(t *testing.T) string {
 	t.Helper()
-	const batches, leastEvents = 3000, 5000
+	const batches, minEvents = 3000, 5000
 	sum := sha256.New()
 	first := c.newDriver(t, c.seed, sum)
 	events := 0
 	first.countEvent = func() { events++ }
 	first.run(batches)
-	if events < leastEvents {
-		t.Errorf("%d events were played, want %d at least", events, leastEvents)
+	if events < minEvents {
+		t.Errorf("got %d events, want %d at least", events, minEvents)
 	}
 	writeState(sum, first.scheduler)
 	second := c.newDriver(t, c.seed+100, sum)
@@ -87,7 +87,7 @@
 	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
 }
 
-// newDriver makes a driver that writes all actions into the sum.
+// newDriver returns a driver that writes all actions into the hash.
 func (c characterization) newDriver(t *testing.T, seed uint64, sum hash.Hash) *randomDriver {
 	t.Helper()
 	change := c.change
@@ -104,8 +104,8 @@
 	return driver
 }
 
-// spellAction writes an action as a word and numbers, so that renamed types and fields do not change the
-// hash. The words are those of the time when the hashes were taken and are part of what is hashed.
+// spellAction formats an action as a word and numbers, so that renaming types and fields does not change the
+// hash. The words are those used when the hashes were recorded; they are part of the hashed text.
 func spellAction(action Action) string {
 	switch a := action.(type) {
 	case Send:
@@ -132,7 +132,7 @@
 	case FetchEndpoints:
 		return "fetch"
 	}
-	panic("an action that has no spelling")
+	panic("action of an unknown type")
 }
 
 func spellServer(s Server) string {
@@ -142,16 +142,16 @@
 func spellFloat(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
 
 func spellRegression(g Regression) string {
-	return fmt.Sprintf("%s/%s/%s/%s/%s", spellFloat(g.Count), spellFloat(g.MeanSize), spellFloat(g.MeanTime),
-		spellFloat(g.MeanSquare), spellFloat(g.MeanProduct))
+	return fmt.Sprintf("%s/%s/%s/%s/%s", spellFloat(g.Count), spellFloat(g.MeanSize),
+		spellFloat(g.MeanTime), spellFloat(g.MeanSquare), spellFloat(g.MeanProduct))
 }
 
-// writeState spells what a scheduler believes of the nodes and what it has learned.
+// writeState writes the node states and the statistics of a scheduler into the hash.
 func writeState(sum hash.Hash, scheduler *Scheduler) {
 	for _, n := range scheduler.NodeStates() {
 		fmt.Fprintf(sum, "node %s status=%d out=%d used=%s depth=%s latency=%d fails=%d\n",
-			spellServer(n.Server), uint8(n.Status), n.InFlight, spellFloat(n.SlotsUsed), spellFloat(n.Depth),
-			int64(n.Latency), n.Failures)
+			spellServer(n.Server), uint8(n.Status), n.InFlight, spellFloat(n.SlotsUsed),
+			spellFloat(n.Depth), int64(n.Latency), n.Failures)
 	}
 	learned := scheduler.Statistics()
 	for _, server := range slices.SortedFunc(maps.Keys(learned.Nodes), Server.Compare) {
@@ -160,8 +160,8 @@
 			int64(n.Deviation))
 	}
 	for i, c := range learned.Classes {
-		fmt.Fprintf(sum, "class %d mean=%s seen=%s fit=%s\n", i, spellFloat(c.MeanUnits), spellFloat(c.Count),
-			spellRegression(c.Latency))
+		fmt.Fprintf(sum, "class %d mean=%s seen=%s fit=%s\n", i, spellFloat(c.MeanUnits),
+			spellFloat(c.Count), spellRegression(c.Latency))
 	}
 	fmt.Fprintf(sum, "usual=%s median=%d lately=%d\n", spellRegression(learned.AllClasses),
 		int64(learned.MedianLatency), int64(learned.RecentLatency))
--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -10,7 +10,8 @@
 
 const ms = time.Millisecond
 
-// smallSiteSettings are those of a small site: one idempotent class, one plan without reserve or limit.
+// smallSiteSettings returns the settings of a small site: one idempotent class, one plan without reserve
+// or limit.
 func smallSiteSettings() Settings {
 	return Settings{
 		Instances: 1, MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second, MeanUnits: 2, MaxUnits: 8,
@@ -19,7 +20,8 @@
 	}
 }
 
-// fleetSettings are those of a fleet: everything that keeps records over time is in force.
+// fleetSettings returns the settings of a fleet: slow start and the retry budget, which keep records over
+// time, are enabled.
 func fleetSettings() Settings {
 	settings := smallSiteSettings()
 	settings.SlowStartPeriod, settings.OverloadWindow = 10*time.Second, 3*time.Second
@@ -29,23 +31,23 @@
 	return settings
 }
 
-// testServer is the address of the node that serves a cell.
+// testServer returns the address of the node that serves a cell.
 func testServer(cell int) Server { return Server{Addr: [4]byte{10, 0, 0, byte(cell)}, Port: 1} }
 
-// testEndpoint is the entry of the endpoint list for the node that serves a cell.
+// testEndpoint returns the entry of the endpoint list for the node that serves a cell.
 func testEndpoint(cell int, status Status) Endpoint {
 	return Endpoint{Server: testServer(cell), Status: status, Cell: uint16(cell)}
 }
 
-// testDriver drives one scheduler by hand: a test sets the clock, passes events and reads the actions.
+// testDriver drives one scheduler step by step: a test sets the clock, passes events and reads the actions.
 type testDriver struct {
 	scheduler *Scheduler
 	now       time.Duration
-	lastID    uint32   // of the requests made
-	actions   []Action // all that the scheduler returned
+	lastID    uint32   // of the last request created
+	actions   []Action // all that the scheduler has returned
 }
 
-// startDriver makes a scheduler that knows ready nodes for the cells 0 to nodes-1.
+// startDriver returns a driver whose scheduler has ready nodes for the cells 0 to nodes-1.
 func startDriver(t *testing.T, settings Settings, nodes int) *testDriver {
 	t.Helper()
 	driver := &testDriver{scheduler: New(1, settings), now: time.Hour}
@@ -57,7 +59,7 @@
 	return driver
 }
 
-// handle passes events to the scheduler as one batch and returns the actions that it decides on.
+// handle passes events to the scheduler as one batch and returns the resulting actions.
 func (d *testDriver) handle(events ...Event) []Action {
 	for _, event := range events {
 		d.scheduler.Handle(d.now, event)
@@ -67,13 +69,13 @@
 	return actions
 }
 
-// advance moves the clock on and lets the review fire.
+// advance moves the clock forward and fires the review timer.
 func (d *testDriver) advance(duration time.Duration) []Action {
 	d.now += duration
 	return d.handle(TimerFired{Token: tokenReview})
 }
 
-// newRequest makes a request of one unit for cell 0 with the next ID. A change that is not nil adapts it.
+// newRequest returns a request of one unit for cell 0 with the next ID, modified by change unless it is nil.
 func (d *testDriver) newRequest(change func(*Request)) Request {
 	d.lastID++
 	r := Request{ID: d.lastID, VolumeInstances: 1, Volume: 1, Units: 1, ExpiresAt: d.now + 4*time.Second}
@@ -83,17 +85,17 @@
 	return r
 }
 
-// finishAttempt passes the result of an attempt at the node of a cell.
+// finishAttempt passes the result of an attempt at the node of a cell to the scheduler.
 func (d *testDriver) finishAttempt(id uint32, attempt, cell int, code ResultCode,
 	latency time.Duration) []Action {
-	// The reviews that lead up to this moment are left out; without this the scheduler would take their
-	// absence for a stall of its own process.
+	// The reviews due before the current time were skipped. Without this reset, the scheduler would treat the
+	// late review as a stall of its own process.
 	d.scheduler.review.pending = false
 	return d.handle(AttemptResult{ID: id, Attempt: attempt, Server: testServer(cell), Code: code,
 		Latency: latency, RequestDone: code == OK})
 }
 
-// fixDepth gives the node of cell 0 a depth that does not adapt, so that a test is about the queue alone.
+// fixDepth gives the node of cell 0 a depth that does not adapt, so that a test covers only the queue.
 func (d *testDriver) fixDepth(depth float64) *node {
 	n := d.node(0)
 	n.depth, n.depthAdaptedAt = depth, math.MaxInt64
@@ -107,10 +109,10 @@
 // queue returns the queue of a cell that startDriver listed.
 func (d *testDriver) queue(cell int) *shardQueue { return d.scheduler.endpoints.shards[cell] }
 
-// asNewObject lets a request be placed on any node.
+// asNewObject marks a request as a new object, which may be placed on any node.
 func asNewObject(r *Request) { r.Cell = NewObject }
 
-// sentIDs lists the requests of which an attempt is sent.
+// sentIDs returns the IDs of the requests of which the actions send an attempt.
 func sentIDs(actions []Action) (ids []uint32) {
 	for _, action := range actions {
 		if send, ok := action.(Send); ok {
@@ -120,7 +122,7 @@
 	return ids
 }
 
-// finalAnswers lists final answers as "reject 3" or "fail 3".
+// finalAnswers returns the final answers among the actions, as "reject 3" or "fail 3".
 func finalAnswers(actions []Action) (answers []string) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -133,10 +135,10 @@
 	return answers
 }
 
-// wantEqual reports an error unless the values got are exactly those wanted, in order.
-func wantEqual[T comparable](t *testing.T, what string, got []T, want ...T) {
+// wantEqual reports an error unless got and want have equal values in the same order.
+func wantEqual[T comparable](t *testing.T, label string, got []T, want ...T) {
 	t.Helper()
 	if !slices.Equal(got, want) {
-		t.Errorf("%s: got %v, want %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", label, got, want)
 	}
 }
--- a/scheduler/random_driver_test.go
+++ b/scheduler/random_driver_test.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	randomCells      = 4 // that the endpoint list names
+	randomCells      = 4 // in the endpoint list
 	randomNodes      = 6
 	randomClasses    = 3
 	randomPlans      = 2
 	randomVolumes    = 9
-	maxRandomWait    = 800 * ms // of a client
-	maxRandomLatency = 150 * ms // of an attempt
-	overdueAfter     = 400 * ms // past its deadline a request counts as overdue
-	drainSteps       = 2000     // in which all requests come to their end
+	maxRandomWait    = 800 * ms // time that a client waits
+	maxRandomLatency = 150 * ms // duration of an attempt
+	overdueAfter     = 400 * ms // time past its deadline after which a request is overdue
+	drainSteps       = 2000     // steps at the end, in which all requests finish
 )
 
 // The classes of a randomDriver.
@@ -25,8 +25,8 @@
 	classNotIdempotent
 )
 
-// randomDriver drives one scheduler with random events drawn from a seed and checks each action against what
-// is known from outside. It is used for fuzzing and, with the recording fields set, for characterization.
+// randomDriver drives one scheduler with random events drawn from a seed and checks each action against the
+// events that it has passed. It is used for fuzzing and, with the recording fields set, for characterization.
 type randomDriver struct {
 	t          *testing.T
 	random     *rand.Rand
@@ -37,7 +37,7 @@
 	requests   map[uint32]*trackedRequest
 	inFlight   []pendingAttempt
 	statuses   map[Server]Status // of the listed nodes
-	lastID     uint32            // of the requests made
+	lastID     uint32            // of the last request created
 	lastLeader Send              // last attempt sent that joined no operation
 
 	recordAction func(Action) // nil: actions are not recorded
@@ -51,12 +51,12 @@
 	token uint32
 }
 
-// trackedRequest is what is known from outside of a request.
+// trackedRequest is the state of a request as seen from outside the scheduler.
 type trackedRequest struct {
 	Request
 	attempts   int
-	answered   bool          // or its client is gone
-	goneAt     time.Duration // when its client went; an answer in the same batch may cross that
+	answered   bool          // or its client has disconnected
+	goneAt     time.Duration // when its client disconnected; the same batch may still answer it
 	mayHaveRun bool
 }
 
@@ -67,13 +67,13 @@
 	endsAt  time.Duration
 }
 
-// newRandomDriver makes a driver. The bits of shape choose between settings.
+// newRandomDriver returns a driver. The bits of shape select its settings, as in randomSettings.
 func newRandomDriver(t *testing.T, seed uint64, shape uint8) *randomDriver {
 	t.Helper()
 	return newRandomDriverWith(t, seed, shape, func(*Settings) {})
 }
 
-// newRandomDriverWith is newRandomDriver with settings changed.
+// newRandomDriverWith is newRandomDriver with the settings modified by change.
 func newRandomDriverWith(t *testing.T, seed uint64, shape uint8, change func(*Settings)) *randomDriver {
 	t.Helper()
 	settings := randomSettings(shape)
@@ -90,9 +90,9 @@
 	return d
 }
 
-// randomSettings are those of a fleet with a class of each idempotency. The bits of shape are, from the
-// lowest: polled list, retry budget, deduplication by zone, batcher (see newRandomDriverWith), and in the
-// upper four the number of instances less one.
+// randomSettings returns the settings of a fleet with a class of each idempotency. The bits of shape are,
+// from the lowest: polled list, retry budget, deduplication by zone, batcher (see newRandomDriverWith), and
+// in the upper four the number of instances minus one.
 func randomSettings(shape uint8) Settings {
 	settings := fleetSettings()
 	settings.Instances = 1 + int(shape>>4)
@@ -109,7 +109,7 @@
 	return settings
 }
 
-// Propose offers recent requests, whether known or not, queued or in flight.
+// Propose proposes recent requests, open or finished, queued or in flight.
 func (d *randomDriver) Propose(id uint32, join func(uint32, float64) bool) {
 	units := d.requests[id].Units
 	for range d.random.IntN(12) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// randomEndpoints makes the entries of the first so many nodes, in random states.
+// randomEndpoints returns list entries for the first count nodes, in random states.
 func (d *randomDriver) randomEndpoints(count int) (endpoints []Endpoint) {
 	for i := range count {
 		endpoint := Endpoint{Server: testServer(i), Cell: uint16(i % randomCells), Zone: uint8(i % 2),
@@ -133,7 +133,7 @@
 	return endpoints
 }
 
-// handle passes an event to the scheduler and notes what an endpoint update tells.
+// handle passes an event to the scheduler and records the node states of an endpoint update.
 func (d *randomDriver) handle(event Event) {
 	if update, ok := event.(EndpointUpdate); ok && update.Kind != UpdateFailed {
 		if update.Kind != UpdateDelta {
@@ -149,8 +149,8 @@
 	d.scheduler.Handle(d.now, event)
 }
 
-// run plays so many batches of random events, then lets all requests come to their end and checks that each
-// was answered and that the scheduler has forgotten all of them.
+// run passes the given number of batches of random events, then lets all requests finish and checks that each
+// was answered and that the scheduler keeps no state of them.
 func (d *randomDriver) run(batches int) {
 	d.t.Helper()
 	for range batches {
@@ -173,17 +173,17 @@
 	}
 	for id, r := range d.requests {
 		if !r.answered {
-			d.t.Fatalf("request %d never got an answer", id)
+			d.t.Fatalf("request %d: got no answer, want one", id)
 		}
 	}
 	s := d.scheduler
 	if len(s.requests) != 0 || s.inFlight != 0 || len(s.backlog.shards) != 0 {
-		d.t.Fatalf("%d requests, %d attempts, %d queues left behind", len(s.requests), s.inFlight,
-			len(s.backlog.shards))
+		d.t.Fatalf("at the end: got %d requests, %d attempts, %d queues, want none", len(s.requests),
+			s.inFlight, len(s.backlog.shards))
 	}
 }
 
-// randomEvent plays a request, an endpoint update, a client that goes, or nothing.
+// randomEvent passes a request, an endpoint update, a client's disconnect, or nothing.
 func (d *randomDriver) randomEvent() {
 	switch choice := d.random.IntN(20); {
 	case choice < 16:
@@ -192,11 +192,11 @@
 		d.requests[r.ID] = &trackedRequest{Request: r}
 		d.handle(r)
 	case choice == 16:
-		some := d.randomEndpoints(randomNodes)[d.random.IntN(randomNodes):]
-		d.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: some})
+		changed := d.randomEndpoints(randomNodes)[d.random.IntN(randomNodes):]
+		d.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: changed})
 	case choice == 17 && d.random.IntN(4) == 0:
-		all := d.randomEndpoints(1 + d.random.IntN(randomNodes))
-		d.handle(EndpointUpdate{Kind: UpdateFull, Endpoints: all})
+		listed := d.randomEndpoints(1 + d.random.IntN(randomNodes))
+		d.handle(EndpointUpdate{Kind: UpdateFull, Endpoints: listed})
 	case choice == 18:
 		d.handle(EndpointUpdate{Kind: UpdateFailed})
 	case choice == 19 && d.lastID > 0:
@@ -208,7 +208,7 @@
 	}
 }
 
-// randomRequest draws a request. The order of the draws is part of what the characterization hashes fix.
+// randomRequest draws a request. The characterization hashes depend on the order of the draws.
 func (d *randomDriver) randomRequest(id uint32) Request {
 	r := Request{ID: id, VolumeInstances: 1}
 	r.Class = d.random.IntN(randomClasses)
@@ -223,7 +223,7 @@
 	return r
 }
 
-// fireTimers lets the timers fire that are due.
+// fireTimers fires the timers that are due.
 func (d *randomDriver) fireTimers() {
 	timers := d.timers
 	d.timers = nil
@@ -236,8 +236,8 @@
 	}
 }
 
-// endAttempts passes random results of the attempts that are due. Those of requests past their deadline time
-// out.
+// endAttempts passes random results of the attempts that are due. Attempts of requests past their deadline
+// time out.
 func (d *randomDriver) endAttempts() {
 	codes := []ResultCode{OK, OK, OK, OK, Error, Overloaded, ConnectFailed, Reset, TimedOut}
 	attempts := d.inFlight
@@ -264,7 +264,7 @@
 	}
 }
 
-// decide takes the scheduler's actions and checks them, and that no request is overdue.
+// decide checks the scheduler's actions, applies them, and checks that no request is overdue.
 func (d *randomDriver) decide() {
 	d.t.Helper()
 	for _, action := range d.scheduler.Decide(d.now) {
@@ -277,7 +277,7 @@
 		case Reject:
 			r := d.recordFinalAnswer(action.ID)
 			if r.mayHaveRun && !d.isRetrySafe(r) {
-				d.t.Fatalf("request %d rejected while it may have run", action.ID)
+				d.t.Fatalf("request %d: got a rejection, want a failure, as it may have run", action.ID)
 			}
 		case Fail:
 			d.recordFinalAnswer(action.ID)
@@ -287,13 +287,13 @@
 	}
 	for id, r := range d.requests {
 		if !r.answered && d.now > r.ExpiresAt+overdueAfter {
-			d.t.Fatalf("request %d is overdue", id)
+			d.t.Fatalf("request %d: got no answer in time, want one", id)
 		}
 	}
 }
 
-// isRetrySafe reports whether a client's retry of a request that may have run does no harm. It restates what
-// Class.RetrySafe decides.
+// isRetrySafe reports whether a client's retry of a request that may have run does no harm. It restates
+// Class.RetrySafe for the classes of a randomDriver.
 func (d *randomDriver) isRetrySafe(r *trackedRequest) bool {
 	switch r.Class {
 	case classIdempotent:
@@ -304,30 +304,30 @@
 	return false
 }
 
-// recordFinalAnswer notes that a request was answered and checks that it was so once.
+// recordFinalAnswer records the final answer to a request and checks that it is the only one.
 func (d *randomDriver) recordFinalAnswer(id uint32) *trackedRequest {
 	d.t.Helper()
 	r := d.requests[id]
 	if r == nil || r.answered && r.goneAt != d.now {
-		d.t.Fatalf("request %d answered twice or unknown", id)
+		d.t.Fatalf("request %d: got a second answer or one to no request, want one answer", id)
 	}
 	r.answered = true
 	return r
 }
 
-// send checks an attempt and lets it end at a random time.
+// send checks an attempt and schedules its end at a random time.
 func (d *randomDriver) send(send Send) {
 	d.t.Helper()
 	r := d.requests[send.ID]
 	switch {
 	case r.answered:
-		d.t.Fatalf("request %d sent after its answer", send.ID)
+		d.t.Fatalf("request %d: got an attempt after its answer, want none", send.ID)
 	case r.attempts >= d.settings.MaxAttempts:
-		d.t.Fatalf("request %d sent %d times", send.ID, r.attempts+1)
+		d.t.Fatalf("request %d: got %d attempts, want MaxAttempts at most", send.ID, r.attempts+1)
 	case r.Class == classNotIdempotent && r.mayHaveRun:
-		d.t.Fatalf("request %d is not idempotent and is sent again", send.ID)
+		d.t.Fatalf("request %d: got a retry, want none, as it is not idempotent and may have run", send.ID)
 	case d.statuses[send.Server] != Ready:
-		d.t.Fatalf("request %d sent to a node that is not ready", send.ID)
+		d.t.Fatalf("request %d: got a node that is not ready, want a ready one", send.ID)
 	}
 	d.checkOperation(send, r)
 	latency := time.Duration(d.random.Int64N(int64(maxRandomLatency)))
@@ -338,7 +338,7 @@
 	r.attempts++
 }
 
-// checkOperation checks that a member of an operation follows its leader at once, is of the same class, goes
+// checkOperation checks that a member of an operation directly follows its leader, is of the same class, goes
 // to the same node and is not a retry.
 func (d *randomDriver) checkOperation(send Send, r *trackedRequest) {
 	d.t.Helper()
@@ -348,7 +348,7 @@
 	}
 	if send.Leader != d.lastLeader.ID || send.Server != d.lastLeader.Server || r.attempts > 0 ||
 		r.Class != d.requests[send.Leader].Class {
-		d.t.Fatalf("request %d sent as a member with %d: %+v after %+v", send.ID, send.Leader, send,
-			d.lastLeader)
+		d.t.Fatalf("request %d as a member with leader %d: got %+v, want it to match %+v", send.ID,
+			send.Leader, send, d.lastLeader)
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -8,7 +8,7 @@
 
 func TestScheduler_AnswersEveryRequestOnceInTime(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
-	driver.handle(EndpointUpdate{Kind: UpdateFull}) // no node at all
+	driver.handle(EndpointUpdate{Kind: UpdateFull}) // the list is empty
 	for range 20 {
 		driver.handle(driver.newRequest(nil))
 		driver.advance(100 * ms)
@@ -17,7 +17,8 @@
 		driver.advance(10 * ms)
 	}
 	if got := finalAnswers(driver.actions); len(got) != 20 || len(driver.scheduler.requests) != 0 {
-		t.Errorf("%d answers for 20 requests, %d still known", len(got), len(driver.scheduler.requests))
+		t.Errorf("got %d answers and %d open requests, want 20 and 0", len(got),
+			len(driver.scheduler.requests))
 	}
 }
 
@@ -44,21 +45,22 @@
 			}
 			answers, sent := len(finalAnswers(driver.actions)), len(sentIDs(driver.actions))
 			if answers+sent < len(requests) {
-				t.Errorf("%d answers and %d sends for %d requests", answers, sent, len(requests))
+				t.Errorf("got %d answers and %d sends, want %d in total at least", answers, sent,
+					len(requests))
 			}
 		})
 	}
 	t.Run("requests that cannot be placed", func(t *testing.T) {
 		driver := startDriver(t, smallSiteSettings(), 0)
 		answers := finalAnswers(driver.handle(driver.newRequest(asNewObject)))
-		wantEqual(t, "a new object where no node is known", answers, "reject 1")
+		wantEqual(t, "answers, new object without any node", answers, "reject 1")
 		answers = finalAnswers(driver.handle(driver.newRequest(func(r *Request) { r.Class = 9 })))
-		wantEqual(t, "an unknown class", answers, "reject 2")
+		wantEqual(t, "answers, unknown class", answers, "reject 2")
 	})
 }
 
-// unusualRequests makes requests for all combinations of cells known and unknown, sizes none to huge, and
-// deadlines past to near.
+// unusualRequests returns requests for all combinations of listed and unlisted cells, sizes from zero to very
+// large, and deadlines from past to near.
 func unusualRequests(driver *testDriver) (requests []Event) {
 	for _, cell := range []int{0, 5, NewObject} {
 		for _, units := range []float64{0, 1, 1000} {
@@ -73,8 +75,8 @@
 	return requests
 }
 
-// Unusual traffic in a large fleet: volumes with more instances than there are, cells that no node holds, a
-// very long batch, and an hour without events.
+// Each request of unusual traffic in a large fleet is answered or in flight: volumes with more instances than
+// exist, cells that no node holds, a very long batch, and an hour without events.
 func TestScheduler_AnswersUnusualTrafficAtFullSize(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Instances, settings.InstanceIndex = 220, 219
@@ -93,7 +95,7 @@
 	}
 	driver.advance(time.Hour)
 	if got := len(finalAnswers(driver.actions)); got+driver.scheduler.inFlight != 5000 {
-		t.Errorf("%d of 5000 answered, %d still in flight", got, driver.scheduler.inFlight)
+		t.Errorf("got %d answers and %d in flight, want 5000 in total", got, driver.scheduler.inFlight)
 	}
 }
 
@@ -101,11 +103,11 @@
 func TestScheduler_IsDeterministic(t *testing.T) {
 	first, second := playFixedEvents(t), playFixedEvents(t)
 	if first != second {
-		t.Error("two runs of the same events differ")
+		t.Error("two runs of the same events: got different actions, want the same")
 	}
 }
 
-// playFixedEvents plays a fixed series of requests and results and returns all actions as text.
+// playFixedEvents passes a fixed series of requests and results and returns all actions as text.
 func playFixedEvents(t *testing.T) string {
 	t.Helper()
 	driver := startDriver(t, smallSiteSettings(), 5)
@@ -126,11 +128,12 @@
 	return fmt.Sprint(driver.actions)
 }
 
-// FuzzScheduler drives a scheduler by a seed with whatever a fleet can meet: requests of all classes, results
-// of every code in any order, endpoint updates of any kind, clients that go, timers that are late. In all
-// cases each request gets one final answer by its time, nothing is sent for it after that, attempts stay
-// within bounds, a request that is not idempotent is not sent again once it may have run, nothing is sent to
-// a node listed as draining or gone, and in the end all is forgotten.
+// FuzzScheduler passes events drawn from a seed to a scheduler: requests of all classes, results of every
+// code in any order, endpoint updates of every kind, client disconnects and late timers. Each request must
+// get one final answer within overdueAfter of its deadline and no attempt after it, the number of attempts
+// must stay within MaxAttempts, a request that is not idempotent must not be sent again once it may have run,
+// nothing may be sent to a node listed as draining or gone, and no state of the requests may remain at the
+// end.
 func FuzzScheduler(f *testing.F) {
 	for seed := range uint64(8) {
 		f.Add(seed, uint8(seed*37))
@@ -140,13 +143,12 @@
 	})
 }
 
-// BenchmarkScheduler_Request shows the cost of one request by the rate at which they come and by the number
-// of nodes.
+// BenchmarkScheduler_Request measures the cost of one request by the request rate and the number of nodes.
 func BenchmarkScheduler_Request(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000} {
 		for _, rate := range []int{1_000, 10_000, 100_000} {
 			for _, startKnown := range []bool{false, true} {
-				// A start that is known and long ago: the send records must not be searched for it.
+				// A known start time that is long ago: the send records must not be searched for it.
 				startedAt := time.Duration(0)
 				if startKnown {
 					startedAt = time.Second
--- a/scheduler/sfq_test.go
+++ b/scheduler/sfq_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// With a backlog of two volumes, service is divided by their weights.
+// With a backlog of two volumes, service is divided in proportion to their weights.
 func TestSFQ_SharesFollowWeightsUnderBacklog(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Plans = append(settings.Plans, Plan{Weight: 3})
@@ -32,8 +32,8 @@
 		}
 	}
 	if served[1] != 30 || served[0] != 10 {
-		t.Errorf("of 40 requests served, weight 1 got %d and weight 3 got %d; want 10 and 30", served[0],
-			served[1])
+		t.Errorf("requests served of 40: got %d with weight 1 and %d with weight 3, want 10 and 30",
+			served[0], served[1])
 	}
 }
 
@@ -55,7 +55,7 @@
 	wantEqual(t, "finish tags", finishTags, 6, 1)
 	driver.finishAttempt(1, 0, 0, OK, ms)
 	driver.finishAttempt(3, 0, 0, OK, ms)
-	wantEqual(t, "virtual time, the start tag of the last one sent", []float64{queue.virtualTime}, 4)
+	wantEqual(t, "virtual time, the start tag of the last request sent", []float64{queue.virtualTime}, 4)
 }
 
 // A volume that was idle starts at the virtual time: it gets no credit for the service that it did not use.
@@ -87,7 +87,7 @@
 		driver.newRequest(func(r *Request) { r.Units = 8 }),
 		driver.newRequest(func(r *Request) { r.Units = 3 }),
 	)
-	// The reserve holds one second's 2 units and one largest request of 8: 1 of the 11 units is beyond it.
+	// The reserve holds 2 units for one second and 8 for one largest request: 1 of the 11 units is beyond it.
 	finishTag := driver.scheduler.volumes.byID[1].finishTags[driver.queue(0)]
 	wantEqual(t, "finish tag", []float64{finishTag}, 1)
 }
@@ -98,5 +98,5 @@
 	driver.handle(AttemptResult{ID: 1, Server: testServer(0), Code: OK, Latency: ms, RequestDone: true,
 		ElsewhereUnits: 5})
 	finishTag := driver.scheduler.volumes.byID[1].finishTags[driver.queue(0)]
-	wantEqual(t, "finish tag, which counts service through other instances", []float64{finishTag}, 6)
+	wantEqual(t, "finish tag, which includes service through other instances", []float64{finishTag}, 6)
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// coldSettings are those of two instances at nodes that need a slow start.
+// coldSettings returns the settings of two instances whose nodes need a slow start.
 func coldSettings() Settings {
 	settings := smallSiteSettings()
 	settings.Instances, settings.ColdCapacity, settings.ColdFraction = 2, 20, 0.25
@@ -18,7 +18,7 @@
 	return settings
 }
 
-// startColdDriver makes a scheduler that knows one node, for cell 0, that started just now.
+// startColdDriver returns a driver whose scheduler has one node, for cell 0, that starts at the current time.
 func startColdDriver(t *testing.T, settings Settings) *testDriver {
 	t.Helper()
 	driver := startDriver(t, settings, 0)
@@ -27,7 +27,7 @@
 	return driver
 }
 
-// startColdFleet makes so many instances that share one node that started just now.
+// startColdFleet returns drivers of instances that share one node, which starts at the current time.
 func startColdFleet(t *testing.T, settings Settings, instances int) (drivers []*testDriver) {
 	t.Helper()
 	settings.Instances = instances
@@ -38,7 +38,7 @@
 	return drivers
 }
 
-// sendIfAllowed records a send to a node at a time, if slow start allows it.
+// sendIfAllowed records a send to a node at time now if slow start allows it, and reports whether it does.
 func (d *testDriver) sendIfAllowed(n *node, now time.Duration, units float64) bool {
 	d.scheduler.now = now
 	if !d.scheduler.slowStartAllows(n, units) {
@@ -49,7 +49,8 @@
 	return true
 }
 
-// sentWithin sums the units of sends, in order of time, from the first of them on until a window has passed.
+// sentWithin returns the units sent within a window that begins at the first of sends, which are in order of
+// time.
 func sentWithin(sends []sendRecord, window time.Duration) (units float64) {
 	for _, record := range sends {
 		if record.at > sends[0].at+window {
@@ -60,18 +61,18 @@
 	return units
 }
 
-// An instance that restarted does not know what it sent to a cold node before.
+// A restarted instance does not know what it sent to a cold node before, so it sends nothing for one window.
 func TestSlowStart_RestartedInstanceWaitsOneWindow(t *testing.T) {
 	driver := startDriver(t, coldSettings(), 0)
 	cold := Endpoint{Server: testServer(0), Status: Ready, StartedAt: driver.now - time.Second}
 	driver.handle(EndpointUpdate{Kind: UpdateCached, Endpoints: []Endpoint{cold}})
-	wantEqual(t, "none at the start", sentIDs(driver.handle(driver.newRequest(nil))))
+	wantEqual(t, "sent at the start", sentIDs(driver.handle(driver.newRequest(nil))))
 	driver.now += 500 * ms
-	wantEqual(t, "none within the window", sentIDs(driver.handle(TimerFired{Token: tokenReview})))
+	wantEqual(t, "sent within the window", sentIDs(driver.handle(TimerFired{Token: tokenReview})))
 	driver.handle(driver.newRequest(func(r *Request) { r.ExpiresAt += 4 * time.Second }))
 	driver.now += 500 * ms
 	if got := len(sentIDs(driver.handle(driver.newRequest(nil)))); got == 0 {
-		t.Error("nothing is sent after the window")
+		t.Error("got no sends after the window, want some")
 	}
 }
 
@@ -84,16 +85,16 @@
 		requests = append(requests, driver.newRequest(nil))
 	}
 	if got := len(sentIDs(driver.handle(requests...))); got != 10 {
-		t.Errorf("%d units in the first window, want 20 for 2 instances = 10", got)
+		t.Errorf("got %d units in the first window, want 20 for 2 instances = 10", got)
 	}
-	// The window then starts 5 s after the node: a quarter of the capacity and half of the rest.
+	// The window then begins 5 s after the node's start: a quarter of the capacity plus half of the rest.
 	driver.scheduler.now += 6 * time.Second
 	if !driver.scheduler.slowStartAllows(n, 25) || driver.scheduler.slowStartAllows(n, 26) {
-		t.Error("halfway the node does not take just 10 x 0.625 / 0.25 = 25 units")
+		t.Error("units allowed halfway: got more or less, want 10 x 0.625 / 0.25 = 25")
 	}
 	driver.scheduler.now += 6 * time.Second
 	if !driver.scheduler.slowStartAllows(n, 1000) {
-		t.Error("a warm node does not take any number of units")
+		t.Error("1000 units to a warm node: got not allowed, want allowed")
 	}
 }
 
@@ -107,7 +108,7 @@
 		return driver.newRequest(func(r *Request) { r.Units, r.Volume = units, uint64(units) })
 	}
 	sent := sentIDs(driver.handle(newRequest(3), newRequest(2), newRequest(1)))
-	wantEqual(t, "2 units and not 3 in its turn, for a share of half a unit", sent, 2)
+	wantEqual(t, "sent in its turn, 2 units and not 3 for a share of half a unit", sent, 2)
 }
 
 // Requests that a cold node has served count less against its capacity, others count in full.
@@ -137,14 +138,14 @@
 			}
 			n.failures = 0
 			if got := len(sentIDs(driver.handle())); len(sent) != 10 || got != test.more {
-				t.Errorf("after %d results %d more are sent, want %d after 10", len(sent), got, test.more)
+				t.Errorf("after %d results: got %d more sends, want %d after 10", len(sent), got, test.more)
 			}
 		})
 	}
 }
 
-// A result credits its own request's record at the node that answered, never one of another node with the
-// same index: a new object that was placed anew has records at two nodes.
+// A result credits its own request's send record at the answering node, never by the index of its record at
+// another node: a new object that was placed again has records at two nodes.
 func TestSlowStart_CreditsSendRecordOfAnsweringNode(t *testing.T) {
 	scheduler := New(1, fleetSettings())
 	other, answering := &node{}, &node{}
@@ -155,15 +156,15 @@
 	r := &request{sends: []sendRef{{other, 49}, {answering, 0}}}
 	scheduler.creditServed(answering, r)
 	if got := answering.sends.values()[0].units; got != 2 {
-		t.Errorf("the record at the answering node counts %v units, want 2", got)
+		t.Errorf("units of the record at the answering node: got %v, want 2", got)
 	}
 	if got := other.sends.values()[49].units; got != 4 {
-		t.Errorf("the record at the other node counts %v units, want 4", got)
+		t.Errorf("units of the record at the other node: got %v, want 4", got)
 	}
 }
 
-// All instances at once, each sending whatever slow start allows, must stay within the stated capacity in any
-// window, however many they are; and some requests must get through.
+// All instances together, each sending as much as slow start allows, must stay within the stated capacity in
+// any window, for any number of instances; some requests must still be sent.
 func TestSlowStart_AllInstancesStayWithinCapacity(t *testing.T) {
 	for _, instances := range []int{2, 10, 19, 30, 57, 170, 230, 300} {
 		t.Run(fmt.Sprint("instances=", instances), func(t *testing.T) {
@@ -184,20 +185,21 @@
 				units := sentWithin(sent[i:], settings.OverloadWindow)
 				progress := (first.at - startedAt).Seconds() / settings.SlowStartPeriod.Seconds()
 				if capacity := settings.ColdCapacity * (1 + 3*progress); units > capacity+1e-9 {
-					t.Fatalf("%v units from %v on, want %v at most", units, first.at-startedAt, capacity)
+					t.Fatalf("got %v units in the window from %v on, want %v at most", units,
+						first.at-startedAt, capacity)
 				}
 			}
 			if len(sent) < 20 {
-				t.Errorf("only %d sends, want 20 at least", len(sent))
+				t.Errorf("got %d sends, want 20 at least", len(sent))
 			}
 		})
 	}
 }
 
-// What a cold node has to take is the sum over all instances, with traffic that is spread unevenly (some
-// instances have requests all the time, most now and then) and with sends that reach it later than they were
-// decided on, by up to the time that a connection may take to come up. The operators allow N + 2 root of N +
-// 2 requests of mean size in any window, N being what the settings allow then.
+// The load of a cold node is the sum over all instances, with unevenly spread traffic (some instances have
+// requests all the time, most only occasionally) and with sends that arrive up to one connect timeout after
+// the decision. The operators allow N + 2 sqrt(N) + 2 requests of mean size in any window, where N is the
+// number that the settings allow at that time.
 func TestSlowStart_UnevenAndLateSendsStayWithinTolerance(t *testing.T) {
 	for _, instances := range []int{30, 300} {
 		for seed := range uint64(4) {
@@ -210,14 +212,14 @@
 
 func checkUnevenAndLateSends(t *testing.T, instances int, seed uint64) {
 	t.Helper()
-	const window, connectTime = 3 * time.Second, 250 * time.Millisecond
+	const window, connectTimeout = 3 * time.Second, 250 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, uint64(instances)))
 	settings := coldSettings()
-	settings.OverloadFactor, settings.OverloadWindow, settings.ConnectTimeout = 2.5, window, connectTime
+	settings.OverloadFactor, settings.OverloadWindow, settings.ConnectTimeout = 2.5, window, connectTimeout
 	settings.ColdCapacity, settings.MeanUnits, settings.MaxUnits = 62, 2, 6
 	drivers := startColdFleet(t, settings, instances)
 	startedAt := drivers[0].now
-	requestChance := make([]float64, instances) // in one step: a few have several times the mean
+	requestChance := make([]float64, instances) // per step: a few instances have several times the mean
 	for i := range requestChance {
 		requestChance[i] = min(1, 0.02/(0.02+random.Float64()))
 	}
@@ -229,7 +231,7 @@
 			if random.Float64() > requestChance[i] || !driver.sendIfAllowed(driver.node(0), now, units) {
 				continue
 			}
-			delay := time.Duration(random.Int64N(int64(connectTime)))
+			delay := time.Duration(random.Int64N(int64(connectTimeout)))
 			arrivals = append(arrivals, sendRecord{now + delay, units})
 		}
 	}
@@ -239,11 +241,11 @@
 		progress := (first.at - startedAt).Seconds() / settings.SlowStartPeriod.Seconds()
 		allowed := settings.ColdCapacity / settings.MeanUnits * (1 + 3*progress)
 		if tolerated := allowed + 2*math.Sqrt(allowed) + 2; requests > tolerated {
-			t.Fatalf("%.1f requests of mean size from %v on, %.1f at most", requests, first.at-startedAt,
-				tolerated)
+			t.Fatalf("got %.1f requests of mean size in the window from %v on, want %.1f at most", requests,
+				first.at-startedAt, tolerated)
 		}
 	}
 	if len(arrivals) < 20 {
-		t.Errorf("only %d sends, want 20 at least", len(arrivals))
+		t.Errorf("got %d sends, want 20 at least", len(arrivals))
 	}
 }
--- a/scheduler/steady_load_test.go
+++ b/scheduler/steady_load_test.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// maxSteadyInFlight is how many attempts a steadyLoad leaves in flight.
+// maxSteadyInFlight is the number of attempts that a steadyLoad keeps in flight.
 const maxSteadyInFlight = 4
 
-// steadyLoad drives one scheduler at a steady rate: each request is answered a little later by its node.
+// steadyLoad drives one scheduler at a steady rate: each request is answered by its node after
+// maxSteadyInFlight further ones.
 type steadyLoad struct {
 	scheduler *Scheduler
 	now       time.Duration
@@ -15,8 +16,8 @@
 	inFlight  []Send // oldest first
 }
 
-// newSteadyLoad makes a load of so many requests per second over nodes that were all started at one time; 0:
-// long ago.
+// newSteadyLoad returns a load of rate requests per second over nodes that all started at startedAt; 0: long
+// ago.
 func newSteadyLoad(settings Settings, rate, nodes int, startedAt time.Duration) *steadyLoad {
 	load := &steadyLoad{scheduler: New(1, settings), now: time.Hour,
 		interval: time.Second / time.Duration(rate), nodes: nodes}
@@ -32,7 +33,8 @@
 	return load
 }
 
-// step lets one request of a volume arrive and, once enough attempts are in flight, the oldest of them end.
+// step passes one request of a volume and, with more than maxSteadyInFlight attempts in flight, ends the
+// oldest.
 func (l *steadyLoad) step(volume uint64) {
 	l.now += l.interval
 	l.scheduler.Handle(l.now, Request{ID: l.nextID, Cell: int(l.nextID) % l.nodes, VolumeInstances: 1,
--- a/scheduler/volume_test.go
+++ b/scheduler/volume_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkVolumes_SeenOnce shows what volumes that are seen once leave behind.
+// BenchmarkVolumes_SeenOnce measures how many volumes are kept of those that are seen once.
 func BenchmarkVolumes_SeenOnce(b *testing.B) {
 	load := newSteadyLoad(fleetSettings(), 100_000, 10, 0)
 	for range b.N {
@@ -14,31 +14,34 @@
 	b.ReportMetric(float64(len(load.scheduler.volumes.byID)), "volumes-kept")
 }
 
-// Volumes that were seen once are forgotten, so that a million of them take no more memory than those that
-// came recently; so are the records of admitted requests, of sends and of keys.
-func TestVolumes_SeenOnceAreForgotten(t *testing.T) {
+// Volumes that were seen once are deleted, so that a million of them take no more memory than the recent
+// ones; so are the records of admitted requests, of sends and of keys.
+func TestVolumes_SeenOnceAreDeleted(t *testing.T) {
 	load := newSteadyLoad(fleetSettings(), 100_000, 10, 0)
 	for range 200_000 {
 		load.step(uint64(load.nextID))
 	}
 	volumes := &load.scheduler.volumes
-	knownBefore, heapBefore := len(volumes.byID), heapInUse()
+	countBefore, heapBefore := len(volumes.byID), heapInUse()
 	for range 800_000 {
 		load.step(uint64(load.nextID))
 	}
-	if known := len(volumes.byID); known > 2*knownBefore+1000 || known > 500_000 {
-		t.Errorf("%d volumes known after 1,000,000, %d after 200,000", known, knownBefore)
+	if count := len(volumes.byID); count > 2*countBefore+1000 || count > 500_000 {
+		t.Errorf("volumes: got %d after 1,000,000, %d after 200,000, want 500,000, double plus 1000 at most",
+			count, countBefore)
 	}
 	if len(volumes.byID) != len(volumes.order) {
-		t.Errorf("%d volumes known, %d looked through", len(volumes.byID), len(volumes.order))
+		t.Errorf("got %d volumes by ID and %d in sweep order, want the same", len(volumes.byID),
+			len(volumes.order))
 	}
 	if heap := heapInUse(); heap > 2*heapBefore+(64<<20) {
-		t.Errorf("heap %d MiB after 1,000,000, %d MiB after 200,000", heap>>20, heapBefore>>20)
+		t.Errorf("heap: got %d MiB after 1,000,000, %d MiB after 200,000, want double plus 64 MiB at most",
+			heap>>20, heapBefore>>20)
 	}
 	const sendsInWindow = 2*100_000*3/10 + 1000
 	for _, n := range load.scheduler.endpoints.nodes {
 		if got := len(n.sends.items); got > 2*sendsInWindow {
-			t.Errorf("%d sends recorded, %d in the window", got, sendsInWindow)
+			t.Errorf("got %d recorded sends, want twice the %d in the window at most", got, sendsInWindow)
 		}
 	}
 	runtime.KeepAlive(load)
@@ -51,8 +54,8 @@
 	return stats.HeapAlloc
 }
 
-// A volume that is forgotten and comes again is held to its limit as one that was known all along.
-func TestVolumes_ForgottenVolumeKeepsItsQuota(t *testing.T) {
+// A volume that was deleted and is seen again must stay within its limit like one that was kept.
+func TestVolumes_RecreatedVolumeKeepsItsQuota(t *testing.T) {
 	settings := fleetSettings()
 	settings.Plans[0].Limit, settings.Plans[0].Burst = 10, 20
 	settings.Plans[0].Reserve, settings.MaxUnits = 2, 4
@@ -62,22 +65,22 @@
 		load.step(7)
 	}
 	if level := volumes.byID[7].limit.level; level > 1 {
-		t.Fatalf("the quota of a volume with 1000 requests per second still holds %v", level)
+		t.Fatalf("quota left with 1000 requests per second: got %v units, want 1 at most", level)
 	}
-	for range 500 { // another volume comes: not enough time for the quota to refill
+	for range 500 { // of another volume: not enough time for the quota to refill
 		load.step(8)
 	}
 	if volumes.byID[7] == nil {
-		t.Fatal("forgotten while the bucket of its quota is not full")
+		t.Fatal("got the volume deleted, want it kept while the bucket of its quota is not full")
 	}
 	for i := range 20_000 {
 		load.step(uint64(9 + i%3))
 	}
 	if volumes.byID[7] != nil {
-		t.Fatal("still known long after its buckets filled")
+		t.Fatal("got the volume kept long after its buckets filled, want it deleted")
 	}
 	v := load.scheduler.volumeFor(Request{Volume: 7, VolumeInstances: 1})
 	if remaining := load.scheduler.quotaRemaining(v); remaining > 20 {
-		t.Errorf("a forgotten volume has %v units, its bucket holds 20", remaining)
+		t.Errorf("quota of a recreated volume: got %v units, want 20 at most", remaining)
 	}
 }
