--- a/endpoints/endpoint.go
+++ b/endpoints/endpoint.go
@@ -6,7 +6,7 @@
 	"landingpaddle/scheduler"
 )
 
-// Clock is one moment in both clocks of this instance.
+// Clock is one reading of both clocks of this instance.
 type Clock struct {
 	Now  time.Duration // monotonic, as passed to the scheduler
 	Wall int64         // Unix nanoseconds
@@ -16,7 +16,7 @@
 type Endpoint struct {
 	Server          scheduler.Server
 	Status          scheduler.Status
-	Cell            uint16 // the shard of data that the node holds
+	Cell            uint16 // the shard of data that the node serves
 	Zone            uint8
 	MachineType     uint8
 	StartedAt       int64 // Unix nanoseconds of the node's clock at its last start; 0: long ago
@@ -26,16 +26,16 @@
 // ByServer compares endpoints by address and port.
 func ByServer(a, b Endpoint) int { return a.Server.Compare(b.Server) }
 
-// Update is a message of a registry: the full list, or what changed since an earlier version.
+// Update is a message from a registry: the full list, or the endpoints that changed since an earlier version.
 type Update struct {
 	Epoch       uint64 // of the registry's incarnation
-	Version     uint64 // of the list; it grows within an epoch
-	BaseVersion uint64 // of a change: the version that it builds on
-	Full        bool   // the full list, else only what changed
+	Version     uint64 // of the list; increases within an epoch
+	BaseVersion uint64 // of a change: the version on which it builds
+	Full        bool   // Endpoints is the full list; false: only those that changed
 	Endpoints   []Endpoint
 }
 
-// Snapshot is the list as an instance saves it for its next incarnation.
+// Snapshot is the endpoint list that an instance saves for its next incarnation.
 type Snapshot struct {
 	Epoch     uint64
 	Version   uint64
--- a/endpoints/start_time.go
+++ b/endpoints/start_time.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// maxStartAge is the age from which on a start matters to nobody: nodes warm up within seconds or minutes.
+// maxStartAge is the age beyond which a start is irrelevant: nodes warm up within seconds or minutes.
 const maxStartAge = 30 * time.Minute
 
-// startTimes maps starts of one node, in Unix nanoseconds of its clock, to this instance's clock.
+// startTimes maps start times of one node, in Unix nanoseconds of its clock, to this instance's clock.
 type startTimes map[int64]time.Duration
 
-// keepOnly drops all starts but one.
+// keepOnly deletes all starts except one.
 func (s startTimes) keepOnly(startedAt int64) {
 	for other := range s {
 		if other != startedAt {
@@ -17,18 +17,18 @@
 	}
 }
 
-// startTime converts a node's start into this instance's clock; 0 means long ago. Each start is converted
-// once and the result kept, as the same start told again must not look like a new one when the clocks drift.
-// A node whose clock is behind seems to have started earlier than it has and would be taken for warm too
-// soon: so the skew is added, and a node counts as cold for a little longer rather than shorter. No start
-// lies in the future.
+// startTime converts a node's start time to this instance's clock; 0 means long ago. Each start is converted
+// once and the result is kept: a repeated start must not look like a new one when the clocks drift. A node
+// whose clock is behind appears to have started earlier than it did and would be treated as warm too soon, so
+// the skew is added: a node counts as cold for slightly too long rather than too short. The result is never
+// in the future.
 func (v *View) startTime(clock Clock, endpoint Endpoint) time.Duration {
 	if endpoint.StartedAt == 0 {
 		return 0
 	}
 	starts := v.startTimes[endpoint.Server]
-	if known, ok := starts[endpoint.StartedAt]; ok {
-		return known
+	if converted, ok := starts[endpoint.StartedAt]; ok {
+		return converted
 	}
 	age := clock.Wall - endpoint.StartedAt
 	if age > int64(maxStartAge+v.skew) {
@@ -36,7 +36,7 @@
 	}
 	at := clock.Now - max(0, time.Duration(age)-v.skew)
 	for _, other := range starts {
-		at = max(at, other+1) // another start of the same node is an earlier one, whatever the clocks say
+		at = max(at, other+1) // any other recorded start of this node is earlier, whatever the clocks show
 	}
 	if at <= 0 {
 		return 0
--- a/endpoints/view.go
+++ b/endpoints/view.go
@@ -8,18 +8,18 @@
 	"landingpaddle/scheduler"
 )
 
-// View is what an instance believes of the nodes. Create one by New.
+// View is an instance's cached state of the nodes. Create it with New.
 type View struct {
 	skew         time.Duration
 	epoch        uint64
 	version      uint64
-	trusted      bool // changes may build on the list held
+	trusted      bool // changes may build on the current list
 	listed       map[scheduler.Server]Endpoint
 	drainNotices map[scheduler.Server]int64 // start of the incarnation that sent the notice
 	startTimes   map[scheduler.Server]startTimes
 }
 
-// New returns an empty view. The clocks of nodes may differ from this instance's by up to skew.
+// New returns an empty view. The nodes' clocks may differ from this instance's by up to skew.
 func New(skew time.Duration) *View {
 	return &View{
 		skew:         skew,
@@ -29,18 +29,18 @@
 	}
 }
 
-// ApplyResult says what became of an update.
+// ApplyResult is the result of applying an update.
 type ApplyResult uint8
 
 // The results of Apply.
 const (
 	Applied ApplyResult = iota
-	Stale               // older than the list held: nothing to do
-	Gap                 // a change to a list that is not held: the full list must be fetched
+	Stale               // older than the current list: ignored
+	Gap                 // a change whose base version is missing: the full list must be fetched
 )
 
-// Restore takes over the snapshot from before a restart and returns what the scheduler is to be told. Changes
-// do not build on it until a full list was applied, unless TrustRestored is called.
+// Restore sets the list to a snapshot from before a restart and returns the update for the scheduler. Changes
+// are not applied to it until a full list has been applied, unless TrustRestored is called.
 func (v *View) Restore(clock Clock, snapshot Snapshot) scheduler.EndpointUpdate {
 	v.epoch, v.version = snapshot.Epoch, snapshot.Version
 	for _, endpoint := range snapshot.Endpoints {
@@ -49,12 +49,12 @@
 	return v.schedulerUpdate(clock, scheduler.UpdateCached, v.sorted())
 }
 
-// TrustRestored lets changes build on the restored snapshot: the registry continues the list that it was
-// taken from.
+// TrustRestored allows changes to build on the restored snapshot: the registry continues the list from which
+// the snapshot was taken.
 func (v *View) TrustRestored() { v.trusted = true }
 
-// Apply takes over an update of the registry. Only where the result is Applied is there an update for the
-// scheduler.
+// Apply applies an update from the registry. It returns an update for the scheduler only if the result is
+// Applied.
 func (v *View) Apply(clock Clock, update Update) (scheduler.EndpointUpdate, ApplyResult) {
 	if !update.Full && !v.isHeld(update) {
 		return scheduler.EndpointUpdate{}, Gap
@@ -67,18 +67,18 @@
 		kind, changed = scheduler.UpdateFull, v.sorted()
 	}
 	v.trusted, v.epoch, v.version = true, update.Epoch, update.Version
-	told := v.schedulerUpdate(clock, kind, changed)
+	converted := v.schedulerUpdate(clock, kind, changed)
 	v.prune()
-	return told, Applied
+	return converted, Applied
 }
 
-// isHeld reports whether the list that a change builds on is held.
+// isHeld reports whether the list is at the base version of a change or later in the same epoch.
 func (v *View) isHeld(change Update) bool {
 	return v.trusted && change.Epoch == v.epoch && change.BaseVersion <= v.version
 }
 
-// merge writes an update into the list and returns its endpoints as they stand now. Where a node has told of
-// a later start than the update knows, that start remains: the node is still as cold.
+// merge writes an update into the list and returns the update's endpoints as merged. A start that a node
+// reported itself is kept if it is later than the update's: the node is still cold.
 func (v *View) merge(update Update) []Endpoint {
 	before, merged := v.listed, make([]Endpoint, 0, len(update.Endpoints))
 	if update.Full {
@@ -98,8 +98,8 @@
 	return merged
 }
 
-// ApplyDrainNotice takes over that a node said itself that it drains. The start is the one that the node gave
-// in its greeting; the notice speaks of that incarnation only. The second result is false where nothing
+// ApplyDrainNotice records a node's own notice that it is draining. The start is the one that the node stated
+// in its handshake; the notice applies to that incarnation only. The second result is false if nothing
 // changes.
 func (v *View) ApplyDrainNotice(clock Clock, server scheduler.Server,
 	startedAt int64) (scheduler.EndpointUpdate, bool) {
@@ -119,9 +119,9 @@
 	return v.schedulerUpdate(clock, scheduler.UpdateDelta, []Endpoint{endpoint}), true
 }
 
-// ApplyGreeting takes over the start that a node stated on a connection. One that is newer than the listed
-// start tells of a restart before the late list does: the node is cold now. Its status stays as listed, as
-// only the list tells that a drain is over. The second result is false where nothing changes.
+// ApplyGreeting records the start that a node stated in its handshake. A start newer than the listed one
+// reports a restart before the list does: the node is cold now. Its status stays as listed, as only the list
+// states that a drain is over. The second result is false if nothing changes.
 func (v *View) ApplyGreeting(clock Clock, server scheduler.Server,
 	startedAt int64) (scheduler.EndpointUpdate, bool) {
 
@@ -134,12 +134,12 @@
 	return v.schedulerUpdate(clock, scheduler.UpdateDelta, []Endpoint{endpoint}), true
 }
 
-// Snapshot returns the list for the next incarnation. Drain notices are not part of it: a restarted instance
-// gets them again from the nodes themselves.
+// Snapshot returns the list for the next incarnation. It does not include drain notices: a restarted instance
+// receives them again from the nodes.
 func (v *View) Snapshot() Snapshot { return Snapshot{v.epoch, v.version, v.sorted()} }
 
-// Version returns the version of the list held, to ask the registry for changes since; zeros if changes
-// cannot build on it.
+// Version returns the epoch and version of the list, for requesting later changes from the registry. Both are
+// 0 if changes cannot build on the list.
 func (v *View) Version() (epoch, version uint64) {
 	if !v.trusted {
 		return 0, 0
@@ -168,7 +168,8 @@
 	return scheduler.EndpointUpdate{Version: v.version, Kind: kind, Endpoints: converted}
 }
 
-// effectiveStatus is the listed status, unless the node itself has said since that it drains.
+// effectiveStatus returns Draining for a ready node that sent a drain notice in its current incarnation, and
+// the listed status otherwise.
 func (v *View) effectiveStatus(endpoint Endpoint) scheduler.Status {
 	notice, noticed := v.drainNotices[endpoint.Server]
 	if noticed && endpoint.Status == scheduler.Ready && endpoint.StartedAt <= notice {
@@ -177,8 +178,7 @@
 	return endpoint.Status
 }
 
-// prune drops what is known of nodes that are not listed any more, and of earlier incarnations of those that
-// are.
+// prune deletes start times and drain notices of unlisted nodes, and of earlier incarnations of listed ones.
 func (v *View) prune() {
 	for server, starts := range v.startTimes {
 		endpoint, listed := v.listed[server]
--- a/endpoints/view_properties_test.go
+++ b/endpoints/view_properties_test.go
@@ -11,23 +11,23 @@
 	"landingpaddle/scheduler"
 )
 
-// nodesInModel is how many nodes the registry of a viewModel lists.
+// nodesInModel is the number of nodes that the registry of a viewModel lists.
 const nodesInModel = 3
 
-// viewModel feeds a view what a registry and nodes say, and checks what the view makes of it.
+// viewModel applies messages of a registry and of nodes to a view and checks the resulting updates.
 type viewModel struct {
 	view     *View
 	elapsed  time.Duration
 	version  uint64 // of the registry's list
 	listed   map[scheduler.Server]Endpoint
 	starts   map[scheduler.Server]int64                   // wall clock of a node's last start
-	noticed  map[scheduler.Server]int64                   // the start that the last drain notice gave
-	reported map[scheduler.Server]map[int64]time.Duration // by start: its clock value in the view
+	noticed  map[scheduler.Server]int64                   // the start stated in the last drain notice
+	reported map[scheduler.Server]map[int64]time.Duration // by start: its time in this instance's clock
 }
 
-// In any order of inputs: the scheduler is never told of a start in the future; the same start always has the
-// same time, and a later start of a node a later one; a node that gave a drain notice is not ready again in
-// that incarnation.
+// For any order of inputs: no update has a start in the future; a repeated start is always converted to the
+// same time, and a later start of a node to a later time; a node that sent a drain notice is not ready again
+// in that incarnation.
 func TestView_Properties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &viewModel{
@@ -43,7 +43,7 @@
 	})
 }
 
-// step lets some time pass and one thing happen to one node, as its clock has it.
+// step advances the clock and applies one random event of one node, at a wall time with random drift.
 func (m *viewModel) step(t *rapid.T) {
 	m.elapsed += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "elapsed"))
 	node := rapid.IntRange(1, nodesInModel).Draw(t, "node")
@@ -65,7 +65,7 @@
 	return rapid.Int64Range(-int64(skew), int64(skew)).Draw(t, label)
 }
 
-// startNode starts a node's process anew and lists it by a change; after a gap the full list follows.
+// startNode restarts a node's process and lists it by a change; after a gap the full list is applied.
 func (m *viewModel) startNode(t *rapid.T, now Clock, node int) {
 	address := server(node)
 	m.starts[address] = max(m.starts[address]+1, now.Wall+drawSkew(t, "skew"))
@@ -109,23 +109,23 @@
 	return fullList(m.version, slices.Collect(maps.Values(m.listed))...)
 }
 
-// check checks an update of the view.
+// check checks the starts and statuses in an update for the scheduler.
 func (m *viewModel) check(t *rapid.T, update scheduler.EndpointUpdate) {
 	for _, endpoint := range update.Endpoints {
 		m.checkStart(t, endpoint)
 		startedAt := m.starts[endpoint.Server]
 		noticed, hasNotice := m.noticed[endpoint.Server]
 		if hasNotice && startedAt <= noticed && endpoint.Status == scheduler.Ready {
-			t.Fatal("ready after its drain notice")
+			t.Fatal("node is ready after its drain notice")
 		}
 	}
 }
 
-// checkStart checks that no start lies in the future, that a start keeps its clock value and that a later one
-// has a later value.
+// checkStart checks that no start is in the future, that a repeated start keeps its converted time and that a
+// later start has a later time.
 func (m *viewModel) checkStart(t *rapid.T, endpoint scheduler.Endpoint) {
 	now := time.Hour + m.elapsed
-	if endpoint.StartedAt > now+time.Microsecond { // starts of one moment are told apart by nanoseconds
+	if endpoint.StartedAt > now+time.Microsecond { // simultaneous starts differ by nanoseconds
 		t.Fatalf("start in the future: %v at %v", endpoint.StartedAt, now)
 	}
 	reported := m.reported[endpoint.Server]
