--- a/checkpoint/record.go
+++ b/checkpoint/record.go
@@ -8,7 +8,7 @@
 	"landingpaddle/scheduler"
 )
 
-// Fingerprint holds the settings on which the meaning of statistics depends.
+// Fingerprint holds the settings that determine the meaning of statistics.
 type Fingerprint struct {
 	Instance  int     `cbor:"Number"` // index of the instance
 	MeanUnits float64 `cbor:"Mean"`   // of a request
@@ -34,13 +34,13 @@
 	WrittenAt     int64                       `cbor:"Written"` // Unix nanoseconds
 	Fingerprint   Fingerprint                 `cbor:"Site"`
 	Nodes         []NodeRecord                `cbor:"Nodes"`
-	Classes       []scheduler.ClassStatistics `cbor:"Classes"` // by the classes of the fingerprint
+	Classes       []scheduler.ClassStatistics `cbor:"Classes"` // in the order of Fingerprint.Classes
 	AllClasses    scheduler.Regression        `cbor:"Usual"`
 	MedianLatency time.Duration               `cbor:"Median"`
 	RecentLatency time.Duration               `cbor:"Lately"`
 }
 
-// Capture makes the record of an instance's statistics, with those of the nodes that are listed. The wall
+// Capture returns a record of an instance's statistics, with node statistics only for listed nodes. The wall
 // time is in Unix nanoseconds.
 func Capture(wall int64, fingerprint Fingerprint, statistics scheduler.Statistics,
 	listed []endpoints.Endpoint) Record {
@@ -60,12 +60,12 @@
 	return record
 }
 
-// Restore returns the statistics of a valid record that still mean the same under the current settings and
-// for the nodes that are listed.
+// Restore returns the statistics of a valid record that still apply under the current settings and to the
+// listed nodes.
 func (r Record) Restore(current Fingerprint, listed []endpoints.Endpoint) scheduler.Statistics {
 	restored := scheduler.Statistics{Nodes: map[scheduler.Server]scheduler.NodeStatistics{}}
 	if r.Fingerprint.MeanUnits != current.MeanUnits || r.Fingerprint.MaxUnits != current.MaxUnits {
-		// a unit means something else: so does every size, and every latency predicted by size
+		// the unit has changed, and with it every size and every latency predicted by size
 		return restored
 	}
 	r.restoreNodes(&restored, listed)
@@ -73,7 +73,7 @@
 	return restored
 }
 
-// restoreNodes restores the statistics of nodes whose incarnation is still the same and ready.
+// restoreNodes restores the statistics of ready nodes whose incarnation is unchanged.
 func (r Record) restoreNodes(restored *scheduler.Statistics, listed []endpoints.Endpoint) {
 	starts := map[scheduler.Server]int64{}
 	for _, endpoint := range listed {
@@ -88,8 +88,8 @@
 	}
 }
 
-// restoreClasses restores the statistics of classes by name, and those over all classes where the classes are
-// the same.
+// restoreClasses restores the statistics of classes by name and direction, and those over all classes if the
+// classes are the same.
 func (r Record) restoreClasses(restored *scheduler.Statistics, current Fingerprint) {
 	for _, class := range current.Classes {
 		statistics := scheduler.ClassStatistics{}
@@ -104,7 +104,7 @@
 	}
 }
 
-// sameClasses reports whether two lists hold the same classes in any order.
+// sameClasses reports whether two lists contain the same classes, in any order.
 func sameClasses(a, b []Class) bool {
 	isUnknown := func(class Class) bool { return !slices.Contains(b, class) }
 	return len(a) == len(b) && !slices.ContainsFunc(a, isUnknown)
--- a/checkpoint/record_test.go
+++ b/checkpoint/record_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// A node that restarted, drains or is another one is learned afresh.
+// Statistics of a node that has restarted or is draining are not restored.
 func TestRestore_KeepsOnlyTheSameIncarnationOfANode(t *testing.T) {
 	list := listed()
 	list[0].StartedAt++
@@ -63,8 +63,8 @@
 	}
 }
 
-// Statistics of classes follow their names; a class that is new, or writes now, starts afresh, and so does
-// what is learned over all classes.
+// Statistics of classes are matched by name. A class that is new or has changed its direction starts without
+// statistics; then those over all classes are not restored either.
 func TestRestore_MatchesClassesByName(t *testing.T) {
 	now := fingerprint()
 	now.Classes = []Class{{"write", true}, {"read", true}, {"scan", false}}
@@ -79,7 +79,7 @@
 	}
 }
 
-// Where a unit means something else, no size and no latency means the same.
+// If the unit has changed, no size and no latency is valid any more.
 func TestRestore_ReturnsNothingForOtherUnits(t *testing.T) {
 	now := fingerprint()
 	now.MeanUnits = 3
@@ -91,15 +91,15 @@
 
 func TestValidate_RejectsUnusableRecords(t *testing.T) {
 	for want, spoil := range map[string]func(r *Record){
-		"no time":             func(r *Record) { r.WrittenAt = 0 },
-		"of instance 3":       func(r *Record) { r.Fingerprint.Instance = 3 },
-		"from now":            func(r *Record) { r.WrittenAt = wall + int64(2*time.Minute) },
-		"old, over 1h":        func(r *Record) { r.WrittenAt = wall - int64(2*time.Hour) },
-		"of 1 classes":        func(r *Record) { r.Classes = r.Classes[:1] },
-		"class write are out": func(r *Record) { r.Classes[1].MeanUnits = 1e9 },
-		"class read are out":  func(r *Record) { r.Classes[0].Latency.MeanProduct = math.NaN() },
-		"usual request are":   func(r *Record) { r.AllClasses.MeanTime = -1 },
-		"of a node are out":   func(r *Record) { r.Nodes[0].Statistics.Latency = -1 },
+		"no time":              func(r *Record) { r.WrittenAt = 0 },
+		"of instance 3":        func(r *Record) { r.Fingerprint.Instance = 3 },
+		"in the future":        func(r *Record) { r.WrittenAt = wall + int64(2*time.Minute) },
+		"old, over 1h":         func(r *Record) { r.WrittenAt = wall - int64(2*time.Hour) },
+		"of 1 classes":         func(r *Record) { r.Classes = r.Classes[:1] },
+		"class write are out":  func(r *Record) { r.Classes[1].MeanUnits = 1e9 },
+		"class read are out":   func(r *Record) { r.Classes[0].Latency.MeanProduct = math.NaN() },
+		"over all classes are": func(r *Record) { r.AllClasses.MeanTime = -1 },
+		"of a node are out":    func(r *Record) { r.Nodes[0].Statistics.Latency = -1 },
 	} {
 		t.Run(want, func(t *testing.T) {
 			r := record()
--- a/checkpoint/validate.go
+++ b/checkpoint/validate.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// MaxAge is the age from which on a record is not restored any more.
+	// MaxAge is the age beyond which a record is not restored.
 	MaxAge = time.Hour
-	// maxLatency is more than any latency of a node can be.
+	// maxLatency is an upper bound of plausible latencies.
 	maxLatency = time.Hour
-	// maxRegressionValue is more than any part of a regression can be.
+	// maxRegressionValue is an upper bound of plausible values in a regression.
 	maxRegressionValue = 1e12
-	// maxClockAhead is how far a record's time may lie ahead of this machine's clock.
+	// maxClockAhead is the longest time by which a record may be ahead of this machine's clock.
 	maxClockAhead = time.Minute
 )
 
-// InvalidRecordError says why a record cannot be restored at all.
+// InvalidRecordError reports why a record cannot be restored at all.
 type InvalidRecordError struct {
 	Field  string // of the Record
 	Reason string
@@ -39,38 +39,38 @@
 		return err
 	}
 	if !validLatency(r.MedianLatency) || !validLatency(r.RecentLatency) || !validRegression(r.AllClasses) {
-		return invalid("AllClasses", "its figures of the usual request are out of range")
+		return invalid("AllClasses", "its statistics over all classes are out of range")
 	}
 	for i, class := range r.Classes {
 		if !validClass(class, r.Fingerprint.MaxUnits) {
-			return invalid("Classes", "its figures of class %s are out of range",
+			return invalid("Classes", "its statistics of class %s are out of range",
 				r.Fingerprint.Classes[i].Name)
 		}
 	}
 	for _, node := range r.Nodes {
 		if !validLatency(node.Statistics.Latency) || !validLatency(node.Statistics.Deviation) {
-			return invalid("Nodes", "its figures of a node are out of range")
+			return invalid("Nodes", "its statistics of a node are out of range")
 		}
 	}
 	return nil
 }
 
-// validateOrigin checks when and by which instance a record was written, and that it is complete.
+// validateOrigin checks the record's age and instance, and that it has statistics of every class it names.
 func (r Record) validateOrigin(wall int64, current Fingerprint) error {
 	age := time.Duration(wall - r.WrittenAt)
 	classes, named := len(r.Classes), len(r.Fingerprint.Classes)
 	switch {
 	case r.WrittenAt == 0:
-		return invalid("WrittenAt", "it tells of no time")
+		return invalid("WrittenAt", "it has no time of writing")
 	case r.Fingerprint.Instance != current.Instance:
-		return invalid("Fingerprint", "it is of instance %d, this is %d", r.Fingerprint.Instance,
+		return invalid("Fingerprint", "it is of instance %d, this is instance %d", r.Fingerprint.Instance,
 			current.Instance)
 	case r.WrittenAt > wall+int64(maxClockAhead):
-		return invalid("WrittenAt", "it was written %v from now", (-age).Round(time.Second))
+		return invalid("WrittenAt", "it was written %v in the future", (-age).Round(time.Second))
 	case age > MaxAge:
 		return invalid("WrittenAt", "it is %v old, over %v", age.Round(time.Second), MaxAge)
 	case classes != named:
-		return invalid("Classes", "it has figures of %d classes and names %d", classes, named)
+		return invalid("Classes", "it has statistics of %d classes but names %d", classes, named)
 	}
 	return nil
 }
@@ -91,5 +91,5 @@
 	return g.Count == 0 || g.MeanTime > 0
 }
 
-// inRange reports whether a value lies from 0 to a maximum; it does not for a NaN.
+// inRange reports whether a value is from 0 to a maximum; false for NaN.
 func inRange(value, maximum float64) bool { return value >= 0 && value <= maximum }
