--- a/extent/answer.go
+++ b/extent/answer.go
@@ -1,30 +1,30 @@
 package extent
 
-// Outcome is how a piece, or a request, ended.
+// Outcome is the result of a piece or of a request.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Served   Outcome = iota
-	Rejected         // a retry does no harm
-	Failed           // promises nothing
+	Rejected         // a retry is safe
+	Failed           // a retry may not be safe
 )
 
-// Answer is a request's one final answer.
+// Answer is the single final answer to a request.
 type Answer struct {
 	Request uint64
 	Outcome Outcome
 	Data    [][]byte // of a read that was served, by offset
-	// Of a request that was not served: how many of its pieces are done, may yet run or may have run, and
-	// were never sent.
+	// Of a request that was not served: the numbers of its pieces that were served, that may have run or may
+	// still run, and that were not sent or not executed.
 	Done, Uncertain, Unsent int
 }
 
-// Resolve takes in a piece's final outcome: what the scheduler says of it, and the bytes of a read that was
-// served. It returns the request's answer, where this is what decides it, and the pieces of it that are
-// queued or in flight and are owed nothing any more: the scheduler is told that their client has gone. The
-// first piece that is not served ends its request. A rejection stays one only where no piece may have run, or
-// running again does no harm.
+// Resolve records a piece's final outcome as decided by the scheduler, with the bytes of a read that was
+// served. It returns the request's answer if this outcome decides it, and the request's pieces that are still
+// queued or in flight and need no result any more: the caller reports them to the scheduler as pieces whose
+// client has disconnected. The first piece that is not served ends its request. A rejection is returned as a
+// failure if a piece may have run and running it again is not safe.
 func (p *Planner) Resolve(id uint32, outcome Outcome, data []byte) (answer *Answer, withdrawn []uint32) {
 	x := p.pieces[id]
 	if x == nil || x.resolved {
@@ -47,7 +47,7 @@
 	return answer, withdrawn
 }
 
-// resolveServed notes that a piece was served, and returns the request's answer if it was the last.
+// resolveServed records that a piece was served, and returns the request's answer if it was the last.
 func (p *Planner) resolveServed(x *piece, data []byte) *Answer {
 	x.served, x.data = true, data
 	r := x.request
@@ -64,9 +64,9 @@
 	return answer
 }
 
-// Abandon ends a request that wants no answer any more, or whose time is up. Attempts in flight go on: others
-// may share them. It returns what is known of all pieces, and those that are not resolved; nil if the request
-// was answered before.
+// Abandon ends a request whose client needs no answer any more, or whose deadline has passed. Attempts in
+// flight continue, as other requests may share them. It returns an answer that counts the pieces by state,
+// and the unresolved pieces; nil if the request is unknown or was answered before.
 func (p *Planner) Abandon(id uint64) (answer *Answer, withdrawn []uint32) {
 	r := p.requests[id]
 	if r == nil || r.answered {
@@ -77,7 +77,7 @@
 	return answer, withdrawn
 }
 
-// end closes a request that is not served, and counts what becomes of its pieces.
+// end closes a request that is not served, and counts its pieces by state.
 func (p *Planner) end(r *request) (answer *Answer, withdrawn []uint32) {
 	r.answered = true
 	answer = &Answer{Request: r.ID}
--- a/extent/merge.go
+++ b/extent/merge.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// scanFactor bounds how many queued pieces are looked at for each that an operation may have.
+// scanFactor limits the queued pieces inspected in each direction to this multiple of Settings.MaxMembers.
 const scanFactor = 4
 
-// compareKind is 0 for pieces that may share an operation: of one extent, direction and class, and writes of
-// one plan. Reads for several volumes may share one: each is charged to its own.
+// compareKind returns 0 for pieces that may share an operation: those of one extent, direction and class, and
+// for writes also of one plan. Reads charged to different volumes may share one: each is charged to its own.
 func (x *piece) compareKind(other *piece) int {
 	a, b := x.request, other.request
 	plans := 0
@@ -37,9 +37,10 @@
 	return 1
 }
 
-// Propose proposes to join, for a piece that is sent, the queued pieces that touch or overlap it, one after
-// the other along the volume's bytes, first those behind it, then those before. Writes only touch, since of
-// two writes to the same bytes the later must win. What joins is queued no more.
+// Propose calls join for the queued pieces that touch or overlap the operation of a piece that is sent for
+// the first time: first for those after it, by ascending offset, then for those before it, by descending
+// offset. Writes must only touch, since of two writes to the same bytes the later must win. Pieces that join
+// are removed from the queue.
 func (p *Planner) Propose(id uint32, join func(id uint32, units float64) bool) {
 	leader := p.pieces[id]
 	if leader == nil || !leader.queued || p.settings.MaxMembers < 2 {
@@ -62,7 +63,7 @@
 	}
 }
 
-// merge is an operation while members join it.
+// merge is the state of one call of Propose: an operation and the pieces that joined it.
 type merge struct {
 	planner   *Planner
 	leader    *piece
@@ -73,7 +74,8 @@
 	looksLeft int
 }
 
-// consider lets a queued piece join if it fits, and reports whether to look at further ones.
+// consider adds a queued piece to the operation if it fits and join accepts it, and reports whether to
+// inspect further pieces.
 func (m *merge) consider(x *piece) bool {
 	settings := &m.planner.settings
 	m.looksLeft--
@@ -97,18 +99,18 @@
 	return true
 }
 
-// isTooFarApart reports whether two pieces arrived too far apart to share an operation.
+// isTooFarApart reports whether the arrivals of two pieces differ by more than the window.
 func (p *Planner) isTooFarApart(a, b *piece) bool {
 	difference := a.request.ReceivedAt - b.request.ReceivedAt
 	return p.settings.Window > 0 && max(difference, -difference) > p.settings.Window
 }
 
-// operationSize adds up what an operation's members ask for.
+// operationSize is the sum of the members' bytes and units, and the units of the whole operation (work).
 type operationSize struct{ bytes, units, work float64 }
 
-// add is the size with one more member, the operation then covering a range. Its work is that of the bytes it
-// covers, since what two members share is done once, and never less than without the member: one that counts
-// few units for its bytes makes the others' no cheaper.
+// add returns the size with one more member, when the operation covers the given range. The work is the
+// members' units, scaled down to the covered bytes, since bytes that members share are processed once. It is
+// never less than without the member: one with few units for its bytes must not make the others cheaper.
 func (s operationSize) add(member Piece, covered Range) operationSize {
 	s.bytes += float64(member.Range.Length)
 	s.units += float64(member.chargedUnits())
--- a/extent/operation.go
+++ b/extent/operation.go
@@ -1,17 +1,17 @@
 package extent
 
-// Operation is what is done at a node at once: one piece, or several that were queued at the same time.
+// Operation is one request to a node: one piece, or several that were queued at the same time.
 type Operation struct {
 	DataVolume uint64
 	Extent     uint64
 	Write      bool
-	Range      Range // the bytes that all members need
+	Range      Range // the union of the members' ranges
 	Units      int
 	Members    []Piece // the leader first
 }
 
-// SealOperation notes that the attempts sent just now for these pieces, the leader first, are sent as one
-// operation, and returns it.
+// SealOperation records that the attempts just sent for these pieces, the leader first, form one operation,
+// and returns it.
 func (p *Planner) SealOperation(ids []uint32) Operation {
 	p.Stats.Operations++
 	if len(ids) > 1 {
@@ -39,7 +39,7 @@
 	return operation
 }
 
-// touches reports whether one more range can be part of the operation without a gap; a write may not overlap.
+// touches reports whether a range can join the operation without a gap; a write must not overlap it.
 func (o *Operation) touches(r Range, write bool) bool {
 	if write {
 		return r.Offset == o.Range.End() || r.End() == o.Range.Offset
@@ -47,21 +47,22 @@
 	return r.Offset <= o.Range.End() && r.End() >= o.Range.Offset
 }
 
-// Slice returns where a member's bytes lie within the operation's.
+// Slice returns a member's range relative to the operation's first byte.
 func (o *Operation) Slice(member Piece) Range {
 	return Range{member.Range.Offset - o.Range.Offset, member.Range.Length}
 }
 
-// Part is what a member gets of an operation's answer.
+// Part is one member's part of an operation's answer.
 type Part struct {
 	OK   bool
-	Data []byte // of a read: shared with all members that overlap, not to be written to
+	Data []byte // of a read: shared by overlapping members, must not be modified
 }
 
-// Distribute gives each member its part of a served operation's answer. Unreadable are ranges, from the
-// operation's first byte on, that the node could not serve: only members that need one of them fail. A node
-// carries out writes in the order of the members and ends at the first that fails, so those after it fail
-// too: one of the same key must not be done before it. A read whose bytes are not all there fails as a whole.
+// Distribute returns each member's part of a served operation's answer. Unreadable are the ranges, relative
+// to the operation's first byte, that the node could not serve: only members that overlap one of them fail.
+// A node executes writes in the order of the members and stops at the first that fails, so those after it
+// fail too: a later write of the same key must not be executed before it. A read with incomplete data fails
+// as a whole.
 func (o *Operation) Distribute(unreadable []Range, data []byte) []Part {
 	parts := make([]Part, len(o.Members))
 	complete := o.Write || uint64(len(data)) == o.Range.Length
--- a/extent/planner.go
+++ b/extent/planner.go
@@ -9,16 +9,16 @@
 
 const btreeDegree = 16
 
-// ErrDuplicate is the error of a request whose ID is known already.
-var ErrDuplicate = errors.New("request is known already")
+// ErrDuplicate is returned for a request whose ID is already in use.
+var ErrDuplicate = errors.New("request ID is already in use")
 
-// Planner keeps the state of all requests on their way: which pieces are queued and could be sent together,
-// whose answer a piece's end is, and when a request's one answer is due. It is a scheduler.Batcher: the
-// scheduler asks it, as a request is sent, what could be sent with it.
+// Planner tracks all requests in progress: which pieces are queued and could be sent together, to which
+// request a piece belongs, and when a request's single answer is complete. It is a scheduler.Batcher: when a
+// request is sent, the scheduler polls the planner for requests to send with it.
 //
-// The driver tells it what happens, in this order for each piece: Add, then any number of AttemptSent and
-// AttemptEnded, then Resolve once the scheduler has given its final answer, or Abandon for the whole request;
-// last Forget, when no attempt of the piece is in flight any more.
+// The caller reports the events of each piece in this order: Add, then any number of AttemptSent and
+// AttemptEnded, then Resolve once the scheduler has returned the final result, or Abandon for the whole
+// request; last Forget, when no attempt of the piece is in flight any more.
 type Planner struct {
 	settings Settings
 	requests map[uint64]*request
@@ -27,19 +27,19 @@
 	Stats    Stats
 }
 
-// Stats count what the planner decided.
+// Stats counts decisions of the planner.
 type Stats struct {
 	Split      uint64 // requests that were split
-	Pieces     uint64 // that all requests became
+	Pieces     uint64 // of all requests
 	Operations uint64 // sent, retries included
 	Merged     uint64 // operations of two members or more
 	Members    uint64 // pieces in merged operations
-	Saved      uint64 // operations that merging saved
-	Withdrawn  uint64 // pieces not sent, because another of their request had failed or its client had gone
-	Partial    uint64 // writes that failed with some of their pieces done
+	Saved      uint64 // operations saved by merging
+	Withdrawn  uint64 // pieces not executed, as another of their request failed or it was abandoned
+	Partial    uint64 // writes that were not served although some of their pieces were
 }
 
-// request is a client's request.
+// request is a client's request and the state of its pieces.
 type request struct {
 	Request
 	pieces   []*piece
@@ -50,15 +50,15 @@
 type piece struct {
 	Piece
 	request    *request
-	queued     bool // has never been sent
-	inFlight   int  // attempts
+	queued     bool // waits for its first attempt
+	inFlight   int  // attempts in flight
 	mayHaveRun bool
-	resolved   bool // has its end
+	resolved   bool // its outcome is final
 	served     bool
 	data       []byte // of a read that was served
 }
 
-// New returns a planner that holds nothing.
+// New returns an empty planner.
 func New(settings Settings) *Planner {
 	return &Planner{
 		settings: settings,
@@ -68,11 +68,11 @@
 	}
 }
 
-// Counts returns how many requests and pieces are known.
+// Counts returns the numbers of requests and pieces that the planner tracks.
 func (p *Planner) Counts() (requests, pieces int) { return len(p.requests), len(p.pieces) }
 
-// Add splits a request into the pieces that the scheduler is to see, in the order of their offsets; nextID
-// returns their IDs. An error is the request's answer: it is rejected, and nothing of it is known.
+// Add splits a request into pieces for the scheduler, in the order of their offsets; nextID returns their
+// IDs. After an error nothing of the request is stored, and the caller must reject it.
 func (p *Planner) Add(incoming Request, nextID func() uint32) ([]Piece, error) {
 	if p.requests[incoming.ID] != nil {
 		return nil, fmt.Errorf("%w: %d", ErrDuplicate, incoming.ID)
@@ -106,7 +106,7 @@
 	}
 }
 
-// AttemptSent notes that an attempt of a piece is sent.
+// AttemptSent records that an attempt of a piece was sent.
 func (p *Planner) AttemptSent(id uint32) {
 	if x := p.pieces[id]; x != nil {
 		p.dequeue(x)
@@ -114,7 +114,7 @@
 	}
 }
 
-// AttemptEnded notes that an attempt of a piece ended, and whether it may have run.
+// AttemptEnded records that an attempt of a piece ended, and whether it may have run.
 func (p *Planner) AttemptEnded(id uint32, mayHaveRun bool) {
 	x := p.pieces[id]
 	if x == nil {
@@ -124,7 +124,7 @@
 	x.mayHaveRun = x.mayHaveRun || mayHaveRun
 }
 
-// Forget drops a piece that has its end and of which no attempt is in flight any more.
+// Forget removes a resolved piece of which no attempt is in flight, and with the last piece its request.
 func (p *Planner) Forget(id uint32) {
 	x := p.pieces[id]
 	if x == nil {
--- a/extent/planner_benchmark_test.go
+++ b/extent/planner_benchmark_test.go
@@ -8,7 +8,7 @@
 // benchmarkLength is the length of each read, in bytes.
 const benchmarkLength = 4096
 
-// plannerLoad keeps a number of reads queued at a planner.
+// plannerLoad keeps a constant number of reads queued at a planner.
 type plannerLoad struct {
 	planner  *Planner
 	stride   uint64 // from one read's offset to the next one's
@@ -16,7 +16,7 @@
 	sequence uint64
 }
 
-// The cost of adding, proposing, sending and ending one read, by how many are queued.
+// BenchmarkPlanner measures adding, proposing, sending and ending one read, by the number of queued reads.
 func BenchmarkPlanner(b *testing.B) {
 	for _, queued := range []int{10, 100, 1000, 10_000, 100_000} {
 		for _, adjacent := range []bool{true, false} {
@@ -42,7 +42,7 @@
 	return load
 }
 
-// add adds the next read.
+// add adds the next read to the planner.
 func (l *plannerLoad) add(b *testing.B) {
 	l.sequence++
 	at := Range{l.sequence % 1_000_000 * l.stride, benchmarkLength}
@@ -57,7 +57,7 @@
 	return l.lastID
 }
 
-// serve sends and ends b.N reads in the order of their arrival, and adds one for each.
+// serve sends and ends b.N reads in the order of their arrival, and adds a new one for each.
 func (l *plannerLoad) serve(b *testing.B) {
 	for leader, served := uint32(1), 0; served < b.N; leader++ {
 		if piece := l.planner.pieces[leader]; piece == nil || !piece.queued {
@@ -71,7 +71,7 @@
 	}
 }
 
-// send sends a read with all that may join it.
+// send sends a read with all queued reads that the planner proposes to join it.
 func (l *plannerLoad) send(leader uint32) Operation {
 	ids := []uint32{leader}
 	l.planner.Propose(leader, func(id uint32, _ float64) bool {
--- a/extent/planner_checks_test.go
+++ b/extent/planner_checks_test.go
@@ -2,18 +2,18 @@
 
 import "bytes"
 
-// checkBounds checks that an operation lies within one extent and keeps the limits of the settings.
+// checkBounds checks that an operation is within one extent and within the limits of the settings.
 func (d *plannerDriver) checkBounds(operation Operation, members int) {
 	isTooLarge := operation.Range.Length > d.settings.MaxOperation || members > d.settings.MaxMembers
 	firstExtent := operation.Range.Offset / d.settings.ExtentSize
 	lastExtent := (operation.Range.End() - 1) / d.settings.ExtentSize
-	isElsewhere := firstExtent != operation.Extent || lastExtent != operation.Extent
-	if isTooLarge || isElsewhere || len(operation.Members) != members {
+	isOutsideExtent := firstExtent != operation.Extent || lastExtent != operation.Extent
+	if isTooLarge || isOutsideExtent || len(operation.Members) != members {
 		d.t.Fatalf("operation out of bounds: %+v", operation)
 	}
 }
 
-// checkKind checks that a member's request may share an operation with that of the leader.
+// checkKind checks that a member's request may share an operation with the leader's.
 func (d *plannerDriver) checkKind(operation Operation, member, leader *expectedRequest) {
 	isSameData := member.DataVolume == operation.DataVolume && member.Write == operation.Write
 	isSamePlan := !member.Write || member.Plan == leader.Plan
@@ -26,8 +26,8 @@
 	}
 }
 
-// checkCover checks that members cover an operation, those of writes without overlap, and that it counts no
-// more units than they do.
+// checkCover checks that members cover an operation, writes without overlap, and that it counts at least one
+// unit and no more units than all members together.
 func (d *plannerDriver) checkCover(operation Operation) {
 	covered := make([]int, operation.Range.Length)
 	units := 0
@@ -44,33 +44,33 @@
 		}
 	}
 	if operation.Units < 1 || operation.Units > units {
-		d.t.Fatalf("%d units of %d", operation.Units, units)
+		d.t.Fatalf("operation counts %d units, its members %d", operation.Units, units)
 	}
 }
 
-// checkWithdrawn checks that only pieces of a request are withdrawn with it.
+// checkWithdrawn checks that all withdrawn pieces belong to the request.
 func (d *plannerDriver) checkWithdrawn(request *expectedRequest, ids []uint32) {
 	for _, id := range ids {
 		if d.requestOf[id] != request {
-			d.t.Fatalf("piece %d of another request is withdrawn", id)
+			d.t.Fatalf("piece %d of another request was withdrawn", id)
 		}
 		request.queued[id] = false
 	}
 }
 
-// checkServed checks the answer of a request that was served, by its last piece's outcome.
+// checkServed checks the answer to a request that was served when its last piece had the given outcome.
 func (d *plannerDriver) checkServed(request *expectedRequest, answer *Answer, last Outcome) {
 	if last != Served || answer.Done+answer.Uncertain+answer.Unsent != 0 {
 		d.t.Fatalf("served after %v: %+v", last, answer)
 	}
 	data := bytes.Join(answer.Data, nil)
 	if !request.Write && uint64(len(data)) != request.Range.Length {
-		d.t.Fatalf("%d bytes of %d", len(data), request.Range.Length)
+		d.t.Fatalf("got %d bytes, want %d", len(data), request.Range.Length)
 	}
 	for i, b := range data {
 		at := request.Range.Offset + uint64(i)
 		if b != initialByte(request.DataVolume, at) && !d.couldBeWritten(request.DataVolume, at, b) {
-			d.t.Fatalf("request %d: byte %d is %d, which was never there", request.ID, at, b)
+			d.t.Fatalf("request %d: byte at offset %d is %d, which was never stored there", request.ID, at, b)
 		}
 	}
 }
@@ -88,10 +88,10 @@
 	return false
 }
 
-// initialByte is what a volume holds at an offset before any write.
+// initialByte returns the byte of a volume at an offset before any write.
 func initialByte(volume, offset uint64) byte { return byte(offset*7 + volume) }
 
-// couldBeWritten reports whether a byte, which names the request that wrote it, can be at an offset.
+// couldBeWritten reports whether the request whose ID is the byte may have written it at an offset.
 func (d *plannerDriver) couldBeWritten(volume, offset uint64, b byte) bool {
 	writer := d.requests[uint64(b)]
 	if writer == nil || !writer.Write || writer.DataVolume != volume {
@@ -100,7 +100,7 @@
 	return offset >= writer.Range.Offset && offset < writer.Range.End()
 }
 
-// checkNothingIsLeft lets all clients go and checks that the planner holds nothing more.
+// checkNothingIsLeft abandons all requests and checks that the planner is empty.
 func (d *plannerDriver) checkNothingIsLeft() {
 	for id, request := range d.requests {
 		d.planner.Abandon(id)
@@ -111,6 +111,6 @@
 	requests, pieces := d.planner.Counts()
 	queued := d.planner.queued.Len()
 	if requests != 0 || pieces != 0 || queued != 0 {
-		d.t.Fatalf("left: %d requests, %d pieces, %d queued", requests, pieces, queued)
+		d.t.Fatalf("planner is not empty: %d requests, %d pieces, %d queued", requests, pieces, queued)
 	}
 }
--- a/extent/planner_model_test.go
+++ b/extent/planner_model_test.go
@@ -12,7 +12,7 @@
 // diskSize is the size of a volume in plannerDriver, in bytes.
 const diskSize = 200
 
-// expectedRequest is what the model knows of a request: what was asked, and the state of its pieces.
+// expectedRequest is the model's copy of a request with the state of its pieces.
 type expectedRequest struct {
 	Request
 	written    []byte // the bytes that it writes
@@ -22,8 +22,8 @@
 	answered   bool
 }
 
-// plannerDriver drives a planner as the daemon does, at random, and compares each answer with a model that
-// neither merges nor splits: which bytes the disks hold.
+// plannerDriver drives a planner with random events in the order of the daemon, and compares each answer with
+// a model that neither merges nor splits: the bytes on the disks.
 type plannerDriver struct {
 	t          *rapid.T
 	planner    *Planner
@@ -50,24 +50,24 @@
 	}
 }
 
-// In any order of events: each request gets one answer, with the bytes that a planner which never merges or
-// splits would give it; a rejection means that nothing ran; operations keep their bounds; in the end nothing
-// is left.
+// For any order of events: each request gets one answer, with the bytes that it would get without merging and
+// splitting; a rejected request has not run or is safe to retry; operations stay within their limits; in the
+// end the planner is empty.
 func TestPlanner_MatchesAModelWithoutMerging(t *testing.T) {
 	merged := 0
 	rapid.Check(t, playRandomCase(&merged))
 	if merged < 10 {
-		t.Errorf("only %d merged operations in all cases: too few to prove anything", merged)
+		t.Errorf("only %d merged operations in all cases: too few for a meaningful test", merged)
 	}
 }
 
-// FuzzPlanner runs the same driver on what the fuzzer finds.
+// FuzzPlanner runs the same driver on inputs of the fuzzer.
 func FuzzPlanner(f *testing.F) {
 	merged := 0
 	f.Fuzz(rapid.MakeFuzz(playRandomCase(&merged)))
 }
 
-// playRandomCase plays one random case and adds up what was merged.
+// playRandomCase returns a function that runs one random case and adds its merged operations to merged.
 func playRandomCase(merged *int) func(*rapid.T) {
 	return func(t *rapid.T) {
 		d := newPlannerDriver(t, drawNarrowSettings(t))
@@ -79,7 +79,7 @@
 	}
 }
 
-// drawNarrowSettings draws bounds that requests to a disk of diskSize reach.
+// drawNarrowSettings draws limits that are low enough for requests to a disk of diskSize to reach them.
 func drawNarrowSettings(t *rapid.T) Settings {
 	settings := drawSettings(t)
 	settings.ExtentSize = rapid.SampledFrom([]uint64{64, 32, 16}).Draw(t, "extents")
@@ -90,7 +90,7 @@
 	return settings
 }
 
-// step lets one thing happen.
+// step performs one random event.
 func (d *plannerDriver) step() {
 	switch event := rapid.IntRange(0, 19).Draw(d.t, "event"); {
 	case event < 10:
@@ -107,7 +107,7 @@
 	d.now++
 }
 
-// add adds a random request. Few volumes, classes and plans, and offsets on a coarse grid, let many touch.
+// add adds a random request. With few volumes, classes and plans, and offsets on a coarse grid, many touch.
 func (d *plannerDriver) add() {
 	offset := 4 * rapid.Uint64Range(0, diskSize/4-1).Draw(d.t, "offset")
 	length := min(diskSize-offset, 4*rapid.Uint64Range(1, 15).Draw(d.t, "length"))
@@ -140,13 +140,13 @@
 	}
 }
 
-// isQueued reports whether a piece is queued and its request still wants an answer.
+// isQueued reports whether a piece is queued and its request is not answered.
 func (d *plannerDriver) isQueued(id uint32) bool {
 	request := d.requestOf[id]
 	return request != nil && request.queued[id] && !request.answered
 }
 
-// queuedPieces returns all queued pieces by ID.
+// queuedPieces returns the IDs of all queued pieces in ascending order.
 func (d *plannerDriver) queuedPieces() []uint32 {
 	var queued []uint32
 	for id := range d.requestOf {
@@ -158,7 +158,7 @@
 	return queued
 }
 
-// send sends a random queued piece, with whatever the planner proposes and chance accepts.
+// send sends a random queued piece, with a random part of the pieces that the planner proposes.
 func (d *plannerDriver) send() {
 	queued := d.queuedPieces()
 	if len(queued) == 0 {
@@ -169,13 +169,13 @@
 	lastUnits := 0.0
 	d.planner.Propose(leader, func(id uint32, units float64) bool {
 		if !d.isQueued(id) || slices.Contains(ids, id) {
-			d.t.Fatalf("piece %d was proposed, which is not queued", id)
+			d.t.Fatalf("proposed piece %d is not queued", id)
 		}
 		if rapid.IntRange(0, 3).Draw(d.t, "refuse") == 0 {
 			return false
 		}
 		if units < lastUnits {
-			d.t.Fatalf("an operation shrank from %v to %v units", lastUnits, units)
+			d.t.Fatalf("an operation decreased from %v to %v units", lastUnits, units)
 		}
 		lastUnits = units
 		ids = append(ids, id)
@@ -190,7 +190,7 @@
 	}
 }
 
-// seal seals an operation as it is sent, and checks it.
+// seal seals an operation of pieces that were just sent, and checks it.
 func (d *plannerDriver) seal(ids []uint32) Operation {
 	operation := d.planner.SealOperation(ids)
 	d.checkBounds(operation, len(ids))
@@ -206,14 +206,14 @@
 	return operation
 }
 
-// operationEnd is how an operation ends.
+// operationEnd is the way in which an operation ends.
 type operationEnd int
 
 const (
 	endServed     operationEnd = iota
-	endUnreadable              // served, but for one byte
+	endUnreadable              // served except for one byte
 	endLost
-	endRejected // before it ran
+	endRejected // before it was executed
 )
 
 // endOperation ends a random operation.
@@ -225,7 +225,7 @@
 	ids := d.inFlight[i]
 	d.inFlight = slices.Delete(d.inFlight, i, i+1)
 	end := operationEnd(rapid.IntRange(int(endServed), int(endRejected)).Draw(d.t, "end"))
-	parts := make([]Part, len(ids)) // none of them served
+	parts := make([]Part, len(ids)) // all of them not served
 	if end == endServed || end == endUnreadable {
 		parts = d.serve(d.operations[ids[0]], end == endUnreadable)
 	}
@@ -235,7 +235,7 @@
 	d.forgetAnswered()
 }
 
-// serve carries an operation out, where wanted but for one random byte, and checks which members are served.
+// serve executes an operation, optionally except for one random byte, and checks which members are served.
 func (d *plannerDriver) serve(operation Operation, isUnreadable bool) []Part {
 	var unreadable []Range
 	unreadableAt := operation.Range.Length // beyond all members
@@ -249,13 +249,13 @@
 		data = slices.Clone(disk[operation.Range.Offset:operation.Range.End()])
 	}
 	parts := operation.Distribute(unreadable, data)
-	writeFailed := false // writes after the first that fails have failed too
+	writeFailed := false // writes after the first failed one fail too
 	for n, member := range operation.Members {
 		at := operation.Slice(member)
 		fails := writeFailed || at.Offset <= unreadableAt && unreadableAt < at.End()
 		writeFailed = operation.Write && fails
 		if parts[n].OK == fails {
-			d.t.Fatalf("unreadable %v: member %+v got %v", unreadable, at, parts[n].OK)
+			d.t.Fatalf("unreadable %v: member %+v got OK %v", unreadable, at, parts[n].OK)
 		}
 		if operation.Write && parts[n].OK {
 			copy(disk[member.Range.Offset:member.Range.End()], d.requestOf[member.ID].written)
@@ -264,7 +264,7 @@
 	return parts
 }
 
-// endAttempt ends a member's attempt. A piece that was not served may be sent again, alone.
+// endAttempt ends a member's attempt. A piece that was not served may be retried as a separate operation.
 func (d *plannerDriver) endAttempt(id uint32, mayHaveRun bool, part Part) {
 	d.planner.AttemptEnded(id, mayHaveRun)
 	request := d.requestOf[id]
@@ -284,7 +284,7 @@
 	}
 }
 
-// reject lets the scheduler reject the first queued piece.
+// reject rejects the queued piece with the lowest ID, as the scheduler may do.
 func (d *plannerDriver) reject() {
 	queued := d.queuedPieces()
 	if len(queued) == 0 {
@@ -296,7 +296,7 @@
 	d.forgetAnswered()
 }
 
-// abandon lets a random client go, whatever state its request is in.
+// abandon abandons a random request in any state.
 func (d *plannerDriver) abandon() {
 	if len(d.requests) == 0 {
 		return
@@ -305,21 +305,21 @@
 	request := d.requests[id]
 	answer, withdrawn := d.planner.Abandon(id)
 	if (answer == nil) != request.answered {
-		d.t.Fatalf("request %d: abandoned %v, answered %v", id, answer, request.answered)
+		d.t.Fatalf("request %d: Abandon returned %v, answered before: %v", id, answer, request.answered)
 	}
 	d.checkWithdrawn(request, withdrawn)
 	request.answered = true
 	d.forgetAnswered()
 }
 
-// resolve resolves a piece and checks the answer, if there is one, against the model.
+// resolve resolves a piece and checks the answer, if any, against the model.
 func (d *plannerDriver) resolve(id uint32, outcome Outcome, data []byte) {
 	request := d.requestOf[id]
 	answer, withdrawn := d.planner.Resolve(id, outcome, data)
 	d.checkWithdrawn(request, withdrawn)
 	if answer == nil {
 		if outcome != Served && !request.answered {
-			d.t.Fatalf("request %d has no answer after a piece's failure", request.ID)
+			d.t.Fatalf("request %d was not answered after a piece was not served", request.ID)
 		}
 		return
 	}
@@ -332,10 +332,10 @@
 		return
 	}
 	if answer.Outcome == Rejected && d.mayHaveRun(request) && !request.RetrySafe {
-		d.t.Fatalf("request %d is rejected though a piece may have run", request.ID)
+		d.t.Fatalf("request %d was rejected although a piece may have run", request.ID)
 	}
 	if counted := answer.Done + answer.Uncertain + answer.Unsent; counted != len(request.pieces) {
-		d.t.Fatalf("%+v counts %d pieces, there are %d", answer, counted, len(request.pieces))
+		d.t.Fatalf("%+v counts %d pieces, want %d", answer, counted, len(request.pieces))
 	}
 }
 
@@ -343,7 +343,7 @@
 	return slices.ContainsFunc(d.inFlight, func(ids []uint32) bool { return slices.Contains(ids, id) })
 }
 
-// disk returns the bytes of a volume.
+// disk returns the bytes of a volume, which are created on first use.
 func (d *plannerDriver) disk(volume uint64) []byte {
 	if d.disks[volume] == nil {
 		d.disks[volume] = make([]byte, diskSize)
@@ -354,7 +354,7 @@
 	return d.disks[volume]
 }
 
-// forgetAnswered lets the planner forget what is answered and not in flight, as the daemon does.
+// forgetAnswered removes the pieces of answered requests that are not in flight, as the daemon does.
 func (d *plannerDriver) forgetAnswered() {
 	for id, request := range d.requestOf {
 		if request.answered && !d.isInFlight(id) {
--- a/extent/planner_test.go
+++ b/extent/planner_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// plannerWith is a planner that holds requests for the given ranges, with IDs from 1 on.
+// plannerWith returns a planner with one queued request for each range, with IDs from 1.
 func plannerWith(t *testing.T, s Settings, write bool, ranges ...Range) *Planner {
 	t.Helper()
 	p, id := New(s), uint32(0)
@@ -21,7 +21,8 @@
 	return p
 }
 
-// joinedBy lists what is proposed to join a leader, all of it accepted, and the units with the last.
+// joinedBy accepts all pieces that are proposed to join a leader. It returns their IDs in ascending order and
+// the units of the last proposal.
 func joinedBy(p *Planner, leader uint32) (ids []uint32, units float64) {
 	p.Propose(leader, func(id uint32, u float64) bool {
 		ids, units = append(ids, id), u
@@ -53,7 +54,7 @@
 		{"an extent's edge", false, 1, []Range{{990, 10}, {1000, 10}}, "[] 0"},
 		{"writes that touch", true, 2, []Range{{0, 10}, {10, 10}, {20, 10}}, "[1 3] 3"},
 		{"writes that overlap", true, 1, []Range{{0, 10}, {5, 10}, {10, 5}}, "[3] 2"},
-		{"a long one before", false, 2, []Range{{0, 500}, {400, 10}}, "[1] 2"},
+		{"a long range before", false, 2, []Range{{0, 500}, {400, 10}}, "[1] 2"},
 	} {
 		ids, units := joinedBy(plannerWith(t, wideSettings, c.write, c.ranges...), c.leader)
 		if got := fmt.Sprint(ids, " ", units); got != c.want {
@@ -62,7 +63,7 @@
 	}
 }
 
-// Members arrived within the window, whatever else fits.
+// Only pieces that arrived within the window of the leader may join it.
 func TestPropose_KeepsTheWindow(t *testing.T) {
 	s := wideSettings
 	s.Window = 5
@@ -74,12 +75,12 @@
 		}
 	}
 	if ids, _ := joinedBy(p, 1); fmt.Sprint(ids) != "[2 3]" {
-		t.Errorf("joined to the first %v, want the second and third", ids)
+		t.Errorf("pieces %v joined the first, want the second and third", ids)
 	}
 }
 
-// A thousand members that want the same 4 KiB become as few operations as the bound on members allows, each
-// of the work of one.
+// A thousand reads of the same 4 KiB become as few operations as the limit of members allows, each with the
+// units of one read.
 func TestPropose_MergesAThousandIdenticalReads(t *testing.T) {
 	s := Settings{ExtentSize: 4096, MaxOperation: 4096, MaxMembers: MaxMembers, MaxPieces: 1, Cells: 1}
 	p := plannerWith(t, s, false, slices.Repeat([]Range{{0, 4096}}, 1000)...)
@@ -100,8 +101,8 @@
 	}
 }
 
-// A split write whose second piece is rejected while its first has run has failed, and the answer tells what
-// is known; had nothing run, it would be a rejection.
+// A split write fails if a piece is rejected after another piece has run, and the answer counts its pieces by
+// state. If no piece has run, the write is rejected.
 func TestResolve_FailsASplitWriteThatHasRun(t *testing.T) {
 	for ran, want := range map[bool]Answer{
 		true:  {Request: 1, Outcome: Failed, Done: 1, Uncertain: 1, Unsent: 2},
@@ -124,7 +125,7 @@
 	}
 }
 
-// formatParts joins the members' bytes; "-" stands for a member that failed.
+// formatParts joins the members' bytes; "-" represents a member that failed.
 func formatParts(parts []Part) string {
 	texts := make([]string, len(parts))
 	for i, part := range parts {
@@ -142,9 +143,9 @@
 	op := p.SealOperation(append([]uint32{1}, ids...))
 	data := []byte("abcdefghijklmnopqrst")
 	for _, c := range []struct {
-		bad  []Range
-		data []byte
-		want string
+		unreadable []Range
+		data       []byte
+		want       string
 	}{
 		{nil, data, "abcdefghij klmnopqrst fghijklmno"},
 		{[]Range{{2, 1}}, data, "- klmnopqrst fghijklmno"},
@@ -154,14 +155,14 @@
 		{nil, data[:19], "- - -"},
 		{nil, nil, "- - -"},
 	} {
-		got := formatParts(op.Distribute(c.bad, c.data))
+		got := formatParts(op.Distribute(c.unreadable, c.data))
 		if order := fmt.Sprint(ids); order != "[2 3]" || got != c.want {
-			t.Errorf("bad %v: %q, want %q", c.bad, got, c.want)
+			t.Errorf("unreadable %v: %q, want %q", c.unreadable, got, c.want)
 		}
 	}
 }
 
-// Of writes that share an operation, those after the first that fails have failed too.
+// In an operation of writes, all writes after the first failed one fail too.
 func TestDistribute_FailsWritesAfterAFailedOne(t *testing.T) {
 	p := plannerWith(t, wideSettings, true, Range{0, 10}, Range{10, 10}, Range{20, 10})
 	ids, _ := joinedBy(p, 1)
--- a/extent/scheduler_test.go
+++ b/extent/scheduler_test.go
@@ -43,7 +43,7 @@
 	token uint32
 }
 
-// clientRequest is what the test knows of a request.
+// clientRequest is the test's state of a request.
 type clientRequest struct {
 	id       uint64
 	key      uint64 // 0: none
@@ -65,11 +65,11 @@
 type operation struct {
 	pieces []*clientPiece // that are in flight
 	end    time.Duration
-	lost   bool // it gets no answer
+	lost   bool // the node does not answer it
 }
 
-// Whatever is asked and lost: pieces of one key are sent in arrival order, one operation at a time, request
-// by request; each request has one answer by its time; merged or not.
+// For any requests and lost operations, with and without merging: pieces of one key are sent in arrival
+// order, one operation at a time, request by request; each request gets one answer by its deadline.
 func TestPlannerAndScheduler_KeepOrderAndAnswerOnce(t *testing.T) {
 	merged := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -85,13 +85,13 @@
 		}
 		for id, request := range d.requests {
 			if !request.answered {
-				t.Fatalf("request %d never got an answer", id)
+				t.Fatalf("request %d was not answered", id)
 			}
 		}
 		merged += d.merged
 	})
 	if merged < 10 {
-		t.Errorf("only %d merged operations", merged)
+		t.Errorf("only %d merged operations in all cases: too few for a meaningful test", merged)
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 }
 
-// allEndpoints is one ready node for each cell.
+// allEndpoints returns one ready node for each cell.
 func allEndpoints() []scheduler.Endpoint {
 	var list []scheduler.Endpoint
 	for cell := range cells {
@@ -143,7 +143,7 @@
 	return list
 }
 
-// add lets a client send a random request.
+// add sends a random request of a class.
 func (d *jointDriver) add(class int) {
 	d.sequence++
 	wait := time.Duration(rapid.IntRange(40, 900).Draw(d.t, "wait")) * ms
@@ -179,7 +179,7 @@
 	}
 }
 
-// submit hands a piece to the scheduler.
+// submit passes a piece to the scheduler.
 func (d *jointDriver) submit(request *clientRequest, incoming extent.Request, piece extent.Piece) {
 	d.scheduler.Handle(d.now, scheduler.Request{
 		ID:              piece.ID,
@@ -195,7 +195,7 @@
 	})
 }
 
-// decide carries out the actions: sends become operations, each checked for the order by key.
+// decide executes the scheduler's actions. Sends are grouped into operations, whose order by key is checked.
 func (d *jointDriver) decide() {
 	var started []*operation
 	for _, action := range d.scheduler.Decide(d.now) {
@@ -226,7 +226,7 @@
 	o.pieces = append(o.pieces, p)
 }
 
-// start sends an operation to its node.
+// start sends an operation to its node, after checking the order by key.
 func (d *jointDriver) start(o *operation) {
 	ids := make([]uint32, len(o.pieces))
 	for i, p := range o.pieces {
@@ -237,7 +237,7 @@
 		d.merged++
 	}
 	for _, p := range o.pieces {
-		if p.request.key != 0 && !p.request.answered { // the daemon does not send what is answered
+		if p.request.key != 0 && !p.request.answered { // the daemon does not send answered requests
 			d.checkKeyIsIdle(p.request)
 			d.checkEarlierAreDone(p.request, o)
 		}
@@ -252,15 +252,15 @@
 	for _, other := range d.operations {
 		for _, p := range other.pieces {
 			if p.request.key == request.key {
-				d.t.Fatalf("request %d of key %d is sent while %d is in flight",
+				d.t.Fatalf("request %d of key %d was sent while %d was in flight",
 					request.id, request.key, p.request.id)
 			}
 		}
 	}
 }
 
-// checkEarlierAreDone checks that each earlier request of the same key is answered, or resolved but for what
-// is in the operation.
+// checkEarlierAreDone checks that each earlier request of the same key is answered, or that all its
+// unresolved pieces are in the operation.
 func (d *jointDriver) checkEarlierAreDone(request *clientRequest, o *operation) {
 	for _, earlier := range d.requests {
 		if earlier.key != request.key || earlier.id >= request.id || earlier.answered {
@@ -268,7 +268,7 @@
 		}
 		for _, p := range earlier.pieces {
 			if !p.resolved && p.operation != o {
-				d.t.Fatalf("request %d of key %d is sent before %d is answered",
+				d.t.Fatalf("request %d of key %d was sent before %d was answered",
 					request.id, request.key, earlier.id)
 			}
 		}
@@ -285,7 +285,7 @@
 	answer, withdrawn := d.planner.Resolve(id, outcome, nil)
 	if answer != nil {
 		if p.request.answered || d.now > p.request.expires+longestStep {
-			d.t.Fatalf("request %d answered twice, or %v late", p.request.id, d.now-p.request.expires)
+			d.t.Fatalf("request %d was answered twice, or %v late", p.request.id, d.now-p.request.expires)
 		}
 		p.request.answered = true
 	}
@@ -295,7 +295,7 @@
 	}
 }
 
-// step advances the clock: operations end, members whose time is up are cancelled one by one, timers are due.
+// step advances the clock: it ends due operations, cancels expired members one by one and fires due timers.
 func (d *jointDriver) step(elapsed time.Duration) {
 	d.now += elapsed
 	operations := d.operations
@@ -310,7 +310,7 @@
 	d.decide()
 }
 
-// resultCodes are how operations that are not lost end.
+// resultCodes are the results of operations that are not lost.
 var resultCodes = []scheduler.ResultCode{
 	scheduler.OK,
 	scheduler.OK,
@@ -319,7 +319,7 @@
 	scheduler.Overloaded,
 }
 
-// endOperation ends an operation whose time has come, else only the members that have expired.
+// endOperation ends an operation that is due and not lost; of another one only the expired members.
 func (d *jointDriver) endOperation(o *operation) {
 	hasEnded := o.end <= d.now && !o.lost
 	code := scheduler.OK
--- a/extent/split.go
+++ b/extent/split.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Range is Length bytes of a volume, from Offset on.
+// Range is Length bytes of a volume, starting at Offset.
 type Range struct{ Offset, Length uint64 }
 
-// End is the first byte after the range.
+// End returns the offset of the first byte after the range.
 func (r Range) End() uint64 { return r.Offset + r.Length }
 
-// union is the smallest range that covers both.
+// union returns the smallest range that covers both.
 func (r Range) union(other Range) Range {
 	from := min(r.Offset, other.Offset)
 	return Range{from, max(r.End(), other.End()) - from}
 }
 
-// overlaps reports whether the ranges share a byte. A range whose end overflows reaches to the last byte.
+// overlaps reports whether the ranges share a byte. If the end of other overflows, it extends to the last
+// byte.
 func (r Range) overlaps(other Range) bool {
 	overflows := other.End() < other.Offset
 	return other.Offset < r.End() && (r.Offset < other.End() || overflows)
@@ -27,39 +28,39 @@
 // Request is a client's request for a range of bytes.
 type Request struct {
 	ID         uint64
-	DataVolume uint64 // whose bytes are meant; plan and quota are charged to the asker's own volume
+	DataVolume uint64 // the volume of the bytes; plan and quota are those of the client's own volume
 	Range      Range
 	Write      bool
 	Class      int
 	Plan       int
 	Units      int
 	ReceivedAt time.Duration
-	RetrySafe  bool // it may be executed again even if a piece of it has run
+	RetrySafe  bool // it may be executed again even if some of its pieces have run
 }
 
-// Errors of requests that cannot be split. The daemon rejects such requests.
+// Errors of Split. The daemon rejects such requests.
 var (
 	ErrEmpty  = errors.New("the range is empty")
 	ErrRange  = errors.New("the range ends beyond the largest offset")
-	ErrPieces = errors.New("the range is cut into more pieces than allowed")
-	ErrUnits  = errors.New("a request counts at least one unit")
+	ErrPieces = errors.New("the range is split into more pieces than allowed")
+	ErrUnits  = errors.New("a request must have at least one unit")
 )
 
 // Piece is the part of a request that lies within one extent and one operation's size.
 type Piece struct {
-	ID     uint32 // by which the scheduler knows it
-	Index  int    // of the request's pieces, by offset
+	ID     uint32 // identifies it at the scheduler
+	Index  int    // among the request's pieces, by offset
 	Extent uint64
-	Cell   int // where the extent lies
+	Cell   int // cell that stores the extent
 	Range  Range
-	Units  int // 0 where a request has fewer units than pieces
+	Units  int // may be 0 if the request has fewer units than pieces
 }
 
-// chargedUnits is what the piece counts in an operation.
+// chargedUnits returns the units that the piece counts in an operation, at least 1.
 func (p Piece) chargedUnits() int { return max(1, p.Units) }
 
 // Split returns the pieces of a request, by offset. Their ranges cover the request's without gap or overlap,
-// and their units add up to its units; where there are fewer units than pieces, the first pieces have them.
+// and their units add up to its units; if there are fewer units than pieces, some pieces have none.
 func Split(settings Settings, request Request) ([]Piece, error) {
 	switch {
 	case request.Range.Length == 0:
@@ -89,18 +90,18 @@
 	return pieces, nil
 }
 
-// distributeUnits distributes a request's units by bytes: each piece has what the bytes up to its end amount
-// to, less what those before it had, so that the sum is exact.
+// distributeUnits distributes a request's units by bytes: each piece gets the rounded units of all bytes up
+// to its end, minus the units of the pieces before it, so that the sum is exact.
 func distributeUnits(pieces []Piece, request Request) {
-	given := 0
+	assigned := 0
 	for i := range pieces {
 		upTo := pieces[i].Range.End() - request.Range.Offset
 		exact := float64(request.Units) * (float64(upTo) / float64(request.Range.Length))
-		due := min(request.Units, int(exact+0.5))
+		cumulative := min(request.Units, int(exact+0.5))
 		if i == len(pieces)-1 {
-			due = request.Units
+			cumulative = request.Units
 		}
-		pieces[i].Units = max(0, due-given)
-		given += pieces[i].Units
+		pieces[i].Units = max(0, cumulative-assigned)
+		assigned += pieces[i].Units
 	}
 }
--- a/extent/split_test.go
+++ b/extent/split_test.go
@@ -14,8 +14,8 @@
 		MaxMembers: rapid.IntRange(1, 5).Draw(t, "members"), MaxPieces: 1 << 16, Cells: 3}
 }
 
-// The pieces of any request cover its range once, each within one extent and one operation, and their units
-// add up.
+// The pieces of any request cover its range exactly once, each within one extent and one operation, and their
+// units add up to the request's.
 func TestSplit_CoversARequestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSettings(t)
@@ -60,7 +60,7 @@
 		Cells: 1}, {ExtentSize: 1,
 		MaxOperation: 1}} {
 		if bad.Check() == nil {
-			t.Errorf("%+v passes", bad)
+			t.Errorf("%+v: got no error, want one", bad)
 		}
 	}
 }
