--- a/expect/check.go
+++ b/expect/check.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// maxCases bounds how many combinations of missing nodes are checked.
+	// maxCases is the largest number of combinations of missing nodes or zones that are checked.
 	maxCases = 100_000
-	// tolerance is how far a value may miss its bound by rounding.
+	// tolerance is the rounding error by which a value may miss its bound.
 	tolerance = 1e-9
 )
 
-// Check checks all expectations and returns the findings in their order.
+// Check checks all expectations and returns one finding for each, in the same order.
 func (m *Model) Check(all []Expectation) []Finding {
 	findings := make([]Finding, 0, len(all))
 	for _, expectation := range all {
@@ -22,10 +22,10 @@
 	return findings
 }
 
-// check measures every case of one expectation and keeps the worst.
+// check measures every case of one expectation and returns the worst as its finding.
 func (m *Model) check(e Expectation) Finding {
 	if e.Measure == Send {
-		return undecided(e, "what is sent when is the module's to tell: not explored yet")
+		return undecided(e, "the send order depends on the scheduler's behaviour, which is not explored yet")
 	}
 	groups := m.failureGroups(e.Missing)
 	count := 0
@@ -33,12 +33,12 @@
 		count = min(e.Missing.Count, len(groups))
 	}
 	if cases := combinations(len(groups), count); cases > maxCases {
-		return undecided(e, fmt.Sprintf("%d of %d gone at once are %.3g cases, over %d",
+		return undecided(e, fmt.Sprintf("%d of %d missing at once are %.3g cases; the limit is %d",
 			count, len(groups), cases, maxCases))
 	}
 	finding := m.worstCase(e, groups, count)
 	if math.IsInf(finding.Value, 0) {
-		undecided := undecided(e, "nothing is left to measure in any case")
+		undecided := undecided(e, "there is nothing to measure in any case")
 		undecided.CasesChecked = finding.CasesChecked
 		return undecided
 	}
@@ -56,7 +56,7 @@
 	return Finding{Expectation: e, Verdict: Undecided, Reason: reason}
 }
 
-// worstCase measures each choice of so many missing groups and returns the worst. Its value is infinite if
+// worstCase measures each choice of count missing groups and returns the worst. Its value is infinite if
 // there was nothing to measure.
 func (m *Model) worstCase(e Expectation, groups []failureGroup, count int) Finding {
 	worst := Finding{Expectation: e, Verdict: Holds, Value: math.Inf(1)}
@@ -82,7 +82,7 @@
 	return worst
 }
 
-// failureGroup is what fails together: one node, or the nodes of a zone.
+// failureGroup is a set of nodes that fail together: one node, or all nodes of a zone.
 type failureGroup struct {
 	name  string
 	nodes []int
@@ -112,7 +112,7 @@
 	return strings.Join(names, " and ")
 }
 
-// combinations is n over k, as exactly as a float can hold it.
+// combinations returns the binomial coefficient n over k, as exactly as a float64 represents it.
 func combinations(n, k int) float64 {
 	count := 1.0
 	for i := range k {
@@ -121,16 +121,17 @@
 	return math.Round(count)
 }
 
-// eachCombination calls f with each choice of k of n, in order. The slice is reused.
+// eachCombination calls f with each choice of k numbers from 0 to n-1, in lexicographic order. The slice is
+// reused.
 func eachCombination(n, k int, f func(chosen []int)) {
 	chosen := make([]int, k)
-	var choose func(position, least int)
-	choose = func(position, least int) {
+	var choose func(position, lowest int)
+	choose = func(position, lowest int) {
 		if position == k {
 			f(chosen)
 			return
 		}
-		for x := least; x <= n-(k-position); x++ {
+		for x := lowest; x <= n-(k-position); x++ {
 			chosen[position] = x
 			choose(position+1, x+1)
 		}
--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// twoZones is a fleet of two zones with two nodes each, of 100 units a second, and a standby for cell 0.
+// twoZones returns a fleet of two zones with two nodes each, of 100 units per second, and a standby for
+// cell 0 in the second zone.
 func twoZones() *Fleet {
 	return &Fleet{Instances: 4, ColdUnits: 60, MeanUnits: 2,
 		Plans: []Plan{{Name: "standard", Reserve: 10, Weight: 1, Limit: 50},
@@ -21,8 +22,8 @@
 				Cells: []int{1, 3}}}}
 }
 
-// Each expectation is judged by its worst case, which is named.
-func TestCheck_JudgesByTheWorstCase(t *testing.T) {
+// Each finding has the verdict, the value and the missing nodes of its worst case.
+func TestCheck_ReportsTheWorstCase(t *testing.T) {
 	missing := func(n int, k Kind, name string) *Missing { return &Missing{n, Selector{k, name}} }
 	for _, c := range []struct {
 		e    Expectation
@@ -66,12 +67,12 @@
 			t.Errorf("%s %v: %s; want %s", c.e.Measure, c.e.Of, got, c.want)
 		}
 		if (finding.Verdict == Undecided) != (finding.Reason != "") {
-			t.Errorf("%s: undecided without a reason, or the other way: %+v", c.e.Measure, finding)
+			t.Errorf("%s: undecided without a reason, or decided with one: %+v", c.e.Measure, finding)
 		}
 	}
 }
 
-// A reserve that holds with everything up breaks once a node is missing.
+// A reserve that is within its bound with all nodes up exceeds it with one node missing.
 func TestCheck_FindsAReserveThatBreaksWithANodeMissing(t *testing.T) {
 	f := twoZones()
 	e := Expectation{Measure: Reserve, Of: Selector{Nodes, "b-spare"}, AtMost: true, Bound: 0.2,
@@ -81,11 +82,11 @@
 	}
 	e.Missing = nil
 	if got := New(f).Check([]Expectation{e})[0]; got.Verdict != Holds {
-		t.Errorf("with all up: %+v", got)
+		t.Errorf("with all nodes up: %+v", got)
 	}
 }
 
-// Too many cases are not checked, and the finding says so.
+// If there are too many cases, none is checked, and the finding states their number.
 func TestCheck_LeavesTooManyCasesUndecided(t *testing.T) {
 	f := &Fleet{Plans: []Plan{{Name: "p", Weight: 1}}, Volumes: []Volume{{Name: "v"}}}
 	for i := range 200 {
@@ -113,8 +114,8 @@
 	}
 }
 
-// More missing nodes never reach more; shares at a node add up to one; and there are as many cases as
-// combinations.
+// With more nodes missing, reachability never increases; the shares of a node add up to 1; the number of
+// checked cases is the number of combinations.
 func TestModel_Properties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &Fleet{Instances: 3, Plans: []Plan{{Name: "p", Weight: 1, Reserve: 1}, {Name: "q", Weight: 3}}}
@@ -139,12 +140,12 @@
 			}
 			got := New(f).Check([]Expectation{e})[0]
 			if got.Value > last || float64(got.CasesChecked) != combinations(len(f.Nodes), n) {
-				t.Fatalf("%d gone: %v after %v, %d cases", n, got.Value, last, got.CasesChecked)
+				t.Fatalf("%d nodes missing: %v after %v, %d cases", n, got.Value, last, got.CasesChecked)
 			}
 			last = got.Value
 		}
 		if last != 0 {
-			t.Fatalf("with all gone %v is reached", last)
+			t.Fatalf("with all nodes missing, the reachable fraction is %v, want 0", last)
 		}
 		m := New(f)
 		for c := range m.holders {
@@ -163,7 +164,7 @@
 	})
 }
 
-// A full check of a large fleet: 200 nodes, 190 instances, 5,000 volumes, 50 expectations.
+// BenchmarkLargeFleet checks 50 expectations of a fleet of 200 nodes, 190 instances and 5,000 volumes.
 func BenchmarkLargeFleet(b *testing.B) {
 	f := &Fleet{Instances: 190, ColdUnits: 400, MeanUnits: 2}
 	for i := range 5 {
--- a/expect/expectation.go
+++ b/expect/expectation.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Kind says what a selector picks.
+// Kind is the kind of objects that a selector selects.
 type Kind string
 
 // The kinds.
@@ -17,50 +17,52 @@
 	Zones   Kind = "zone"
 )
 
-// Selector picks things by a name, in which * stands for any text.
+// Selector selects objects of a kind by name. Name is a pattern of path.Match: * matches any text without a
+// slash.
 type Selector struct {
 	Kind Kind   `json:"Kind"`
 	Name string `json:"Name"`
 }
 
-// String returns the selector's form in settings.
+// String returns the selector as it is written in settings.
 func (s Selector) String() string { return fmt.Sprintf("(%s %s)", s.Kind, s.Name) }
 
-// Measure is what an expectation bounds.
+// Measure is the quantity that an expectation bounds.
 type Measure string
 
-// The measures. Each is a fraction: 1 is all there is.
+// The measures. Each is a fraction: 1 is the whole.
 const (
-	Reach   Measure = "reachable" // of a volume's cells that a node holds
-	Reserve Measure = "reserve"   // reserves that lie on a node or in a zone, of its capacity
-	Share   Measure = "share"     // of a node that a volume's weight gives it when all volumes there ask
-	Limit   Measure = "limit"     // that instances grant a volume together, of its plan's limit
-	Cold    Measure = "cold"      // of a warming node's window that one instance's usual request takes
-	Send    Measure = "send"      // sends to nodes in a state: only exploration can tell
+	Reach   Measure = "reachable" // of a volume's cells that are served by a node
+	Reserve Measure = "reserve"   // reserves on a node or in a zone, of its capacity
+	Share   Measure = "share"     // of a node that a volume gets by its weight when all volumes there send requests
+	Limit   Measure = "limit"     // rate that all instances together grant a volume, of its plan's limit
+	Cold    Measure = "cold"      // one request of mean size per instance, of a warming node's capacity in a window
+	Send    Measure = "send"      // attempts sent to nodes in a state; always undecided, depends on the scheduler
 )
 
-// Takes lists the kinds of selectors to which a measure applies.
+// Takes lists the kinds of selectors that each measure accepts.
 var Takes = map[Measure][]Kind{Reach: {Volumes, Plans}, Reserve: {Nodes, Zones}, Share: {Volumes, Plans},
 	Limit: {Volumes, Plans}, Cold: {Nodes}, Send: {Volumes, Plans}}
 
-// Missing is a failure under which an expectation must hold: any so many of what the selector picks, at once.
+// Missing is a failure under which an expectation must be true: any Count of the selected nodes or zones are
+// missing at the same time.
 type Missing struct {
 	Count int      `json:"Count"`
 	Of    Selector `json:"Of"`
 }
 
-// Expectation is one bound on one measure of each thing that its selector picks.
+// Expectation is a bound on one measure of every selected object.
 type Expectation struct {
 	Name    string   `json:"Name"`
 	Place   string   `json:"Place"` // file:line:col
 	Measure Measure  `json:"Measure"`
 	Of      Selector `json:"Of"`
-	AtMost  bool     `json:"AtMost"` // else at least
+	AtMost  bool     `json:"AtMost"` // Bound is an upper bound; false: a lower bound
 	Bound   float64  `json:"Bound"`
-	Missing *Missing `json:"Gone"` // nil: with everything up
+	Missing *Missing `json:"Gone"` // nil: no nodes are missing
 }
 
-// worse reports whether a value is worse than another.
+// worse reports whether a value is worse than another for this expectation.
 func (e *Expectation) worse(value, than float64) bool {
 	if e.AtMost {
 		return value > than
@@ -68,7 +70,7 @@
 	return value < than
 }
 
-// Verdict is what a check says.
+// Verdict is the result of a check.
 type Verdict string
 
 // The verdicts.
@@ -83,14 +85,14 @@
 type Finding struct {
 	Expectation  Expectation `json:"Expectation"`
 	Verdict      Verdict     `json:"Verdict"`
-	MissingNodes string      `json:"Case"`  // of the worst case; "" for none
-	Subject      string      `json:"Thing"` // whose measure is the worst
-	Value        float64     `json:"Value"` // the worst
+	MissingNodes string      `json:"Case"`  // in the worst case; "": none
+	Subject      string      `json:"Thing"` // the object with the worst value
+	Value        float64     `json:"Value"` // the worst value
 	CasesChecked int         `json:"Cases"`
-	Reason       string      `json:"Why"` // why it is undecided
+	Reason       string      `json:"Why"` // why the verdict is Undecided; "" otherwise
 }
 
-// Contradictions returns pairs of expectations of one measure, selector and failure that cannot both hold.
+// Contradictions returns pairs of expectations of one measure, selector and failure that cannot both be true.
 func Contradictions(all []Expectation) (pairs [][2]Expectation) {
 	for i, later := range all {
 		for _, earlier := range all[:i] {
--- a/expect/fleet.go
+++ b/expect/fleet.go
@@ -1,12 +1,12 @@
 package expect
 
-// Plan is a service plan; rates are in units per second over all instances and nodes.
+// Plan is a service plan. Reserve and Limit are in units per second over all instances and nodes.
 type Plan struct {
 	Name                   string
 	Reserve, Weight, Limit float64
 }
 
-// Node is a storage node as planned.
+// Node is a planned storage node.
 type Node struct {
 	Name     string
 	Cell     int
@@ -14,22 +14,22 @@
 	Capacity float64 // units per second
 }
 
-// Volume is a volume, or several alike.
+// Volume is a volume, or several identical ones.
 type Volume struct {
 	Name    string
 	Plan    int   // index in Fleet.Plans
-	Count   int   // volumes alike; at least 1
-	Writers int   // instances through which its requests say that they come
-	Paths   int   // instances through which they may really come
-	Cells   []int // where its data lies; empty: all cells
+	Count   int   // number of identical volumes; 0: one
+	Writers int   // instances that its requests state; 0: one
+	Paths   int   // instances through which its requests may arrive; 0: one
+	Cells   []int // cells that store its data; empty: all cells
 }
 
 // Fleet is a planned fleet.
 type Fleet struct {
 	Instances int
 	Plans     []Plan
-	Nodes     []Node // of two with one cell, the first that is up holds it
+	Nodes     []Node // if several have the same cell, the first that is not missing serves it
 	Volumes   []Volume
-	ColdUnits float64 // that a warming node can take within a window from all instances
-	MeanUnits float64 // of the usual request
+	ColdUnits float64 // capacity of a warming node within a window, over all instances
+	MeanUnits float64 // of a request
 }
--- a/expect/forms_test.go
+++ b/expect/forms_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Findings are printed as JSON for other programs: their keys and words stay.
+// Other programs read findings as JSON: the keys, kinds, measures and verdicts must not change.
 func TestFinding_KeepsItsJSONForm(t *testing.T) {
 	const path = "testdata/findings.json"
 	got, err := json.Marshal([]Finding{
--- a/expect/measure.go
+++ b/expect/measure.go
@@ -2,11 +2,10 @@
 
 import "math"
 
-// reportFunc takes the value of a measure for one thing.
+// reportFunc receives the value of a measure for one object.
 type reportFunc func(kind Kind, name string, value float64)
 
-// measure reports the value of an expectation's measure for each thing that it is about, while some nodes are
-// down.
+// measure reports the value of an expectation's measure for each selected object while some nodes are down.
 func (m *Model) measure(e Expectation, down []bool, report reportFunc) {
 	switch e.Measure {
 	case Reach:
@@ -22,7 +21,7 @@
 	}
 }
 
-// measureReach reports the fraction of each volume's cells that a node holds.
+// measureReach reports the fraction of each volume's cells that are served by a node that is up.
 func (m *Model) measureReach(e Expectation, down []bool, report reportFunc) {
 	held := map[int]bool{}
 	for _, cell := range m.cells {
@@ -39,7 +38,8 @@
 	}
 }
 
-// measureReserve reports the reserves that lie on each node, or in each zone, that is up, of its capacity.
+// measureReserve reports the reserves on each node that is up, or on such nodes of each zone, as a fraction
+// of their capacity.
 func (m *Model) measureReserve(of Selector, down []bool, report reportFunc) {
 	reserved := make([]float64, len(m.Nodes))
 	for _, cell := range m.cells {
@@ -68,7 +68,7 @@
 	}
 }
 
-// measureShare reports each volume's worst share of a node that holds some of it; 0 if no node does.
+// measureShare reports each volume's worst share of a node that serves one of its cells; 0 if no node does.
 func (m *Model) measureShare(e Expectation, down []bool, report reportFunc) {
 	for _, i := range m.selectVolumes(e.Of) {
 		volume := &m.Volumes[i]
@@ -86,8 +86,8 @@
 	}
 }
 
-// measureLimit reports what instances grant each volume together, of its plan's limit: each grants an even
-// share by the instances that the volume's requests tell of.
+// measureLimit reports the sum of the limits that instances grant each volume, as a fraction of its plan's
+// limit: each instance grants the limit divided by the number of instances that the volume's requests state.
 func (m *Model) measureLimit(e Expectation, report reportFunc) {
 	for _, i := range m.selectVolumes(e.Of) {
 		volume := &m.Volumes[i]
@@ -98,7 +98,8 @@
 	}
 }
 
-// measureCold reports what one usual request of each instance takes of a warming node's window.
+// measureCold reports the fraction of a warming node's capacity in a window that is used by one request of
+// mean size from each instance.
 func (m *Model) measureCold(e Expectation, down []bool, report reportFunc) {
 	units := m.MeanUnits * float64(max(1, m.Instances))
 	for _, node := range m.selectNodes(e.Of) {
@@ -108,7 +109,8 @@
 	}
 }
 
-// ratio is a of b. Of nothing, something is more than any bound, and nothing is none.
+// ratio returns a as a fraction of b. If b is not positive, it returns a value above any bound for a positive
+// a, and 0 otherwise.
 func ratio(a, b float64) float64 {
 	switch {
 	case b > 0:
--- a/expect/model.go
+++ b/expect/model.go
@@ -6,19 +6,20 @@
 	"slices"
 )
 
-// Model is a fleet prepared for many questions. It must not be used by several goroutines at once.
+// Model is a fleet with indexes for checking many expectations. It must not be used by several goroutines at
+// once.
 type Model struct {
 	*Fleet
 	cells       []int            // in order
 	holders     map[int][]int    // nodes by cell, in order
 	reserve     map[int]float64  // by cell, of all volumes there
 	weight      map[int]float64  // by cell, of all volumes there
-	selected    map[string][]int // volumes by selector; filled as they are asked for
+	selected    map[string][]int // volumes by selector; filled on first use
 	nodesByZone map[string][]int
 	zoneNames   []string // in order
 }
 
-// New prepares a fleet, which must not change afterwards.
+// New returns a model of a fleet, which must not change afterwards.
 func New(fleet *Fleet) *Model {
 	m := &Model{
 		Fleet:       fleet,
@@ -59,7 +60,7 @@
 	}
 }
 
-// Empty reports whether a selector picks nothing: a name that matches nothing is a mistake.
+// Empty reports whether a selector selects nothing, which is an error in settings.
 func (m *Model) Empty(s Selector) bool {
 	switch s.Kind {
 	case Nodes:
@@ -100,8 +101,9 @@
 	return zones
 }
 
-// selectVolumes returns the volumes that a selector picks by their own names or by their plans', one for all
-// that differ in nothing but their names: thousands of volumes are mostly of few kinds.
+// selectVolumes returns the volumes that a selector selects by their own names or their plans' names. Of
+// several that differ only in name and count it returns the first: thousands of volumes are mostly of few
+// kinds.
 func (m *Model) selectVolumes(s Selector) []int {
 	key := s.String()
 	if volumes, ok := m.selected[key]; ok {
@@ -124,7 +126,7 @@
 	return volumes
 }
 
-// holder returns the node that holds a cell while some are down; -1: none.
+// holder returns the node that serves a cell while some nodes are down; -1: none.
 func (m *Model) holder(cell int, down []bool) int {
 	for _, node := range m.holders[cell] {
 		if !down[node] {
