--- a/expect/expectation.go
+++ b/expect/expectation.go
@@ -34,10 +34,10 @@
 const (
 	Reach   Measure = "reachable" // of a volume's cells that are served by a node
 	Reserve Measure = "reserve"   // reserves on a node or in a zone, of its capacity
-	Share   Measure = "share"     // of a node that a volume gets by its weight when all volumes there send requests
+	Share   Measure = "share"     // of a node, granted by a volume's weight when all volumes there are active
 	Limit   Measure = "limit"     // rate that all instances together grant a volume, of its plan's limit
-	Cold    Measure = "cold"      // one request of mean size per instance, of a warming node's capacity in a window
-	Send    Measure = "send"      // attempts sent to nodes in a state; always undecided, depends on the scheduler
+	Cold    Measure = "cold"      // one mean-sized request per instance, of a cold node's capacity in a window
+	Send    Measure = "send"      // attempts sent to nodes in a state; undecided: depends on the scheduler
 )
 
 // Takes lists the kinds of selectors that each measure accepts.
