--- a/expect/expectation.go
+++ b/expect/expectation.go
@@ -36,7 +36,7 @@
 	Reserve Measure = "reserve"   // reserves on a node or in a zone, of its capacity
 	Share   Measure = "share"     // of a node, granted by a volume's weight when all volumes there are active
 	Limit   Measure = "limit"     // rate that all instances together grant a volume, of its plan's limit
-	Cold    Measure = "cold"      // one mean-sized request per instance, of a cold node's capacity in a window
+	Cold    Measure = "cold"      // one mean-sized request per instance, of a cold node's window capacity
 	Send    Measure = "send"      // attempts sent to nodes in a state; undecided: depends on the scheduler
 )
 
