--- a/internal/daemon/actions.go
+++ b/internal/daemon/actions.go
@@ -7,7 +7,7 @@
 	"landingpaddle/scheduler"
 )
 
-// carryOut carries out one action of the scheduler.
+// carryOut executes one action of the scheduler.
 func (l *loop) carryOut(action scheduler.Action) {
 	switch action := action.(type) {
 	case scheduler.Send:
@@ -27,7 +27,7 @@
 	case scheduler.SendToPeer:
 		l.sendToPeer(action)
 	case scheduler.WriteLog:
-		l.shared.log.Info("scheduler", keyText, action.Text)
+		l.shared.log.Info("scheduler message", keyText, action.Text)
 	case scheduler.WatchEndpoints:
 		l.drivers.Endpoints.Watch(action.On)
 	case scheduler.FetchEndpoints:
@@ -35,7 +35,8 @@
 	}
 }
 
-// endUnserved gives a request the answer that the scheduler decided on, with the reason of its last attempt.
+// endUnserved answers a request that was not served, as the scheduler decided, with the reason of its last
+// attempt.
 func (l *loop) endUnserved(id uint32, answer proto.Answer) {
 	r := l.requests[id]
 	if r == nil {
--- a/internal/daemon/attempt.go
+++ b/internal/daemon/attempt.go
@@ -8,23 +8,23 @@
 	"landingpaddle/scheduler"
 )
 
-// attempt is one sending of one request.
+// attempt is one attempt to have a request served by a node.
 type attempt struct {
 	request       *request
 	operation     *Operation
-	number        int // among the request's; the first is 0
+	number        int // index among the attempts of the request, from 0
 	server        scheduler.Server
-	nodeStartedAt time.Duration // of the process that the scheduler decided to send to
-	startBefore   time.Duration // the first byte must be sent by then; 0: any time
+	nodeStartedAt time.Duration // start of the node process that the scheduler chose
+	startBefore   time.Duration // the first byte must be sent by then; 0: no bound
 	startedAt     time.Duration
 	deadline      time.Duration
 	timeout       *timer
 	ended         bool
 }
 
-// startAttempt starts an attempt, for as long as it may take and never longer than the client waits. The
-// members of one operation follow each other at once, those after the first with it as Leader; dispatch then
-// hands the operation to the upstream.
+// startAttempt starts an attempt. Its deadline follows from send.Timeout and is never after the request's
+// expiry. The scheduler sends the members of one operation consecutively, those after the first with it as
+// Leader; dispatch then passes the operation to the upstream.
 func (l *loop) startAttempt(send scheduler.Send) {
 	r := l.requests[send.ID]
 	if r == nil {
@@ -52,8 +52,8 @@
 	a.timeout = l.timers.set(a.deadline, func() { l.abort(a, scheduler.TimedOut) })
 }
 
-// joinOperation puts an attempt into the operation that the request leader began just before; 0 or another
-// leader than that operation's begins a new one.
+// joinOperation adds an attempt to the last undispatched operation if the request leader leads it; otherwise,
+// or if leader is 0, the attempt starts a new operation.
 func (l *loop) joinOperation(a *attempt, leader uint32) {
 	if last := len(l.undispatched) - 1; leader != 0 && last >= 0 {
 		if operation := l.undispatched[last]; operation.members[0].request.id == leader {
@@ -66,9 +66,10 @@
 	l.undispatched = append(l.undispatched, a.operation)
 }
 
-// abort ends an attempt on this side: its time is up or it was cancelled. An operation is cancelled at its
-// node once no member waits for it, and before that the one member: a write that was aborted here but stayed
-// in an operation at its node was once carried out after a later one of its key.
+// abort ends an attempt in the instance: its time is up or it was cancelled. The operation is cancelled at
+// its node once none of its members waits any more; until then only the one member is cancelled: a write
+// that was aborted here but stayed in an operation at its node was once executed after a later write of its
+// key.
 func (l *loop) abort(a *attempt, code scheduler.ResultCode) {
 	if a.ended {
 		return
@@ -85,17 +86,17 @@
 // attemptEnd is how an attempt ended.
 type attemptEnd struct {
 	code     scheduler.ResultCode
-	answer   proto.Answer // of the node to the whole operation
-	payload  []byte       // the attempt's part
-	isLeader bool         // the attempt led its operation: what the node reports of a volume concerns it
+	answer   proto.Answer // the node's answer to the whole operation
+	payload  []byte       // the attempt's part of the answer's data
+	isLeader bool         // the attempt led its operation: the answer's rate and units are its volume's
 }
 
-// attemptEnded takes in how an attempt ended. The first one of a request that was served answers the client
-// at once.
+// attemptEnded records how an attempt ended and reports it to the scheduler. The first attempt that succeeds
+// resolves its request at once.
 func (l *loop) attemptEnded(a *attempt, end attemptEnd) {
 	if a.ended {
 		l.shared.Stats.LateResults.Add(1)
-		return // its time-out came first, and was its one result
+		return // the attempt has its one result already, such as a time-out
 	}
 	a.ended = true
 	l.timers.cancel(a.timeout)
@@ -127,7 +128,7 @@
 	l.release(r)
 }
 
-// clientAnswer is a node's answer as the client gets it: without what the node reports to the instance.
+// clientAnswer returns a node's answer as sent to the client: without the fields meant for the instance.
 func clientAnswer(answer proto.Answer) proto.Answer {
 	answer.Code, answer.MeteredRate, answer.ElsewhereUnits, answer.Load = proto.OK, 0, 0, nil
 	return answer
@@ -140,7 +141,7 @@
 		return
 	}
 	piece := a.request.piece.Range
-	l.shared.log.Info("piece of an answered write ended", keyToken, call.Token,
+	l.shared.log.Info("write piece ended after its call was answered", keyToken, call.Token,
 		keyDataVolume, call.DataVolume, keyOffset, piece.Offset, keyLength, piece.Length,
 		keyNode, l.shared.cfg.NodeName(a.server), keyCode, code)
 }
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -9,30 +9,30 @@
 	"landingpaddle/scheduler"
 )
 
-// Call is one client's request on its way through the daemon. Whoever submits it fills the exported fields;
-// from then on the loop owns it.
+// Call is one client's request while the daemon processes it. The frontend sets the exported fields and
+// submits the call; from then on the loop owns it.
 type Call struct {
 	Responder  Responder
 	Request    scheduler.Request // all but ID and ExpiresAt
-	ReceivedAt time.Duration     // when it was read, by the scheduler's clock
-	Timeout    time.Duration     // how long its client waits from then on
-	Token      uint64            // by which logs name it
-	Range      *extent.Range     // bytes, of a ranged request; nil: another
-	DataVolume uint64            // the volume whose bytes a ranged request means
+	ReceivedAt time.Duration     // when the request was read, by the scheduler's clock
+	Timeout    time.Duration     // how long the client waits, counted from ReceivedAt
+	Token      uint64            // identifies the call in logs
+	Range      *extent.Range     // bytes of a ranged request; nil: not ranged
+	DataVolume uint64            // the volume that a ranged request reads or writes
 
-	rangedID uint64     // by which the planner knows a ranged call; 0: another
+	rangedID uint64     // the planner's ID of a ranged call; 0: not ranged
 	requests []*request // one, or one for each piece of a ranged call
 	overdue  *timer
 	answered bool
 
-	// unwanted says that the call is answered or its client is gone: no attempt may begin any more. Drivers
-	// read it on any goroutine.
+	// unwanted is true once the call is answered, or its client has disconnected or cancelled: no attempt may
+	// start any more. Drivers read it on any goroutine.
 	unwanted atomic.Bool
 }
 
 func (c *Call) isRanged() bool { return c.rangedID != 0 }
 
-// startCall hands a submitted call to the scheduler: as one request, or as one for each piece of its range.
+// startCall passes a submitted call to the scheduler: as one request, or as one for each piece of its range.
 func (l *loop) startCall(call *Call) {
 	expiresAt := call.ReceivedAt + call.Timeout - l.shared.cfg.ResponseMargin
 	call.overdue = l.timers.set(expiresAt+l.shared.cfg.AnswerSlack, func() { l.answerOverdue(call) })
@@ -48,7 +48,7 @@
 	l.notify(event)
 }
 
-// startRangedCall splits a call into pieces and hands these to the scheduler.
+// startRangedCall splits a call into pieces and passes these to the scheduler.
 func (l *loop) startRangedCall(call *Call, event scheduler.Request) {
 	l.lastRangedID++
 	pieces, err := l.planner.Add(extent.Request{
@@ -77,12 +77,12 @@
 	}
 }
 
-// answerOverdue fails a call that the scheduler has not answered when its time is up, and logs that as the
-// fault that it is.
+// answerOverdue fails a call that the scheduler has not answered when its time is up, and logs that as an
+// error: it is a bug of the scheduler or the loop.
 func (l *loop) answerOverdue(call *Call) {
 	if !call.answered && l.notified {
-		// A loop that was not scheduled for long finds the end of an attempt and this timer in one batch.
-		// The scheduler has only just been notified and decides first.
+		// If the loop's goroutine did not run for a long period, an attempt's end and this timer come in
+		// one batch. The scheduler has received the end but not decided yet; it decides first.
 		l.decide()
 	}
 	if call.answered {
@@ -98,7 +98,7 @@
 	l.failCall(call, ReasonOverdue)
 }
 
-// endCallOfGoneClient ends a call that nobody waits for any more.
+// endCallOfGoneClient ends a call whose client has disconnected or cancelled it.
 func (l *loop) endCallOfGoneClient(call *Call) {
 	if call.answered || call.requests == nil {
 		return
@@ -123,14 +123,14 @@
 	l.withdraw(withdrawn)
 }
 
-// setPieceCounts puts into an answer what is known of a call's pieces.
+// setPieceCounts sets an answer's counts of the call's pieces by state.
 func setPieceCounts(answer *proto.Answer, pieces *extent.Answer) {
 	answer.Done = uint16(pieces.Done)
 	answer.Uncertain = uint16(pieces.Uncertain)
 	answer.Unsent = uint16(pieces.Unsent)
 }
 
-// finish gives a call its one final answer. A call that has one is left as it is.
+// finish gives a call its one final answer. It does nothing if the call is already answered.
 func (l *loop) finish(call *Call, answer proto.Answer, payload []byte) {
 	if call.answered {
 		return
@@ -146,8 +146,8 @@
 	call.Responder.Respond(answer, payload)
 }
 
-// logUnserved logs a rejection or failure, and of a failed write what is where: nobody
-// else can tell.
+// logUnserved logs a rejection or failure, and the state and node of each piece of a partly done write, which
+// is recorded nowhere else.
 func (l *loop) logUnserved(call *Call, answer proto.Answer) {
 	l.shared.log.Debug(answerEvent(answer.Code), keyReason, answer.Reason, keyToken, call.Token,
 		keyRetryAfter, answer.RetryAfter)
--- a/internal/daemon/client_listener.go
+++ b/internal/daemon/client_listener.go
@@ -12,21 +12,21 @@
 
 const (
 	clientIdleTimeout = 10 * time.Minute
-	// A client's connection carries as many streams as clientStreamFactor connections to nodes; the factor
-	// counts for minNodeStreams at least.
+	// The stream limit of a client connection is clientStreamFactor times that of a node connection, which
+	// counts as at least minNodeStreams.
 	clientStreamFactor = 64
 	minNodeStreams     = 64
 )
 
-// clientListener is the frontend of the native protocol: it takes requests from clients, bounds them and
-// hands them to the loop. Each connection has a goroutine of its own.
+// clientListener is the frontend of the native protocol: it accepts requests from clients, limits their
+// number and passes them to the loop. Each connection has a dedicated goroutine.
 type clientListener struct {
 	instance *Instance
 
 	mu          sync.Mutex
 	connections map[*clientConnection]struct{}
 	closing     bool
-	drained     chan struct{} // closed when closing and no connection is left
+	drained     chan struct{} // closed once closing is true and no connection is left
 }
 
 // clientConnection is one client's connection.
@@ -34,7 +34,7 @@
 	conn *proto.Conn
 
 	mu    sync.Mutex
-	calls map[uint64]*Call // open ones, by stream
+	calls map[uint64]*Call // open calls, by stream
 }
 
 func newClientListener(instance *Instance) *clientListener {
@@ -45,7 +45,7 @@
 	}
 }
 
-// serve takes connections until ctx ends.
+// serve accepts connections until ctx ends.
 func (l *clientListener) serve(ctx context.Context) error {
 	limits := l.instance.cfg.Site.Limits
 	streams := max(limits.Streams, minNodeStreams) * clientStreamFactor
@@ -58,7 +58,7 @@
 	return proto.Serve(ctx, l.instance.cfg.Listener, config, limits.ClientConnections, l.serveConnection)
 }
 
-// closeGracefully closes all connections after what is queued on them is written.
+// closeGracefully closes all connections once their queued frames are written.
 func (l *clientListener) closeGracefully(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +69,7 @@
 	l.signalIfDrained()
 }
 
-// signalIfDrained closes drained once. The caller holds the lock.
+// signalIfDrained closes drained once closing is true and no connection is left. The caller holds the lock.
 func (l *clientListener) signalIfDrained() {
 	if l.closing && len(l.connections) == 0 && !isClosed(l.drained) {
 		close(l.drained)
@@ -89,7 +89,7 @@
 	l.signalIfDrained()
 }
 
-// serveConnection reads a connection until it ends, which ends the calls still open on it.
+// serveConnection reads from a connection until it ends, then ends the calls still open on it.
 func (l *clientListener) serveConnection(ctx context.Context, conn *proto.Conn) {
 	connection := &clientConnection{conn: conn, calls: map[uint64]*Call{}}
 	l.add(connection)
@@ -104,7 +104,7 @@
 	}
 }
 
-// handleFrame takes a client's frame in. An error ends the connection.
+// handleFrame handles a frame from a client. An error ends the connection.
 func (l *clientListener) handleFrame(connection *clientConnection, frame proto.Frame) error {
 	switch frame.Type {
 	case proto.TypeRequest:
@@ -143,7 +143,7 @@
 	if reason := l.instance.Admit(site.Limits.MaxOpenRequests); reason != "" {
 		retryAfter := site.Limits.MaxRetryAfter
 		if !site.Limits.RetryAfter {
-			retryAfter = 0 // the site's rejections may not say when to come back
+			retryAfter = 0 // the site's settings allow no Retry-After
 		}
 		return request.reject(reason, retryAfter)
 	}
@@ -172,7 +172,7 @@
 	delete(c.calls, stream)
 }
 
-// removeAll takes out all open calls of a connection that has ended.
+// removeAll removes and returns all open calls of a connection that has ended.
 func (c *clientConnection) removeAll() map[uint64]*Call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/daemon/client_request.go
+++ b/internal/daemon/client_request.go
@@ -16,21 +16,21 @@
 	maxCell          = 1<<16 - 1
 )
 
-// clientRequest is a client's request as it came on its connection, and the Responder of its call.
+// clientRequest is a client's request as received on its connection, and the Responder of its call.
 type clientRequest struct {
 	listener   *clientListener
 	connection *clientConnection
 	stream     uint64
 	header     proto.Request
 	payload    []byte
-	write      bool // by itself or by its class
+	write      bool // by its header or by its class
 }
 
-// clientRequestOf is the client's request that an attempt is made for.
+// clientRequestOf returns the client's request that an attempt is made for.
 func clientRequestOf(a *attempt) *clientRequest { return a.request.call.Responder.(*clientRequest) }
 
-// validate checks what a client states against the bounds of its site, and notes whether the request
-// writes. It returns the reason of a rejection, or "". Whether a range can be split the planner checks.
+// validate checks a client's request against the bounds of the site, and records whether the request writes.
+// It returns the reason of a rejection, or "". The planner checks whether a range can be split.
 func (r *clientRequest) validate(site *config.Site) (reason string) {
 	if !isWithinBounds(&r.header, site) {
 		return ReasonBadRequest
@@ -60,7 +60,7 @@
 		header.Cell >= scheduler.NewObject && header.Cell <= maxCell
 }
 
-// newCall is the request as the loop takes it.
+// newCall converts the request into a call for the loop.
 func (r *clientRequest) newCall(receivedAt time.Duration) *Call {
 	header := &r.header
 	call := &Call{
@@ -104,7 +104,7 @@
 	err := conn.Send(proto.TypeAnswer, r.stream, answer, payload)
 	if errors.Is(err, proto.ErrPayloadTooLong) || errors.Is(err, proto.ErrHeaderTooLong) {
 		answer = proto.Answer{Code: proto.Failed, Reason: ReasonTooLarge}
-		_ = conn.Send(proto.TypeAnswer, r.stream, answer, nil) // a closed connection reports itself
+		_ = conn.Send(proto.TypeAnswer, r.stream, answer, nil) // a closed connection is reported by Run
 	}
 	if onAnswer := r.listener.instance.cfg.Hooks.OnAnswer; onAnswer != nil {
 		onAnswer(conn, r.stream, answer, payload)
--- a/internal/daemon/counters.go
+++ b/internal/daemon/counters.go
@@ -10,20 +10,21 @@
 
 // Stats counts what an instance did since its start. All counters may be read at any time.
 type Stats struct {
-	// Calls admitted, their answers by kind, those whose client was gone, and those answered by the loop as
-	// the scheduler did not.
+	// Calls admitted; their answers by kind; calls whose client disconnected or cancelled; calls that the
+	// loop answered because the scheduler did not.
 	Admitted, Served, Rejected, Failed, ClientGone, Overdue atomic.Uint64
 
-	// Attempts dispatched, ended twice (the later end does not count) and not sent as they made no sense any
-	// more; batches; endpoint snapshots that could not be saved.
+	// Attempts dispatched; results that came after their attempt had ended, which are ignored; attempts not
+	// sent because their request had ended or their time was up; batches; endpoint snapshots that could not
+	// be saved.
 	Attempts, LateResults, Withheld, Batches, SnapshotFailures atomic.Uint64
 
 	// Attempts that ended, by result code.
 	OK, Error, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled, NotApplicable atomic.Uint64
 
-	// Ranged calls: calls split, pieces of all, operations sent to nodes (retries included), those merged of
-	// two or more pieces, the pieces in these, operations saved by merging, pieces withdrawn unsent, writes
-	// that failed with some of their pieces done, bytes copied.
+	// Ranged calls: calls split; pieces of all calls; operations sent to nodes, including retries; operations
+	// merged from two or more pieces; pieces in merged operations; operations saved by merging; pieces
+	// withdrawn before they were sent; writes that failed with some of their pieces done; bytes copied.
 	Split, Pieces, Operations, Merged, Members, Saved, Withdrawn, Partial, Copied atomic.Uint64
 }
 
@@ -61,7 +62,7 @@
 	}
 }
 
-// publishPlannerStats copies the planner's counters to where other goroutines may read them.
+// publishPlannerStats copies the planner's counters to Stats, where other goroutines may read them.
 func (l *loop) publishPlannerStats() {
 	if l.planner == nil {
 		return
@@ -77,13 +78,13 @@
 	to.Partial.Store(from.Partial)
 }
 
-// namedCounter is a counter as the log shows it.
+// namedCounter is a counter with its attribute key in the log.
 type namedCounter struct {
 	name    string
 	counter *atomic.Uint64
 }
 
-// LogValue lists the counters for the log, those of ranged calls only where there were some.
+// LogValue returns the counters for the log, those of ranged calls only if there were any.
 func (s *Stats) LogValue() slog.Value {
 	counters := []namedCounter{
 		{"admitted", &s.Admitted},
--- a/internal/daemon/drivers.go
+++ b/internal/daemon/drivers.go
@@ -7,42 +7,42 @@
 	"landingpaddle/scheduler"
 )
 
-// Decider decides as the scheduler does; scheduler.Scheduler is one. The loop calls it from its one
+// Decider receives events and returns actions, as scheduler.Scheduler does. The loop calls it from a single
 // goroutine.
 type Decider interface {
 	Handle(now time.Duration, event scheduler.Event)
 	Decide(now time.Duration) []scheduler.Action
 }
 
-// Drivers carry the scheduler's actions out. The native protocol is one implementation, the platform's
-// another. The loop calls them from its one goroutine; none of them may block.
+// Drivers execute the scheduler's actions. The native protocol and the platform have one implementation each.
+// The loop calls them from a single goroutine; none of them may block.
 type Drivers struct {
 	Upstream  Upstream
 	Endpoints EndpointSource
 	Peers     PeerSender // nil: no messages between instances
 }
 
-// Responder waits for the answer of a call.
+// Responder receives the answer to a call.
 type Responder interface {
 	// Respond gives the call its one final answer. The loop calls it once.
 	Respond(answer proto.Answer, payload []byte)
 }
 
-// Upstream carries attempts out. For each operation sent it calls EventLoop.OperationEnded once, unless the
+// Upstream sends operations to nodes. For each one it calls EventLoop.OperationEnded once, unless the
 // operation was cancelled before.
 type Upstream interface {
 	Send(operation *Operation)
-	// Cancel ends an operation that nobody waits for any more.
+	// Cancel ends an operation none of whose members waits any more.
 	Cancel(operation *Operation)
-	// CancelMember ends one member of an operation that others still wait for. The place counts from 0.
-	CancelMember(operation *Operation, place int)
-	// CheckHealth asks a node whether it serves. EventLoop.ReportHealthCheck takes the result.
+	// CancelMember ends one member of an operation while other members still wait. The index counts from 0.
+	CancelMember(operation *Operation, index int)
+	// CheckHealth sends a health check to a node. EventLoop.ReportHealthCheck receives the result.
 	CheckHealth(server scheduler.Server)
 	// CloseIdle closes the connections to a node on which nothing is in flight.
 	CloseIdle(server scheduler.Server)
 }
 
-// EndpointSource watches and fetches the endpoint list. EventLoop.ReceiveUpdate takes the updates,
+// EndpointSource watches and fetches the endpoint list. EventLoop.ReceiveUpdate receives the updates,
 // EventLoop.ReportListFailure the failures.
 type EndpointSource interface {
 	Watch(on bool)
@@ -56,12 +56,12 @@
 	Send(to uint32, body []byte) error
 }
 
-// Hooks let a testbed stand between the parts of an instance. All are nil in service.
+// Hooks let a testbed intercept the parts of an instance. All are nil in production.
 type Hooks struct {
-	// Gate is passed before all reads, writes and batches.
+	// Gate is called before each read, write and batch, and may block.
 	Gate func()
-	// Decider returns what decides in place of the scheduler that it is given.
-	Decider func(settings scheduler.Settings, host Decider) Decider
+	// Decider returns the replacement of the instance's scheduler, which is passed as original.
+	Decider func(settings scheduler.Settings, original Decider) Decider
 	// OnAnswer is called after each final answer to a client of the native protocol.
 	OnAnswer func(conn *proto.Conn, stream uint64, answer proto.Answer, payload []byte)
 }
--- a/internal/daemon/endpoint_list.go
+++ b/internal/daemon/endpoint_list.go
@@ -5,23 +5,23 @@
 	"landingpaddle/scheduler"
 )
 
-// updateEndpoints notifies the scheduler, and the check of preconditions, of a change of the endpoints.
+// updateEndpoints passes a change of the endpoints to the scheduler and to the check of preconditions.
 func (l *loop) updateEndpoints(update scheduler.EndpointUpdate) {
 	l.shared.notifiedEndpoints.apply(update)
 	l.notify(update)
 }
 
-// updateFromNode takes in what a node has said of itself, if that changes anything.
-func (l *loop) updateFromNode(event string, server scheduler.Server, update scheduler.EndpointUpdate,
+// updateFromNode applies and logs an update that a node itself reported, if it changes anything.
+func (l *loop) updateFromNode(logMessage string, server scheduler.Server, update scheduler.EndpointUpdate,
 	changed bool) {
 	if !changed {
 		return
 	}
-	l.shared.log.Info(event, keyNode, l.shared.cfg.NodeName(server), keySource, "node")
+	l.shared.log.Info(logMessage, keyNode, l.shared.cfg.NodeName(server), keySource, "node")
 	l.updateEndpoints(update)
 }
 
-// applyUpdate takes an update of the endpoint list in. After a gap the full list is fetched.
+// applyUpdate applies an update of the endpoint list. After a gap it fetches the full list.
 func (l *loop) applyUpdate(update endpoints.Update) {
 	change, result := l.view.Apply(l.shared.clock(), update)
 	switch result {
@@ -32,7 +32,7 @@
 		l.drivers.Endpoints.FetchFull()
 	case endpoints.Applied:
 		l.updateEndpoints(change)
-		if change.Kind == scheduler.UpdateFull { // the first full list of an incarnation ends the restoring
+		if change.Kind == scheduler.UpdateFull { // an incarnation's first full list completes the restore
 			l.restoreStatistics(l.view.Snapshot().Endpoints)
 			l.savedStatistics = nil
 		}
@@ -45,7 +45,7 @@
 	}
 }
 
-// publishListVersion lets other goroutines see the version of the current list.
+// publishListVersion makes the version of the current list available to other goroutines.
 func (l *loop) publishListVersion() {
 	epoch, version := l.view.Version()
 	l.shared.listVersion.Store(&listVersion{epoch, version})
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -14,59 +14,59 @@
 	"landingpaddle/scheduler"
 )
 
-// clockStart is the scheduler's clock at an instance's start. It keeps times before that, such as the starts
-// of nodes, positive.
+// clockStart is the scheduler's clock at an instance's start. It keeps earlier times, such as the starts of
+// nodes, positive.
 const clockStart = time.Hour
 
-// EventLoopConfig is what the loop needs to know, whatever protocols its drivers speak.
+// EventLoopConfig configures an event loop, independently of the protocols of its drivers.
 type EventLoopConfig struct {
 	Seed     uint64
 	Settings scheduler.Settings
 
-	// BatchInterval is the least time from one batch's end to the next one's start.
+	// BatchInterval is the minimum time from the end of one batch to the start of the next.
 	BatchInterval time.Duration
-	// ResponseMargin is the part of a client's time-out that is kept for the way of the answer.
+	// ResponseMargin is the part of a client's time-out that is reserved for the return latency.
 	ResponseMargin time.Duration
 	// AnswerSlack is how long after a call's deadline the loop itself fails it.
 	AnswerSlack time.Duration
-	// ClockSkew is how far nodes' clocks may be off.
+	// ClockSkew is the largest difference between the clocks of a node and of the instance.
 	ClockSkew time.Duration
-	// ShutdownTimeout is how long after Stop open calls may still be served.
+	// ShutdownTimeout is how long open calls may still be served after Stop.
 	ShutdownTimeout time.Duration
 
 	// Extents are the settings of ranged requests; nil: there are none.
 	Extents *extent.Settings
 
-	// Snapshot is the file of the endpoint list from before a restart.
+	// Snapshot is the file with the endpoint list of the previous incarnation.
 	Snapshot registry.SnapshotFile
-	// InitialList is the endpoint list of the start, used where Snapshot has no path.
+	// InitialList is the endpoint list at the start, used if Snapshot has no path.
 	InitialList endpoints.Snapshot
-	// TrustInitialList says that the registry is the same as before, so that changes to the list of the start
-	// apply.
+	// TrustInitialList means that the registry continues the list of the start, so that changes to that list
+	// can be applied.
 	TrustInitialList bool
 
-	// StatisticsFile is the checkpoint of statistics; "": none is kept.
+	// StatisticsFile is the path of the checkpoint of statistics; "": none is kept.
 	StatisticsFile string
-	// Fingerprint is the settings on which the meaning of statistics depends.
+	// Fingerprint holds the settings on which the meaning of statistics depends.
 	Fingerprint checkpoint.Fingerprint
 
-	// NodeName is how logs call a node; nil: by its address.
+	// NodeName returns the name of a node in logs; nil: its address.
 	NodeName func(scheduler.Server) string
 	// Log may be nil: nothing is logged.
 	Log   *slog.Logger
 	Hooks Hooks
 }
 
-// EventLoop is an instance without its drivers. Its methods hand the loop what happens and may be called from
-// any goroutine; Run is the loop.
+// EventLoop is an instance without its drivers. Its methods report events to the loop and may be called from
+// any goroutine; Run runs the loop.
 type EventLoop struct {
 	cfg               EventLoopConfig
 	log               *slog.Logger
 	startedAt         time.Time
 	inbox             *inbox
-	snapshots         chan endpoints.Snapshot     // the latest that is not saved yet, if any
+	snapshots         chan endpoints.Snapshot     // the latest one not saved yet, if any
 	listVersion       atomic.Pointer[listVersion] // never nil
-	openCalls         atomic.Int64                // admitted and not answered
+	openCalls         atomic.Int64                // calls admitted and not answered
 	notifiedEndpoints notifiedEndpoints
 	ready             chan struct{}
 	stopping          chan struct{}
@@ -76,10 +76,10 @@
 	Stats Stats
 }
 
-// listVersion is the version of an endpoint list; the zero value stands for none.
+// listVersion is the version of an endpoint list; the zero value means none.
 type listVersion struct{ epoch, version uint64 }
 
-// NewEventLoop prepares an event loop; Run makes it work.
+// NewEventLoop returns an event loop; Run starts it.
 func NewEventLoop(cfg EventLoopConfig) *EventLoop {
 	e := &EventLoop{
 		cfg:       cfg,
@@ -100,8 +100,8 @@
 	return e
 }
 
-// Run works until Stop has been carried out, which returns nil, or until ctx ends, which is a kill: open
-// calls get no answer, and Run returns the context's cause.
+// Run processes events until the graceful shutdown begun by Stop is complete, and then returns nil, or until
+// ctx ends, which acts as a kill: open calls get no answer, and Run returns the context's cause.
 func (e *EventLoop) Run(ctx context.Context, drivers Drivers) error {
 	return newLoop(e, drivers).run(ctx)
 }
@@ -112,11 +112,11 @@
 // IsReady reports whether the scheduler has the endpoint list of the start.
 func (e *EventLoop) IsReady() bool { return isClosed(e.ready) }
 
-// Stop begins the graceful shutdown: the loop takes no new calls, answers all open ones within the shutdown
-// timeout, then Run returns.
+// Stop begins the graceful shutdown: no new calls are admitted, the loop answers all open ones within the
+// shutdown timeout, then Run returns.
 func (e *EventLoop) Stop() { e.stopOnce.Do(func() { close(e.stopping) }) }
 
-// Stopping reports whether Stop was called: no new calls are taken any more.
+// Stopping reports whether Stop was called: no new calls are admitted any more.
 func (e *EventLoop) Stopping() bool { return isClosed(e.stopping) }
 
 func isClosed(channel <-chan struct{}) bool {
@@ -128,15 +128,15 @@
 	}
 }
 
-// Now is the scheduler's clock.
+// Now returns the time of the scheduler's clock.
 func (e *EventLoop) Now() time.Duration { return clockStart + time.Since(e.startedAt) }
 
-// clock is the scheduler's clock together with the wall clock.
+// clock returns the times of the scheduler's clock and of the wall clock.
 func (e *EventLoop) clock() endpoints.Clock {
 	return endpoints.Clock{Now: e.Now(), Wall: time.Now().UnixNano()}
 }
 
-// ListVersion returns the version of the current endpoint list; 0 if none can be followed by changes.
+// ListVersion returns the version of the current endpoint list; zeros if no changes can be applied to it.
 func (e *EventLoop) ListVersion() (epoch, version uint64) {
 	current := e.listVersion.Load()
 	return current.epoch, current.version
--- a/internal/daemon/event_loop_input.go
+++ b/internal/daemon/event_loop_input.go
@@ -6,10 +6,10 @@
 	"landingpaddle/scheduler"
 )
 
-// Admit counts one more call as open, unless the instance is stopping or maxOpen calls are open: then it
-// returns the reason. A call that was admitted must be handed on by Submit.
+// Admit counts one more call as open and returns "", unless the instance is stopping or maxOpen calls are
+// open: then it returns the reason of the rejection. An admitted call must be passed to Submit.
 func (e *EventLoop) Admit(maxOpen int) (reason string) {
-	// The call is counted before Stopping is asked: the loop ends only when it sees none counted.
+	// The call is counted before Stopping is checked: the loop ends only when no call is counted.
 	open := e.openCalls.Add(1)
 	switch {
 	case e.Stopping():
@@ -23,12 +23,12 @@
 	return ""
 }
 
-// Submit hands an admitted call to the loop, which owns it from then on.
+// Submit passes an admitted call to the loop, which owns it from then on.
 func (e *EventLoop) Submit(call *Call) { e.inbox.put(callSubmitted{call}) }
 
-// ClientGone reports that a call's client is gone or wants no answer any more.
+// ClientGone reports that a call's client has disconnected or has cancelled the call.
 func (e *EventLoop) ClientGone(call *Call) {
-	call.unwanted.Store(true) // at once: the loop may be a batch away, and an attempt about to begin
+	call.unwanted.Store(true) // at once: an attempt might start before the loop's next batch
 	e.inbox.put(clientGone{call})
 }
 
@@ -38,10 +38,10 @@
 	e.inbox.put(operationResult{operation, code, answer, payload})
 }
 
-// ReceiveUpdate hands an update of the endpoint list to the loop.
+// ReceiveUpdate passes an update of the endpoint list to the loop.
 func (e *EventLoop) ReceiveUpdate(update endpoints.Update) { e.inbox.put(updateReceived{update}) }
 
-// ReportListFailure reports that a watch of the endpoint list broke or a fetch failed.
+// ReportListFailure reports that a watch or a fetch of the endpoint list failed.
 func (e *EventLoop) ReportListFailure(err error) { e.inbox.put(listFailure{err}) }
 
 // ReportHealthCheck reports the result of a health check.
@@ -49,12 +49,13 @@
 	e.inbox.put(healthCheckEnded{result})
 }
 
-// ReceivePeerMessage hands a message of another instance to the loop. Where too many wait it is lost.
+// ReceivePeerMessage passes a message from another instance to the loop. It is discarded if too many such
+// messages are queued.
 func (e *EventLoop) ReceivePeerMessage(message scheduler.PeerMessage) {
 	e.inbox.putPeerMessage(message)
 }
 
-// InspectNodes has inspect called, on the loop's goroutine, with what the scheduler holds of the nodes.
+// InspectNodes makes the loop call inspect, on its goroutine, with the scheduler's states of the nodes.
 func (e *EventLoop) InspectNodes(inspect func([]scheduler.NodeState)) {
 	e.inbox.put(nodeInspection{inspect})
 }
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -6,18 +6,18 @@
 	"landingpaddle/scheduler"
 )
 
-// maxPeerMessages bounds the messages of other instances that wait for the loop. More are lost, as datagrams
-// may be.
+// maxPeerMessages bounds the queued messages from other instances. Messages beyond it are discarded, as
+// datagrams may be lost in any case.
 const maxPeerMessages = 1024
 
-// inbox is the queue of messages to the loop. Any goroutine may put into it, only the loop's takes. It needs
-// no bound of its own but that of peer messages: calls are bounded by Admit, results by the attempts in
-// flight, endpoint updates by the one connection that brings them.
+// inbox is the queue of messages to the loop. Any goroutine may add to it, only the loop's removes. Only peer
+// messages need a bound here: calls are bounded by Admit, results by the attempts in flight, and endpoint
+// updates by the single connection on which they arrive.
 type inbox struct {
 	mu           sync.Mutex
 	messages     []message
-	peerMessages int           // among messages
-	wake         chan struct{} // holds one value while there may be messages
+	peerMessages int           // number among messages
+	wake         chan struct{} // holds a value if there may be messages
 }
 
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
@@ -39,7 +39,7 @@
 	b.signal()
 }
 
-// signal wakes the loop, or makes its next wait end at once.
+// signal wakes the loop or, if it is not waiting, makes its next wait return at once.
 func (b *inbox) signal() {
 	select {
 	case b.wake <- struct{}{}:
@@ -47,7 +47,8 @@
 	}
 }
 
-// takeAll empties the inbox. It goes on with the slice spare, which the caller must not use any more.
+// takeAll removes and returns all messages. The inbox reuses the slice spare, which the caller must not use
+// any more.
 func (b *inbox) takeAll(spare []message) []message {
 	clear(spare)
 	b.mu.Lock()
--- a/internal/daemon/instance.go
+++ b/internal/daemon/instance.go
@@ -17,18 +17,18 @@
 	"landingpaddle/internal/registry"
 )
 
-// closeTimeout is how long answers that are still being written at a stop are given.
+// closeTimeout bounds how long a stopping instance waits for answers that are still being written.
 const closeTimeout = time.Second
 
 // errStopped ends the goroutines of an instance after a graceful shutdown.
-var errStopped = errors.New("instance stopped as asked")
+var errStopped = errors.New("graceful shutdown completed")
 
-// errPeersNotAllowed says that a configuration names peers where the site has none.
-var errPeersNotAllowed = errors.New("the site allows no messages between instances")
+// errPeersNotAllowed reports a configuration with peers for a site whose settings allow none.
+var errPeersNotAllowed = errors.New("the site's settings allow no messages between instances")
 
 // Config is the configuration of one instance.
 type Config struct {
-	Number          int // of this instance, from 0
+	Number          int // index of this instance, from 0
 	Instances       int
 	Zone            uint8
 	Seed            uint64
@@ -36,7 +36,7 @@
 	Listener        net.Listener // for clients; owned by the instance
 	Registry        string       // address
 	Snapshot        registry.SnapshotFile
-	StatisticsFile  string // the checkpoint of statistics; "": none is kept
+	StatisticsFile  string // path of the checkpoint of statistics; "": none is kept
 	PeerListen      string // "": no messages between instances
 	Peers           map[uint32]netip.AddrPort
 	ShutdownTimeout time.Duration
@@ -53,7 +53,7 @@
 	peers    *peer.Link // nil: no messages between instances
 }
 
-// New prepares an instance; Run makes it work. It listens for peers, where they are configured.
+// New returns an instance; Run starts it. If peers are configured, New begins to listen for them.
 func New(cfg Config) (*Instance, error) {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -109,15 +109,15 @@
 	return peer.Listen(i.cfg.PeerListen, uint32(i.cfg.Number), i.cfg.Peers, i.cfg.Hooks.Gate)
 }
 
-// hello is how the instance greets on its connections.
+// hello returns the handshake message that the instance sends on its connections.
 func (i *Instance) hello() proto.Hello {
 	return proto.Hello{Role: "instance", Number: uint32(i.cfg.Number), StartedAt: i.startedAt.UnixNano()}
 }
 
-// Addr is the address for clients.
+// Addr returns the address for clients.
 func (i *Instance) Addr() net.Addr { return i.cfg.Listener.Addr() }
 
-// PeerAddr is the address for messages of other instances; the zero value without peers.
+// PeerAddr returns the address for messages from other instances; the zero value without peers.
 func (i *Instance) PeerAddr() netip.AddrPort {
 	if i.peers == nil {
 		return netip.AddrPort{}
@@ -125,8 +125,9 @@
 	return i.peers.Addr()
 }
 
-// Run works until Stop has been carried out, which returns nil, or until ctx ends, which is a kill: open
-// calls get no answer, and Run returns the context's cause. It waits for all goroutines of the instance.
+// Run serves until the graceful shutdown begun by Stop is complete, and then returns nil, or until ctx ends,
+// which acts as a kill: open calls get no answer, and Run returns the context's cause. It waits for all
+// goroutines of the instance.
 func (i *Instance) Run(ctx context.Context) error {
 	group, groupCtx := errgroup.WithContext(ctx)
 	clientsCtx, closeClients := context.WithCancel(groupCtx)
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// drainClients closes the clients' connections and gives answers that are still being written a moment.
+// drainClients closes the clients' connections and waits up to closeTimeout for answers still being written.
 func (i *Instance) drainClients(ctx context.Context) {
 	i.clients.closeGracefully("stopping")
 	select {
@@ -181,7 +182,7 @@
 	}
 }
 
-// logStopped logs why the instance has stopped and returns what Run returns.
+// logStopped logs why the instance has stopped and returns the result of Run.
 func (i *Instance) logStopped(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(err, errStopped):
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -5,19 +5,19 @@
 	keyAge              = "age"         // time since the call was received
 	keyAllClasses       = "all_classes" // whether the regression over all classes was restored
 	keyAttempts         = "attempts"
-	keyBaseVersion      = "base_version" // of the list that an update changes
+	keyBaseVersion      = "base_version" // version of the list that an update changes
 	keyCause            = "cause"
 	keyCell             = "cell"
-	keyClasses          = "classes" // of which statistics were restored
-	keyClient           = "client"  // number, by the client's own word
+	keyClasses          = "classes" // number of classes with restored statistics
+	keyClient           = "client"  // number that the client states
 	keyCode             = "code"
 	keyCounters         = "all"
 	keyDataVolume       = "data_volume"
 	keyError            = "error"
-	keyInFlight         = "in_flight" // operations
+	keyInFlight         = "in_flight" // number of operations
 	keyInstance         = "instance"
 	keyInstances        = "instances"
-	keyLastReason       = "last_reason" // of the last attempt
+	keyLastReason       = "last_reason" // reason of the last attempt
 	keyLength           = "length"      // bytes
 	keyListener         = "listener"    // address for clients
 	keyNode             = "node"
@@ -30,10 +30,10 @@
 	keyRetryAfter       = "retry_after"
 	keyRole             = "role"
 	keySavedNodes       = "saved_nodes"
-	keySource           = "source" // of an update that no list brought
+	keySource           = "source" // of an endpoint change that is not from the list
 	keyState            = "state"
 	keyStatus           = "status"
 	keyText             = "text"
-	keyToken            = "token" // by which a client names its request
+	keyToken            = "token" // the client's identifier of its request
 	keyVersion          = "version"
 )
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	// counterLogInterval is how often an instance that works logs its counters.
+	// counterLogInterval is the minimum time between two logs of the counters, which follow a batch.
 	counterLogInterval = time.Minute
-	// idleWakeup is when the loop wakes at the latest, without timers and messages.
+	// idleWakeup is the longest wait of the loop when no timer is set.
 	idleWakeup = time.Hour
 )
 
 // loop is the state of a running EventLoop: the scheduler and all requests. The goroutine of Run owns it and
 // never blocks on a socket.
 type loop struct {
-	shared          *EventLoop // what other goroutines see as well
+	shared          *EventLoop // the part that other goroutines access too
 	drivers         Drivers
-	decider         Decider // the scheduler, or what Hooks.Decider put in its place
+	decider         Decider // the scheduler, or its replacement by Hooks.Decider
 	scheduler       *scheduler.Scheduler
 	settings        scheduler.Settings
-	savedStatistics *checkpoint.Record // of the incarnation before; nil: none to restore
+	savedStatistics *checkpoint.Record // of the previous incarnation; nil: none to restore
 	planner         *extent.Planner    // nil: no ranged requests
 	view            *endpoints.View
 	timers          timers
 	requests        map[uint32]*request
 	lastRequestID   uint32
-	lastRangedID    uint64        // of a ranged call
-	undispatched    []*Operation  // decided on in this batch
-	now             time.Duration // of this batch
-	notified        bool          // the scheduler has had events since the last Decide
-	spareMessages   []message     // of the batch before; reused
+	lastRangedID    uint64        // planner's ID of the last ranged call
+	undispatched    []*Operation  // of this batch, not passed to the upstream yet
+	now             time.Duration // start of this batch
+	notified        bool          // the scheduler has received events since the last Decide
+	spareMessages   []message     // of the previous batch; reused
 	lastBatchEnd    time.Duration
-	countersLogged  time.Duration // when they were last
+	countersLogged  time.Duration // time of the last log of the counters
 }
 
 func newLoop(shared *EventLoop, drivers Drivers) *loop {
 	cfg := &shared.cfg
-	module := scheduler.New(cfg.Seed, cfg.Settings)
+	sched := scheduler.New(cfg.Seed, cfg.Settings)
 	l := &loop{
 		shared:    shared,
 		drivers:   drivers,
-		decider:   module,
-		scheduler: module,
+		decider:   sched,
+		scheduler: sched,
 		settings:  cfg.Settings,
 		view:      endpoints.New(cfg.ClockSkew),
 		requests:  map[uint32]*request{},
 	}
 	if cfg.Extents != nil {
 		l.planner = extent.New(*cfg.Extents)
-		module.SetBatcher(l.planner)
+		sched.SetBatcher(l.planner)
 	}
 	if cfg.Hooks.Decider != nil {
-		l.decider = cfg.Hooks.Decider(cfg.Settings, module)
+		l.decider = cfg.Hooks.Decider(cfg.Settings, sched)
 	}
 	return l
 }
 
-// run gathers what happens into batches until the graceful shutdown is over or ctx ends.
+// run processes messages and timers in batches until the graceful shutdown is complete or ctx ends.
 func (l *loop) run(ctx context.Context) error {
 	l.restore()
 	close(l.shared.ready)
 	wakeup := time.NewTimer(idleWakeup)
 	defer wakeup.Stop()
-	stopRequested := l.shared.stopping // nil from the request on
+	stopRequested := l.shared.stopping // nil once a stop was requested
 	var shutdownTimeout <-chan time.Time
 	for {
 		if stopRequested == nil && len(l.requests) == 0 && l.shared.openCalls.Load() == 0 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// restore hands the scheduler what the incarnation before left and decides for the first time.
+// restore passes the saved state of the previous incarnation to the scheduler and makes the first decision.
 func (l *loop) restore() {
 	snapshot := l.loadSnapshot()
 	l.now = l.shared.Now()
@@ -108,7 +108,7 @@
 	l.decide()
 }
 
-// schedule sets the wake-up to when the next timer is due.
+// schedule sets wakeup to fire when the next timer is due.
 func (l *loop) schedule(wakeup *time.Timer) {
 	if dueAt, ok := l.timers.next(); ok {
 		wakeup.Reset(max(0, dueAt-l.shared.Now()))
@@ -117,7 +117,7 @@
 	}
 }
 
-// awaitBatchStart keeps the batch interval, and passes the testbed's gate.
+// awaitBatchStart waits for the batch interval to elapse, then calls the testbed's gate.
 func (l *loop) awaitBatchStart() {
 	if wait := l.lastBatchEnd + l.shared.cfg.BatchInterval - l.shared.Now(); wait > 0 {
 		time.Sleep(wait)
@@ -127,8 +127,8 @@
 	}
 }
 
-// runBatch hands all that has happened to the scheduler and carries out what it asks for. Messages go before
-// timers, so that an answer wins over a time-out that is due in the same batch.
+// runBatch processes all queued messages and due timers and executes the scheduler's actions. Messages come
+// before timers, so that an answer takes precedence over a time-out that is due in the same batch.
 func (l *loop) runBatch() {
 	l.now = l.shared.Now()
 	messages := l.shared.inbox.takeAll(l.spareMessages)
@@ -141,8 +141,8 @@
 		l.decide()
 	}
 	if l.notified {
-		// Carrying out has given the scheduler events (a cancelled attempt has its result at once). What it
-		// wants done about them must not wait for the next message.
+		// Executing the actions has produced new events (a cancelled attempt has its result at once). The
+		// scheduler's decision on these must not wait for the next message.
 		l.shared.inbox.signal()
 	}
 	l.publishPlannerStats()
@@ -153,13 +153,13 @@
 	l.lastBatchEnd = l.shared.Now()
 }
 
-// notify hands the scheduler an event.
+// notify passes an event to the scheduler.
 func (l *loop) notify(event scheduler.Event) {
 	l.notified = true
 	l.decider.Handle(l.now, event)
 }
 
-// decide carries out what the scheduler decides on.
+// decide executes the actions that the scheduler decides on.
 func (l *loop) decide() {
 	l.notified = false
 	l.shared.Stats.Batches.Add(1)
--- a/internal/daemon/messages.go
+++ b/internal/daemon/messages.go
@@ -6,8 +6,8 @@
 	"landingpaddle/scheduler"
 )
 
-// message is what other goroutines hand to the loop. The loop calls apply on its own goroutine, once, in the
-// order in which messages came.
+// message is an input to the loop, mostly from other goroutines. The loop calls apply on its own goroutine,
+// once, in order of arrival.
 type message interface {
 	apply(l *loop)
 }
@@ -17,12 +17,12 @@
 
 func (m callSubmitted) apply(l *loop) { l.startCall(m.call) }
 
-// clientGone says that a call's client is gone or wants no answer any more.
+// clientGone reports that a call's client has disconnected or has cancelled the call.
 type clientGone struct{ call *Call }
 
 func (m clientGone) apply(l *loop) { l.endCallOfGoneClient(m.call) }
 
-// operationResult is the end of an operation.
+// operationResult reports how an operation ended.
 type operationResult struct {
 	operation *Operation
 	code      scheduler.ResultCode
@@ -32,7 +32,7 @@
 
 func (m operationResult) apply(l *loop) { l.operationEnded(m) }
 
-// responseStarted says that a streamed answer has begun.
+// responseStarted reports that a streamed answer has begun.
 type responseStarted struct{ operation *Operation }
 
 func (m responseStarted) apply(l *loop) {
@@ -49,7 +49,7 @@
 
 func (m updateReceived) apply(l *loop) { l.applyUpdate(m.update) }
 
-// listFailure says that a watch broke or a fetch failed.
+// listFailure reports that a watch or a fetch of the endpoint list failed.
 type listFailure struct{ err error }
 
 func (m listFailure) apply(l *loop) {
@@ -57,13 +57,13 @@
 	l.updateEndpoints(scheduler.EndpointUpdate{Kind: scheduler.UpdateFailed})
 }
 
-// nodeProcess is one process of a node.
+// nodeProcess identifies one incarnation of a node.
 type nodeProcess struct {
 	server    scheduler.Server
-	startedAt int64 // wall clock, Unix nanoseconds, by the node's own word
+	startedAt int64 // Unix nanoseconds, as stated by the node
 }
 
-// drainNotice says that a node announced on its connection that it drains.
+// drainNotice reports that a node sent a drain notice on its connection.
 type drainNotice struct{ node nodeProcess }
 
 func (m drainNotice) apply(l *loop) {
@@ -71,7 +71,7 @@
 	l.updateFromNode("node draining", m.node.server, update, changed)
 }
 
-// greetingReceived says which process of a node answers on a new connection.
+// greetingReceived reports which incarnation of a node completed the handshake of a new connection.
 type greetingReceived struct{ node nodeProcess }
 
 func (m greetingReceived) apply(l *loop) {
@@ -79,7 +79,7 @@
 	l.updateFromNode("node restarted", m.node.server, update, changed)
 }
 
-// peerMessageReceived is a message of another instance.
+// peerMessageReceived is a message from another instance.
 type peerMessageReceived struct{ message scheduler.PeerMessage }
 
 func (m peerMessageReceived) apply(l *loop) { l.notify(m.message) }
@@ -89,7 +89,7 @@
 
 func (m healthCheckEnded) apply(l *loop) { l.notify(m.result) }
 
-// nodeInspection asks for what the scheduler holds of the nodes.
+// nodeInspection requests a call of inspect with the scheduler's states of the nodes.
 type nodeInspection struct{ inspect func([]scheduler.NodeState) }
 
 func (m nodeInspection) apply(l *loop) { m.inspect(l.scheduler.NodeStates()) }
--- a/internal/daemon/operation.go
+++ b/internal/daemon/operation.go
@@ -8,32 +8,32 @@
 	"landingpaddle/scheduler"
 )
 
-// Operation is what goes to a node as one request: one attempt, or the attempts of several requests that the
-// scheduler merged. The loop owns it; drivers may read it while they carry it out.
+// Operation is sent to a node as one request. It holds one attempt, or the attempts of several requests that
+// the scheduler merged. The loop owns it; drivers may read it while they execute it.
 type Operation struct {
 	server  scheduler.Server
 	members []*attempt       // the leader first
-	extent  extent.Operation // what a ranged one covers, once it is sealed
+	extent  extent.Operation // covered by a ranged operation; set by seal
 
-	// DriverState belongs to the driver that carries the operation out.
+	// DriverState belongs to the driver that executes the operation.
 	DriverState any
 }
 
 // newOperation returns an operation of one attempt.
 func newOperation(a *attempt) *Operation { return &Operation{server: a.server, members: []*attempt{a}} }
 
-// Server is the node that the operation goes to.
+// Server returns the node to which the operation is sent.
 func (o *Operation) Server() scheduler.Server { return o.server }
 
-// Responder is who waits for the answer; of several members the leader's.
+// Responder returns the responder of the call; of several members, the leader's.
 func (o *Operation) Responder() Responder { return o.members[0].request.call.Responder }
 
-// Deadline is when the loop ends the leader's attempt, by the scheduler's clock.
+// Deadline returns when the loop ends the leader's attempt, by the scheduler's clock.
 func (o *Operation) Deadline() time.Duration { return o.members[0].deadline }
 
 func (o *Operation) isRanged() bool { return o.members[0].request.call.isRanged() }
 
-// seal fixes what the operation covers, once it is known who is part of it.
+// seal sets the extent that a ranged operation covers, once its members are final. Further calls do nothing.
 func (o *Operation) seal(planner *extent.Planner) {
 	if !o.isRanged() || len(o.extent.Members) > 0 {
 		return
@@ -45,7 +45,7 @@
 	o.extent = planner.SealOperation(ids)
 }
 
-// dispatch hands this batch's operations to the upstream.
+// dispatch passes this batch's operations to the upstream.
 func (l *loop) dispatch() {
 	operations := l.undispatched
 	l.undispatched = nil
@@ -59,9 +59,9 @@
 	l.undispatched = operations[:0]
 }
 
-// sendable is what of an operation is still to be sent, sealed. Members whose request has its end or whose
-// time is up are withheld. Without them the others' ranges may not touch any more, so each of these is sent
-// alone.
+// sendable returns the part of an operation that must still be sent, sealed. Members whose request has ended
+// or whose time is up are withheld. Without them the ranges of the others may not touch any more, so each of
+// the others becomes a separate operation.
 func (l *loop) sendable(operation *Operation) []*Operation {
 	var remaining []*attempt
 	for _, member := range operation.members {
@@ -81,9 +81,9 @@
 	return l.separate(remaining)
 }
 
-// separate makes an operation of each attempt. Of several of one ordered key only the first is sent: the
-// others go back to the scheduler as not sent, as nodes carried out in any order what was sent side by
-// side.
+// separate makes an operation of each attempt. Of several attempts of one ordered key only the first is sent;
+// the others are reported to the scheduler as not sent, as nodes executed operations that were in flight
+// together in any order.
 func (l *loop) separate(attempts []*attempt) []*Operation {
 	var operations []*Operation
 	sentKeys := map[uint64]bool{}
@@ -102,18 +102,18 @@
 	return operations
 }
 
-// orderingKey is the key that orders a request; false if none does.
+// orderingKey returns the key by which a request is ordered; false if it is not ordered.
 func (l *loop) orderingKey(r *request) (key uint64, ordered bool) {
 	event := &r.call.Request
 	return event.Key, event.Key != 0 && l.settings.Classes[event.Class].OrderedByKey
 }
 
-// reportUnsent ends an attempt that was not sent, in the next batch.
+// reportUnsent queues the result of an attempt that was not sent, for the next batch.
 func (l *loop) reportUnsent(a *attempt, code scheduler.ResultCode) {
 	l.shared.inbox.put(operationResult{operation: newOperation(a), code: code})
 }
 
-// operationEnded takes in how an operation ended: each member has its own part of that.
+// operationEnded ends each member's attempt with its part of the operation's result.
 func (l *loop) operationEnded(result operationResult) {
 	operation := result.operation
 	var parts []extent.Part
@@ -132,7 +132,7 @@
 	}
 }
 
-// unreadableRanges are the parts of an operation that its node could not serve.
+// unreadableRanges returns the ranges of an operation that its node could not serve.
 func unreadableRanges(answer proto.Answer) []extent.Range {
 	var ranges []extent.Range
 	for _, unreadable := range answer.Unreadable {
--- a/internal/daemon/preconditions.go
+++ b/internal/daemon/preconditions.go
@@ -7,27 +7,27 @@
 	"landingpaddle/scheduler"
 )
 
-// notifiedEndpoint is an endpoint as the scheduler was last notified of it.
+// notifiedEndpoint is the state of an endpoint of which the scheduler was last notified.
 type notifiedEndpoint struct {
 	status    scheduler.Status
 	startedAt time.Duration // start of its process
 }
 
-// notifiedEndpoints are all endpoints that the scheduler was notified of. The loop writes them; drivers read
-// them on goroutines of their own.
+// notifiedEndpoints holds all endpoints of which the scheduler was notified. The loop writes it; drivers read
+// it on their own goroutines.
 type notifiedEndpoints struct {
 	mu       sync.RWMutex
 	byServer map[scheduler.Server]notifiedEndpoint
 }
 
-// get returns an endpoint; the zero value if the scheduler does not know it.
+// get returns an endpoint; the zero value if it is not among them.
 func (n *notifiedEndpoints) get(server scheduler.Server) notifiedEndpoint {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	return n.byServer[server]
 }
 
-// apply follows an update that the scheduler is notified of.
+// apply records an update of which the scheduler is notified.
 func (n *notifiedEndpoints) apply(update scheduler.EndpointUpdate) {
 	if update.Kind == scheduler.UpdateFailed {
 		return
@@ -46,26 +46,26 @@
 	}
 }
 
-// isReady reports whether an attempt's node may still be sent to and is the process that the decision meant.
+// isReady reports whether an attempt's node is ready and still the process that the scheduler chose.
 func (n *notifiedEndpoints) isReady(a *attempt) bool {
 	return n.get(a.server) == notifiedEndpoint{scheduler.Ready, a.nodeStartedAt}
 }
 
-// CheckPreconditions reports whether what the decision to send an operation rested on still holds: OK if so.
-// Drivers call it, on any goroutine, right before the first byte, as a connection may take long to come up.
-// By then the client may be gone or its time over, which gives NotApplicable; or the node may drain or be
-// another process, which is cold, or the window in which the node drops a repeated request may have passed,
-// which give ConnectFailed, as nothing was sent.
+// CheckPreconditions returns OK if the conditions under which the scheduler decided to send an operation are
+// still true. Drivers call it, on any goroutine, right before the first byte, as establishing a connection
+// may take long. NotApplicable means that no member's client waits any more or that the deadline has passed.
+// ConnectFailed, as nothing was sent, means that the node drains, that it is another process, which is cold,
+// or that the window in which the node deduplicates a repeated request may have passed.
 func (e *EventLoop) CheckPreconditions(operation *Operation) scheduler.ResultCode {
-	awaited, late, now := false, false, e.Now()
+	hasWaitingClient, isTooLate, now := false, false, e.Now()
 	for _, member := range operation.members {
-		awaited = awaited || !member.request.call.unwanted.Load()
-		late = late || member.startBefore > 0 && now > member.startBefore
+		hasWaitingClient = hasWaitingClient || !member.request.call.unwanted.Load()
+		isTooLate = isTooLate || member.startBefore > 0 && now > member.startBefore
 	}
 	switch {
-	case !awaited || operation.Deadline() <= now:
+	case !hasWaitingClient || operation.Deadline() <= now:
 		return scheduler.NotApplicable
-	case late || !e.notifiedEndpoints.isReady(operation.members[0]):
+	case isTooLate || !e.notifiedEndpoints.isReady(operation.members[0]):
 		return scheduler.ConnectFailed
 	}
 	return scheduler.OK
--- a/internal/daemon/reasons.go
+++ b/internal/daemon/reasons.go
@@ -5,42 +5,42 @@
 	"landingpaddle/scheduler"
 )
 
-// Reasons of rejections and failures: the same words in answers and logs. docs/ops/running.md says what to do
-// about each.
+// Reasons of rejections and failures, the same in answers and logs. docs/ops/running.md describes what an
+// operator can do about each.
 const (
 	// ReasonBadRequest: a field is out of the site's bounds.
 	ReasonBadRequest = "bad-request"
 	// ReasonBadRange: the range is empty, overflows, or is out of the site's bounds.
 	ReasonBadRange = "bad-range"
-	// ReasonOverload: more calls are open than the instance takes.
+	// ReasonOverload: the instance's limit of open calls is reached.
 	ReasonOverload = "overload"
-	// ReasonStopping: the instance shuts down.
+	// ReasonStopping: the instance is shutting down.
 	ReasonStopping = "stopping"
-	// ReasonNotInTime: ended before any attempt, as it could not be served in time.
+	// ReasonNotInTime: no attempt was made, as the request could not be served in time.
 	ReasonNotInTime = "not-in-time"
-	// ReasonNodeOverloaded: the node took no more when the last attempt came.
+	// ReasonNodeOverloaded: the node rejected the last attempt, as it was overloaded or draining.
 	ReasonNodeOverloaded = "node-full"
-	// ReasonNodeTimeout: the last attempt got no answer in time.
+	// ReasonNodeTimeout: the last attempt received no answer in time.
 	ReasonNodeTimeout = "node-timeout"
 	// ReasonNodeUnreachable: nothing of the last attempt was sent.
 	ReasonNodeUnreachable = "node-unreachable"
 	// ReasonNodeReset: the connection broke while the last attempt was in flight.
 	ReasonNodeReset = "node-reset"
-	// ReasonNodeError: the node failed the last attempt.
+	// ReasonNodeError: the last attempt failed at the node.
 	ReasonNodeError = "node-error"
 	// ReasonCancelled: the last attempt was cancelled.
 	ReasonCancelled = "cancelled"
-	// ReasonNotApplicable: the node does not hold the cell, or the last attempt made no sense any more.
+	// ReasonNotApplicable: the node does not hold the cell, or the last attempt was no longer needed.
 	ReasonNotApplicable = "not-there"
-	// ReasonClientGone: the client is gone or has cancelled.
+	// ReasonClientGone: the client has disconnected or has cancelled the call.
 	ReasonClientGone = "client-gone"
-	// ReasonOverdue: the scheduler gave no answer in time, which is a fault of the program.
+	// ReasonOverdue: the scheduler gave no answer in time, which is a bug.
 	ReasonOverdue = "overdue"
-	// ReasonTooLarge: the answer is larger than the client's connection takes.
+	// ReasonTooLarge: the answer exceeds the limits of the client's connection.
 	ReasonTooLarge = "answer-too-large"
 )
 
-// attemptReason is the reason word for the end of an attempt.
+// attemptReason returns the reason for an attempt that ended with a code other than OK.
 func attemptReason(code scheduler.ResultCode) string {
 	switch code {
 	case scheduler.Overloaded:
@@ -61,7 +61,7 @@
 	return ReasonNotInTime
 }
 
-// answerEvent is the log message of an answer other than success.
+// answerEvent returns the log message for an answer other than success.
 func answerEvent(code proto.Code) string {
 	if code == proto.Rejected {
 		return "request rejected"
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -9,22 +9,22 @@
 	"landingpaddle/scheduler"
 )
 
-// request is what the scheduler knows as one: a call, or one piece of a ranged call. It lasts until it has
-// its end and no attempt in flight.
+// request is one request of the scheduler: a call, or one piece of a ranged call. It is kept until it has
+// ended and none of its attempts is in flight.
 type request struct {
 	call       *Call
 	piece      extent.Piece // of a ranged call
 	id         uint32
 	expiresAt  time.Duration
-	attempts   int // started
+	attempts   int // number of attempts started
 	inFlight   []*attempt
 	done       bool
 	served     bool
 	lastServer scheduler.Server // of the last attempt
-	lastReason string           // reason word of the last attempt that ended; "": none has
+	lastReason string           // reason of the last attempt that ended; "": none has
 }
 
-// reason is the reason word of a request that was not served.
+// reason returns the reason of a request that was not served.
 func (r *request) reason() string {
 	if r.lastReason != "" {
 		return r.lastReason
@@ -32,7 +32,7 @@
 	return ReasonNotInTime
 }
 
-// What is known of a piece of a write that was not served as a whole.
+// States of the pieces of a write that was not served completely, in the log.
 const (
 	pieceDone      = "done"
 	pieceUncertain = "uncertain"
@@ -49,7 +49,7 @@
 	return pieceUnsent
 }
 
-// nextRequestID returns an ID that no request has. 0 is none.
+// nextRequestID returns an unused ID. 0 is not a valid ID.
 func (l *loop) nextRequestID() uint32 {
 	for {
 		l.lastRequestID++
@@ -59,8 +59,8 @@
 	}
 }
 
-// resolve ends a request, by the scheduler's decision or by being served, and with it its call once all
-// pieces have their end.
+// resolve ends a request by the scheduler's decision or a node's answer. It answers the call unless the call
+// is ranged and its outcome still depends on other pieces.
 func (l *loop) resolve(r *request, answer proto.Answer, payload []byte) {
 	if r.done {
 		return
@@ -77,7 +77,8 @@
 	l.withdraw(withdrawn)
 }
 
-// finishRanged gives a ranged call its final answer: that of its last piece, with what is known of all.
+// finishRanged gives a ranged call its final answer: that of the deciding piece, with the counts of all
+// pieces and, if all were served, their data.
 func (l *loop) finishRanged(call *Call, answer proto.Answer, pieces *extent.Answer) {
 	setPieceCounts(&answer, pieces)
 	answer.Unreadable = nil
@@ -104,7 +105,7 @@
 	return extent.Failed
 }
 
-// withdraw tells the scheduler that nothing is owed for requests any more.
+// withdraw notifies the scheduler that requests need no answer any more, and releases them.
 func (l *loop) withdraw(ids []uint32) {
 	for _, id := range ids {
 		if r := l.requests[id]; r != nil {
@@ -115,7 +116,7 @@
 	}
 }
 
-// release forgets a request that has its end and no attempt in flight.
+// release removes a request that has ended and has no attempt in flight.
 func (l *loop) release(r *request) {
 	if !r.done || len(r.inFlight) > 0 {
 		return
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// maxHandOver is how long a call may be between Admit and Submit.
+	// maxHandOver is the longest time expected between Admit and Submit of a call.
 	maxHandOver = 50 * time.Millisecond
-	// handOverPoll is how often the loop looks for such calls.
+	// handOverPoll is the interval at which the loop polls the inbox for such calls.
 	handOverPoll = time.Millisecond
 )
 
-// failOpenCalls answers all open calls when the shutdown timeout is over. Among them are calls that were
-// admitted before the stop and not submitted yet, as they would wait for ever.
+// failOpenCalls answers all open calls as failed when the shutdown timeout is over. These include calls that
+// were admitted before the stop and are not submitted yet, which would otherwise wait for ever.
 func (l *loop) failOpenCalls() {
 	stopping := proto.Answer{Code: proto.Failed, Reason: ReasonStopping}
 	for _, r := range l.requests {
--- a/internal/daemon/snapshot.go
+++ b/internal/daemon/snapshot.go
@@ -6,7 +6,7 @@
 	"landingpaddle/endpoints"
 )
 
-// queueSnapshot hands the current list to who saves it, in place of an older one that is not saved yet.
+// queueSnapshot queues the current list for saving and discards an older one that is not saved yet.
 func (l *loop) queueSnapshot() {
 	select {
 	case <-l.shared.snapshots:
@@ -15,8 +15,7 @@
 	l.shared.snapshots <- l.view.Snapshot()
 }
 
-// loadSnapshot returns the endpoint list from before the start. A file that cannot be trusted is logged and
-// ignored.
+// loadSnapshot returns the endpoint list of the previous incarnation. An invalid file is logged and ignored.
 func (l *loop) loadSnapshot() endpoints.Snapshot {
 	cfg := &l.shared.cfg
 	if cfg.Snapshot.Path == "" {
@@ -29,8 +28,8 @@
 	return snapshot
 }
 
-// saveSnapshots writes endpoint lists to disk until ctx ends, away from the path of requests. A full disk
-// costs the next incarnation its first list, and nothing else.
+// saveSnapshots writes queued endpoint lists to disk until ctx ends, on a goroutine outside the request path.
+// If the disk is full, the next incarnation lacks this initial list; nothing else fails.
 func (i *Instance) saveSnapshots(ctx context.Context) error {
 	for {
 		select {
--- a/internal/daemon/statistics.go
+++ b/internal/daemon/statistics.go
@@ -11,10 +11,10 @@
 	"landingpaddle/scheduler"
 )
 
-// statisticsMagic begins a checkpoint of statistics. Another number in it stands for another format.
+// statisticsMagic begins a checkpoint of statistics. The number in it identifies the format.
 const statisticsMagic = "LPLEARN1"
 
-// fingerprint is the settings on which the meaning of statistics depends.
+// fingerprint returns the settings on which the meaning of statistics depends.
 func (i *Instance) fingerprint() checkpoint.Fingerprint {
 	fingerprint := checkpoint.Fingerprint{
 		Instance:  i.cfg.Number,
@@ -28,8 +28,8 @@
 	return fingerprint
 }
 
-// loadStatistics reads the checkpoint that the incarnation before saved. One that cannot be trusted is logged
-// in one line and ignored.
+// loadStatistics reads the checkpoint that the previous incarnation saved. An invalid one is logged in one
+// line and ignored.
 func (l *loop) loadStatistics() {
 	path := l.shared.cfg.StatisticsFile
 	if path == "" {
@@ -51,8 +51,8 @@
 	l.savedStatistics = &record
 }
 
-// restoreStatistics hands the scheduler the saved statistics that still mean the same by a list. Nodes of
-// which it has had results since keep what it learned of them itself.
+// restoreStatistics passes the scheduler the saved statistics that are still valid for the listed endpoints.
+// It keeps its own statistics of nodes from which it has received results since.
 func (l *loop) restoreStatistics(listed []endpoints.Endpoint) {
 	if l.savedStatistics == nil || len(listed) == 0 {
 		return
@@ -66,8 +66,8 @@
 		keyAllClasses, statistics.AllClasses.Count > 0)
 }
 
-// saveStatistics writes the checkpoint for the next incarnation. A full disk costs that one its head start,
-// and nothing else.
+// saveStatistics writes the checkpoint for the next incarnation. If the disk is full, that one lacks these
+// statistics; nothing else fails.
 func (l *loop) saveStatistics() {
 	path := l.shared.cfg.StatisticsFile
 	if path == "" {
@@ -76,7 +76,7 @@
 	record := checkpoint.Capture(l.shared.clock().Wall, l.shared.cfg.Fingerprint, l.scheduler.Statistics(),
 		l.view.Snapshot().Endpoints)
 	if len(record.Nodes) == 0 {
-		return // an incarnation without results must not void what an earlier one saved
+		return // an incarnation without results must not overwrite what an earlier one saved
 	}
 	data, err := statefile.Encode(statisticsMagic, record)
 	if err == nil {
--- a/internal/daemon/timers.go
+++ b/internal/daemon/timers.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// timers are the callbacks that are due later. The loop's goroutine owns them. A timer that is no longer
-// needed is removed at once: most requests end long before their deadline, and timers left to expire would
-// pile up with the request rate and the deadlines.
+// timers holds the pending callbacks. The loop's goroutine owns it. A timer that is no longer needed is
+// removed at once: most requests end long before their deadline, and the number of timers left to expire
+// would grow with the request rate and the deadlines.
 type timers struct {
 	pending  timerHeap
-	sequence uint64 // of the timer set last
+	sequence uint64 // sequence number of the last timer set
 }
 
-// timer is one callback. Of two timers due at once the one that was set first is called first.
+// timer is one callback. Of two timers due at the same time, the one set first is called first.
 type timer struct {
 	dueAt    time.Duration
 	sequence uint64
 	callback func()
-	index    int // in the heap; notPending: not in it
+	index    int // in the heap; notPending if not in it
 }
 
 const notPending = -1
@@ -59,7 +59,7 @@
 	return added
 }
 
-// cancel removes a timer. It does nothing for nil and for a timer that is not pending any more.
+// cancel removes a timer. It does nothing if the timer is nil or no longer pending.
 func (t *timers) cancel(cancelled *timer) {
 	if cancelled != nil && cancelled.index != notPending {
 		heap.Remove(&t.pending, cancelled.index)
@@ -74,7 +74,7 @@
 	return t.pending[0].dueAt, true
 }
 
-// runDue calls all timers that are due, those included that these calls set.
+// runDue calls all timers that are due, including those that the callbacks set.
 func (t *timers) runDue(now time.Duration) {
 	for len(t.pending) > 0 && t.pending[0].dueAt <= now {
 		heap.Pop(&t.pending).(*timer).callback()
--- a/internal/daemon/upstream_connection.go
+++ b/internal/daemon/upstream_connection.go
@@ -9,7 +9,7 @@
 	"landingpaddle/scheduler"
 )
 
-// Protocol violations by the other end of a connection.
+// Protocol violations by a peer.
 var (
 	errUnexpectedFrame  = errors.New("unexpected frame")
 	errUnexpectedAnswer = errors.New("unexpected answer")
@@ -33,12 +33,12 @@
 	id         uint64
 }
 
-// process is the node's process at the other end.
+// process returns the incarnation of the node that completed the handshake.
 func (c *upstreamConnection) process() nodeProcess {
 	return nodeProcess{c.server, c.conn.PeerHello().StartedAt}
 }
 
-// open takes the next stream for an operation; false if the connection takes none any more.
+// open assigns the next stream to an operation; false if the connection accepts no more.
 func (c *upstreamConnection) open(operation *Operation) (stream uint64, opened bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +59,7 @@
 	return c.operations[stream]
 }
 
-// remove takes an operation out of those in flight; nil if it is not there any more.
+// remove removes the operation in flight on a stream and returns it; nil if there is none.
 func (c *upstreamConnection) remove(stream uint64) *Operation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,8 +68,8 @@
 	return operation
 }
 
-// write sends an operation's request. An operation that cannot be queued ends as ConnectFailed, as it has
-// surely not run.
+// write queues an operation's request on a connection. If that fails, the operation ends as ConnectFailed, as
+// it cannot have run.
 func (p *upstreamPool) write(connection *upstreamConnection, operation *Operation) {
 	unsent := operationResult{operation: operation, code: scheduler.ConnectFailed}
 	stream, opened := connection.open(operation)
@@ -84,35 +84,35 @@
 		return
 	}
 	p.instance.log.Warn("request not sent", keyNode, serverAddress(operation.server), keyError, err)
-	connection.conn.CloseStream(stream) // no answer will come that would close it
+	connection.conn.CloseStream(stream) // no answer will arrive that would close it
 	if connection.remove(stream) != nil {
 		p.instance.inbox.put(unsent)
 	}
 }
 
-// Cancel tells the node that an answer is no longer wanted. The stream stays in flight until the node ends
-// it, so that a node that answers nothing does not get more than was agreed.
+// Cancel notifies the node that the answer is no longer needed. The stream counts as in flight until the node
+// ends it, so that a node that does not answer receives no more requests than the agreed limit.
 func (p *upstreamPool) Cancel(operation *Operation) {
 	stream, ok := operation.DriverState.(upstreamStream)
 	if !ok || stream.connection.remove(stream.id) == nil {
 		return
 	}
-	// The error is that of a closed connection, which reports itself.
+	// An error means that the connection is closed, which its goroutine reports.
 	_ = stream.connection.conn.Send(proto.TypeCancel, stream.id, nil, nil)
 }
 
-// CancelMember tells the node that one of an operation's members no longer waits.
-func (p *upstreamPool) CancelMember(operation *Operation, place int) {
+// CancelMember notifies the node that one of an operation's members no longer waits.
+func (p *upstreamPool) CancelMember(operation *Operation, index int) {
 	stream, ok := operation.DriverState.(upstreamStream)
 	if !ok {
 		return
 	}
-	cancel := proto.Cancel{Members: []uint16{uint16(place)}}
-	// The error is that of a closed connection, which reports itself.
+	cancel := proto.Cancel{Members: []uint16{uint16(index)}}
+	// An error means that the connection is closed, which its goroutine reports.
 	_ = stream.connection.conn.Send(proto.TypeCancel, stream.id, cancel, nil)
 }
 
-// handleFrame takes a frame of a node in, on the connection's own goroutine. An error ends the connection.
+// handleFrame handles a frame from a node, on the connection's goroutine. An error ends the connection.
 func (p *upstreamPool) handleFrame(connection *upstreamConnection, frame proto.Frame) error {
 	switch frame.Type {
 	case proto.TypeAnswer:
@@ -167,7 +167,7 @@
 	p.instance.inbox.put(connectionClosed{p, connection})
 }
 
-// resultCode is a node's code as the scheduler's. Both use the same numbers.
+// resultCode converts a node's code to the scheduler's. The numbers are the same.
 func resultCode(code proto.Code) (scheduler.ResultCode, error) {
 	switch code {
 	case proto.OK, proto.Error, proto.Overloaded, proto.Cancelled, proto.NotApplicable:
--- a/internal/daemon/upstream_health.go
+++ b/internal/daemon/upstream_health.go
@@ -10,8 +10,8 @@
 // healthCheckStream is the one stream of a health check's connection.
 const healthCheckStream = 1
 
-// CheckHealth asks a node whether it serves, on a connection and a goroutine of their own. The result goes
-// to the loop, unless the pool ends before.
+// CheckHealth sends a health check to a node, on a separate connection and goroutine. The loop receives the
+// result, unless the pool's context ends first.
 func (p *upstreamPool) CheckHealth(server scheduler.Server) {
 	startedAt := p.instance.Now()
 	p.group.Go(func() error {
@@ -28,7 +28,7 @@
 	})
 }
 
-// exchangeHealthCheck connects to a node and waits for its answer and load report.
+// exchangeHealthCheck connects to a node and returns the result and the load report of its answer.
 func (p *upstreamPool) exchangeHealthCheck(server scheduler.Server) (scheduler.ResultCode, []float64) {
 	ctx, cancel := context.WithTimeout(p.ctx, p.instance.cfg.Site.Limits.ConnectTimeout)
 	defer cancel()
@@ -37,7 +37,7 @@
 		return scheduler.ConnectFailed, nil
 	}
 	code, load := scheduler.TimedOut, []float64(nil)
-	// Errors of the connection show in the result: no answer came.
+	// After an error of the connection the result is TimedOut, as no answer arrived.
 	_ = conn.OpenStream(healthCheckStream)
 	_ = conn.Send(proto.TypeHealthCheck, healthCheckStream, nil, nil)
 	_ = conn.Run(ctx, func(frame proto.Frame) error {
--- a/internal/daemon/upstream_pool.go
+++ b/internal/daemon/upstream_pool.go
@@ -25,8 +25,8 @@
 type upstreamNode struct {
 	server      scheduler.Server
 	connections []*upstreamConnection
-	dialing     int          // connections being made
-	waiting     []*Operation // for one of these
+	dialing     int          // connections being established
+	waiting     []*Operation // for a connection being established
 }
 
 func newUpstreamPool(ctx context.Context, group *errgroup.Group, instance *Instance) *upstreamPool {
@@ -47,10 +47,10 @@
 	}
 }
 
-// serverAddress is the address of a node as text.
+// serverAddress returns the address of a node as text.
 func serverAddress(server scheduler.Server) string { return registry.AddrPortOf(server).String() }
 
-// node returns what the pool holds of a node, and begins to hold it.
+// node returns the pool's entry for a node, and creates it if there is none.
 func (p *upstreamPool) node(server scheduler.Server) *upstreamNode {
 	node := p.nodes[server]
 	if node == nil {
@@ -60,8 +60,9 @@
 	return node
 }
 
-// Send writes an operation to the connection with the fewest requests in flight, or lets it wait for one
-// that is being made. Where all connections that may be made are full, the operation ends as ConnectFailed.
+// Send writes an operation to the connection with the fewest requests in flight, or queues it for one being
+// established. If all connections that the limit allows are at their stream limit, the operation ends as
+// ConnectFailed.
 func (p *upstreamPool) Send(operation *Operation) {
 	node := p.node(operation.server)
 	if connection := node.leastLoaded(); connection != nil {
@@ -79,7 +80,7 @@
 	node.waiting = append(node.waiting, operation)
 }
 
-// leastLoaded returns the connection with the fewest requests in flight; nil if all are full.
+// leastLoaded returns the connection with the fewest requests in flight; nil if all are at their limit.
 func (n *upstreamNode) leastLoaded() *upstreamConnection {
 	var best *upstreamConnection
 	for _, connection := range n.connections {
@@ -91,7 +92,7 @@
 	return best
 }
 
-// dial makes a connection and reads from it, on a goroutine of the group that ends with the connection.
+// dial establishes a connection and reads from it, on a goroutine of the group that ends with the connection.
 func (p *upstreamPool) dial(node *upstreamNode) {
 	node.dialing++
 	server := node.server
@@ -112,14 +113,14 @@
 	})
 }
 
-// dialFailed says that a connection could not be made.
+// dialFailed reports that a connection could not be established.
 type dialFailed struct {
 	pool   *upstreamPool
 	server scheduler.Server
 	err    error
 }
 
-// apply fails what waited for a connection, unless another is still being made.
+// apply fails the operations that wait for a connection, unless another is being established.
 func (m dialFailed) apply(l *loop) {
 	node := m.pool.node(m.server)
 	node.dialing--
@@ -134,13 +135,13 @@
 	m.pool.removeUnused(node)
 }
 
-// connectionEstablished is a new connection.
+// connectionEstablished reports a new connection.
 type connectionEstablished struct {
 	pool       *upstreamPool
 	connection *upstreamConnection
 }
 
-// apply sends the operations that waited for a connection, as far as they still make sense.
+// apply sends the operations that waited for a connection, except those that are no longer needed or valid.
 func (m connectionEstablished) apply(l *loop) {
 	node := m.pool.node(m.connection.server)
 	node.dialing--
@@ -149,7 +150,7 @@
 	node.waiting = nil
 	for _, operation := range waiting {
 		for _, sendable := range l.sendable(operation) {
-			// A node that drains or was restarted while the connection came up is not what was decided on.
+			// The scheduler's decision is void if the node began to drain or restarted during the dial.
 			if code := l.shared.CheckPreconditions(sendable); code != scheduler.OK {
 				l.operationEnded(operationResult{operation: sendable, code: code})
 				continue
@@ -159,7 +160,7 @@
 	}
 }
 
-// connectionClosed says that a connection has ended.
+// connectionClosed reports that a connection has ended.
 type connectionClosed struct {
 	pool       *upstreamPool
 	connection *upstreamConnection
@@ -173,7 +174,7 @@
 	m.pool.removeUnused(node)
 }
 
-// removeUnused forgets a node without connections, dials and waiting operations.
+// removeUnused removes the entry of a node without connections, dials and waiting operations.
 func (p *upstreamPool) removeUnused(node *upstreamNode) {
 	if len(node.connections) == 0 && node.dialing == 0 && len(node.waiting) == 0 {
 		delete(p.nodes, node.server)
--- a/internal/daemon/upstream_request.go
+++ b/internal/daemon/upstream_request.go
@@ -6,15 +6,15 @@
 	"landingpaddle/internal/proto"
 )
 
-// upstreamRequest is an operation as its node gets it.
+// upstreamRequest is an operation as sent to its node.
 type upstreamRequest struct {
 	header  proto.Request
 	payload []byte // of a write
 	copied  int    // bytes of the payload that were copied to merge writes
 }
 
-// encode makes the request of an operation. The node is told the time left of the most urgent member; each
-// member is ended on this side at its own deadline.
+// encode builds the request of an operation. Its time-out is the time left of the most urgent member; the
+// loop ends each member at its own deadline.
 func (o *Operation) encode(now time.Duration) upstreamRequest {
 	leader := o.members[0]
 	header := clientRequestOf(leader).header
@@ -62,7 +62,7 @@
 	return request
 }
 
-// pieceData is the part of a write's payload that an attempt's piece covers; nil for a read.
+// pieceData returns the part of a write's payload that an attempt's piece covers; nil for a read.
 func (a *attempt) pieceData() []byte {
 	client, piece := clientRequestOf(a), a.request.piece.Range
 	if client.payload == nil {
