--- a/internal/daemon/deciders_test.go
+++ b/internal/daemon/deciders_test.go
@@ -7,8 +7,8 @@
 	"landingpaddle/scheduler"
 )
 
-// immediateDecider sends every request at once to the node of its cell, and rejects it when that fails. It
-// counts the attempts that end with one result code.
+// immediateDecider sends each request immediately to the node of its cell and rejects it if the attempt
+// fails. It counts the attempts that end with code.
 type immediateDecider struct {
 	nodes   map[uint16]scheduler.Server
 	actions []scheduler.Action
@@ -16,10 +16,10 @@
 	code    scheduler.ResultCode
 }
 
-// countResults is a hook that counts the attempts that end with a code.
-func countResults(n *atomic.Int64, code scheduler.ResultCode) func(scheduler.Settings, Decider) Decider {
+// countResults returns a Hooks.Decider that counts the attempts that end with code.
+func countResults(count *atomic.Int64, code scheduler.ResultCode) func(scheduler.Settings, Decider) Decider {
 	return func(scheduler.Settings, Decider) Decider {
-		return &immediateDecider{nodes: map[uint16]scheduler.Server{}, count: n, code: code}
+		return &immediateDecider{nodes: map[uint16]scheduler.Server{}, count: count, code: code}
 	}
 }
 
@@ -47,14 +47,14 @@
 	return actions
 }
 
-// silentDecider decides nothing.
+// silentDecider ignores all events and never returns an action.
 type silentDecider struct{}
 
 func (silentDecider) Handle(time.Duration, scheduler.Event) {}
 
 func (silentDecider) Decide(time.Duration) []scheduler.Action { return nil }
 
-// peerCountingDecider counts the messages of other instances.
+// peerCountingDecider counts the messages from other instances and passes all events on.
 type peerCountingDecider struct {
 	Decider
 	count *atomic.Int64
@@ -67,10 +67,11 @@
 	p.Decider.Handle(now, event)
 }
 
-// scriptedDecider answers a request with one action of each kind, and cancels its attempt.
+// scriptedDecider returns one action each of several kinds for a request, cancels its attempt when the timer
+// fires, and fails the request when the attempt ends.
 type scriptedDecider struct {
 	server  scheduler.Server
-	events  chan scheduler.Event
+	events  chan scheduler.Event // all events, as far as the buffer has room
 	actions []scheduler.Action
 }
 
--- a/internal/daemon/environment_test.go
+++ b/internal/daemon/environment_test.go
@@ -19,7 +19,7 @@
 	"landingpaddle/scheduler"
 )
 
-// testSite has a class of reads and one of writes that are idempotent and ordered by key.
+// testSite returns a site with a class of reads and a class of writes that are idempotent and ordered by key.
 func testSite() config.Site {
 	site := config.DefaultSite()
 	site.Classes = []config.Class{
@@ -40,15 +40,15 @@
 	return site
 }
 
-// frameHandler is what a fake node does at each frame of each connection; the request is that of a request
-// frame.
+// frameHandler handles a frame received by a fake node. The request is decoded from a request frame and zero
+// for other frames. An error ends the connection.
 type frameHandler func(conn *proto.Conn, frame proto.Frame, request proto.Request) error
 
-// fakeNode is a node whose behaviour each test writes itself.
+// fakeNode is a node whose frame handler is supplied by the test.
 type fakeNode struct {
 	listener     net.Listener
-	requestCount atomic.Int64
-	connections  chan *proto.Conn
+	requestCount atomic.Int64     // request frames received
+	connections  chan *proto.Conn // accepted ones, as far as the buffer has room
 }
 
 // testEnvironment is an instance with a registry and fake nodes.
@@ -61,10 +61,10 @@
 	registryAddr string
 	logs         *syncBuffer
 	instance     *Instance
-	ended        chan error
+	ended        chan error // receives the result of Instance.Run
 }
 
-// syncBuffer is a buffer that several goroutines may use.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -103,7 +103,7 @@
 	return ln
 }
 
-// node runs a fake node and lists it under a cell.
+// node starts a fake node and registers it for a cell.
 func (e *testEnvironment) node(cell uint16, serve frameHandler) *fakeNode {
 	return e.nodeWithConfig(proto.Config{}, cell, serve)
 }
@@ -116,7 +116,7 @@
 	return node
 }
 
-// serve lets a fake node take connections.
+// serve accepts connections to a fake node in the background.
 func (e *testEnvironment) serve(node *fakeNode, cfg proto.Config,
 	serve frameHandler) {
 	e.goroutines.Go(func() {
@@ -144,7 +144,7 @@
 	return endpoints.Endpoint{Server: server, Status: status, Cell: cell, NominalCapacity: 1}
 }
 
-// echo answers each request at once.
+// echo answers each request immediately.
 func echo(conn *proto.Conn, frame proto.Frame, _ proto.Request) error {
 	if frame.Type != proto.TypeRequest {
 		return nil
@@ -153,10 +153,10 @@
 	return conn.Send(proto.TypeAnswer, frame.Stream, proto.Answer{Code: proto.OK}, []byte("data"))
 }
 
-// ignoreRequest answers nothing.
+// ignoreRequest accepts every frame and never answers.
 func ignoreRequest(*proto.Conn, proto.Frame, proto.Request) error { return nil }
 
-// start runs the instance.
+// start starts an instance in the background. change modifies its default configuration; it may be nil.
 func (e *testEnvironment) start(change func(*Config)) *Instance {
 	e.t.Helper()
 	cfg := Config{
@@ -180,7 +180,7 @@
 	return instance
 }
 
-// awaitLog waits until the instance has logged a text.
+// awaitLog waits up to 5 s until the log contains a text.
 func (e *testEnvironment) awaitLog(text string) {
 	e.t.Helper()
 	for range 500 {
@@ -189,7 +189,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	e.t.Fatalf("never logged: %s\n%s", text, e.logs.String())
+	e.t.Fatalf("not logged within 5s: %s\nlog:\n%s", text, e.logs.String())
 }
 
 // client connects a client to the instance.
@@ -232,11 +232,11 @@
 	return client
 }
 
-// echoAfter answers each request after a while.
-func echoAfter(d time.Duration) frameHandler {
+// echoAfter answers each request after a delay.
+func echoAfter(delay time.Duration) frameHandler {
 	return func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
 		if frame.Type == proto.TypeRequest {
-			time.AfterFunc(d, func() { _ = echo(conn, frame, request) })
+			time.AfterFunc(delay, func() { _ = echo(conn, frame, request) })
 		}
 		return nil
 	}
--- a/internal/daemon/ranged_environment_test.go
+++ b/internal/daemon/ranged_environment_test.go
@@ -12,21 +12,24 @@
 	"landingpaddle/scheduler"
 )
 
-// fakeDisk is a fake node that holds bytes and records every operation in order of arrival.
+// fakeDisk is a fake node that stores bytes and records every operation in order of arrival.
 type fakeDisk struct {
 	*fakeNode
 	mu         sync.Mutex
 	bytes      map[uint64][]byte // by volume
 	operations []proto.Request
-	cancelled  [][]uint16 // members, by cancel frame
-	// intercept sees an operation before the disk carries it out, and reports whether it has handled it.
-	// It may be nil.
+	cancelled  [][]uint16 // members of each cancel frame
+	// intercept is called before the disk executes its nth operation, and reports whether it has handled the
+	// operation itself. It may be nil.
 	intercept func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool
 }
 
 const fakeDiskSize = 1 << 16
 
-func contentByte(volume uint64, at int) byte { return byte(uint64(at)*31 + uint64(at>>8)*7 + volume) }
+// contentByte returns the initial byte of a volume at an offset.
+func contentByte(volume uint64, offset int) byte {
+	return byte(uint64(offset)*31 + uint64(offset>>8)*7 + volume)
+}
 
 func (d *fakeDisk) volume(volume uint64) []byte {
 	if d.bytes[volume] == nil {
@@ -40,14 +43,14 @@
 
 func (d *fakeDisk) serve(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
 	if frame.Type == proto.TypeCancel {
-		var call proto.Cancel
+		var cancel proto.Cancel
 		if len(frame.Header) > 0 {
-			if err := frame.Decode(&call); err != nil {
+			if err := frame.Decode(&cancel); err != nil {
 				return err
 			}
 		}
 		d.mu.Lock()
-		d.cancelled = append(d.cancelled, call.Members)
+		d.cancelled = append(d.cancelled, cancel.Members)
 		d.mu.Unlock()
 	}
 	if frame.Type != proto.TypeRequest {
@@ -63,35 +66,35 @@
 	return d.carryOut(conn, frame, request, nil)
 }
 
-// carryOut carries an operation out and answers it.
+// carryOut executes an operation and answers it, with the ranges that could not be read.
 func (d *fakeDisk) carryOut(conn *proto.Conn, frame proto.Frame, request proto.Request,
 	unreadable []proto.UnreadableRange) error {
 	answer := proto.Answer{Code: proto.OK, Unreadable: unreadable}
 	d.mu.Lock()
 	var data []byte
 	if request.Ranged {
-		at := d.volume(request.DataVolume())[request.Offset : request.Offset+uint64(request.Length)]
+		stored := d.volume(request.DataVolume())[request.Offset : request.Offset+uint64(request.Length)]
 		if request.Write {
-			copy(at, frame.Payload)
+			copy(stored, frame.Payload)
 		} else {
-			data = slices.Clone(at)
+			data = slices.Clone(stored)
 		}
 	}
 	d.mu.Unlock()
 	conn.CloseStream(frame.Stream)
-	// The error is that of a connection that the test itself has closed.
+	// An error means that the test itself has closed the connection.
 	_ = conn.Send(proto.TypeAnswer, frame.Stream, answer, data)
 	return nil
 }
 
-// sendAnswer answers a request without data; it returns true as intercept does.
+// sendAnswer answers a request without data. It returns true, as an intercept that has handled the request.
 func sendAnswer(conn *proto.Conn, frame proto.Frame, answer proto.Answer) bool {
 	conn.CloseStream(frame.Stream)
 	_ = conn.Send(proto.TypeAnswer, frame.Stream, answer, nil)
 	return true
 }
 
-// ranged returns the ranged operations that have arrived.
+// ranged returns the ranged operations received so far.
 func (d *fakeDisk) ranged() (out []proto.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,8 +106,8 @@
 	return out
 }
 
-// rangedEnvironment is a test environment with 16 KiB extents over two cells and a client. The loop gathers
-// batches of a fifth of a second, so that what a test asks at once waits at once.
+// rangedEnvironment is a test environment with 16 KiB extents over two cells and a client. The batch interval
+// is 200 ms, so that requests sent together are queued in the same batch.
 type rangedEnvironment struct {
 	*testEnvironment
 	defaultClient *testClient
@@ -148,21 +151,21 @@
 	return env
 }
 
-// warm makes the connections and leaves the loop at the start of a batch interval.
+// warm establishes the connections to both nodes and leaves the loop at the start of a batch interval.
 func (e *rangedEnvironment) warm() {
 	e.t.Helper()
 	for cell := range int32(2) {
 		if answer := e.defaultClient.call(func(q *proto.Request) { q.Cell = cell }); answer.Code != proto.OK {
-			e.t.Fatalf("warming: %+v", answer)
+			e.t.Fatalf("first request to a node: got %+v; want OK", answer)
 		}
 	}
 }
 
-// volumeAt is a volume whose first extent lies in a cell, the nth of them.
+// volumeAt returns the nth volume, from 0, whose first extent is located in a cell.
 func (e *rangedEnvironment) volumeAt(cell, nth int) uint64 {
-	set := e.instance.cfg.Site.Extents.Planner()
+	settings := e.instance.cfg.Site.Extents.Planner()
 	for volume := uint64(100); ; volume++ {
-		if set.Cell(volume, 0) == cell {
+		if settings.Cell(volume, 0) == cell {
 			if nth--; nth < 0 {
 				return volume
 			}
@@ -170,7 +173,7 @@
 	}
 }
 
-// read asks for bytes of a volume.
+// read sends a read of a range of a volume and returns its stream. change may be nil.
 func (e *rangedEnvironment) read(volume, offset uint64, length uint32, change func(*proto.Request)) uint64 {
 	return e.defaultClient.sendRequest(func(q *proto.Request) {
 		q.Volume, q.Ranged, q.Offset, q.Length = volume, true, offset, length
@@ -180,7 +183,7 @@
 	})
 }
 
-// write sends bytes of one value.
+// write sends a write of length bytes of value b to a volume and returns its stream. change may be nil.
 func (e *rangedEnvironment) write(volume, offset uint64, length int, b byte,
 	change func(*proto.Request)) uint64 {
 	return e.defaultClient.sendPayload(bytes.Repeat([]byte{b}, length), func(q *proto.Request) {
@@ -192,22 +195,22 @@
 	})
 }
 
-// expectRead checks that a read was served with the bytes that its volume holds there.
+// expectRead checks that a read is served with the initial bytes of its range of the volume.
 func (e *rangedEnvironment) expectRead(stream, volume, offset uint64, length int) {
 	e.t.Helper()
 	if answer := e.defaultClient.awaitAnswer(stream); answer.Code != proto.OK {
-		e.t.Errorf("read %d: %+v", stream, answer)
+		e.t.Errorf("read %d: got %+v; want OK", stream, answer)
 		return
 	}
 	e.defaultClient.mu.Lock()
 	defer e.defaultClient.mu.Unlock()
 	body := e.defaultClient.payloads[stream]
 	if len(body) != length {
-		e.t.Errorf("read %d: %d bytes of %d", stream, len(body), length)
+		e.t.Errorf("read %d: got %d bytes; want %d", stream, len(body), length)
 	}
 	for i, b := range body {
 		if b != contentByte(volume, int(offset)+i) {
-			e.t.Errorf("read %d: byte %d is wrong", stream, i)
+			e.t.Errorf("read %d: byte %d differs from the volume's initial content", stream, i)
 			return
 		}
 	}
--- a/internal/daemon/stub_drivers_test.go
+++ b/internal/daemon/stub_drivers_test.go
@@ -5,7 +5,8 @@
 	"landingpaddle/scheduler"
 )
 
-// stubDrivers are drivers and a responder that record what they are asked for and do nothing.
+// stubDrivers implements the drivers and Responder. It records operations, cancellations and answers, and
+// does nothing else.
 type stubDrivers struct {
 	sent      []*Operation
 	cancelled int
--- a/internal/daemon/test_client_test.go
+++ b/internal/daemon/test_client_test.go
@@ -14,18 +14,18 @@
 	t          *testing.T
 	conn       *proto.Conn
 	mu         sync.Mutex
-	answers    map[uint64][]proto.Answer
-	payloads   map[uint64][]byte
-	ended      chan struct{}
+	answers    map[uint64][]proto.Answer // by stream
+	payloads   map[uint64][]byte         // of the last answer, by stream
+	ended      chan struct{}             // closed when the connection has ended
 	lastStream uint64
 }
 
-// sendRequest sends a request without payload and returns its stream.
+// sendRequest sends a request without payload, as modified by change, and returns its stream.
 func (c *testClient) sendRequest(change func(*proto.Request)) uint64 {
 	return c.sendPayload(nil, change)
 }
 
-// sendPayload sends a request with a payload and returns its stream.
+// sendPayload sends a request with a payload and returns its stream. change may be nil.
 func (c *testClient) sendPayload(payload []byte, change func(*proto.Request)) uint64 {
 	c.t.Helper()
 	c.lastStream++
@@ -49,7 +49,7 @@
 	return c.lastStream
 }
 
-// awaitAnswer returns the answer to a request once there is one.
+// awaitAnswer waits up to 10 s for the answer to a request and returns it.
 func (c *testClient) awaitAnswer(stream uint64) proto.Answer {
 	c.t.Helper()
 	for range 1000 {
@@ -58,7 +58,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	c.t.Fatalf("request %d: no answer", stream)
+	c.t.Fatalf("request %d: got no answer within 10s; want one", stream)
 	return proto.Answer{}
 }
 
@@ -69,14 +69,14 @@
 	return c.answers[stream]
 }
 
-// expectOneAnswerEach checks that all requests have exactly one final answer.
+// expectOneAnswerEach checks that each request has exactly one final answer.
 func (c *testClient) expectOneAnswerEach() {
 	c.t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for stream := uint64(1); stream <= c.lastStream; stream++ {
 		if n := len(c.answers[stream]); n != 1 {
-			c.t.Errorf("request %d has %d final answers", stream, n)
+			c.t.Errorf("request %d: got %d final answers; want 1", stream, n)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	return c.awaitAnswer(c.sendRequest(change))
 }
 
-// withKey is a change of a request that sets its key.
+// withKey returns a change that sets the key of a request.
 func withKey(key uint64) func(*proto.Request) {
 	return func(q *proto.Request) { q.Key = key }
 }
