--- a/internal/daemon/actions_test.go
+++ b/internal/daemon/actions_test.go
@@ -12,18 +12,18 @@
 	"landingpaddle/scheduler"
 )
 
-// observedEvents counts the events by which the loop tells a decider that its actions were carried out.
+// observedEvents counts the events by which the loop reports the results of a decider's actions.
 type observedEvents struct {
 	events       <-chan scheduler.Event
-	lists        int // endpoint updates of the registry
-	healthChecks int // answered by the node with nodeLoad
+	lists        int // endpoint updates from the registry
+	healthChecks int // successful, with the load report nodeLoad
 	cancelled    int // attempts
 }
 
-// nodeLoad is the load report of the node's answers to health checks.
+// nodeLoad is the load report in the node's answers to health checks.
 var nodeLoad = []float64{7}
 
-// awaitUntil takes events in until done reports true.
+// awaitUntil counts events until done returns true. It fails the test after 5 s without an event.
 func (o *observedEvents) awaitUntil(t *testing.T, done func() bool) {
 	t.Helper()
 	for !done() {
@@ -31,7 +31,8 @@
 		case event := <-o.events:
 			o.observe(event)
 		case <-time.After(5 * time.Second):
-			t.Fatalf("only %d lists, %d health checks, %d cancelled", o.lists, o.healthChecks, o.cancelled)
+			t.Fatalf("no event for 5s; got only %d endpoint updates, %d health checks, %d cancelled",
+				o.lists, o.healthChecks, o.cancelled)
 		}
 	}
 }
@@ -53,7 +54,7 @@
 	}
 }
 
-// cancellableNode starts a node that answers health checks and cancel frames only. The latter are counted.
+// cancellableNode starts a node that answers only health checks and cancel frames, and counts the latter.
 func cancellableNode(env *testEnvironment) (server scheduler.Server, cancels *atomic.Int64) {
 	cancels = &atomic.Int64{}
 	node := env.node(0, func(conn *proto.Conn, frame proto.Frame, _ proto.Request) error {
@@ -72,8 +73,8 @@
 	return server, cancels
 }
 
-// CheckHealth, CloseIdle, WriteLog, FetchEndpoints, SetTimer and Cancel are carried out.
-func TestEventLoop_CarriesOutEveryAction(t *testing.T) {
+// The loop executes CheckHealth, CloseIdle, WriteLog, FetchEndpoints, SetTimer and Cancel.
+func TestEventLoop_ExecutesScriptedActions(t *testing.T) {
 	env := newTestEnvironment(t)
 	server, cancels := cancellableNode(env)
 	decider := &scriptedDecider{server: server, events: make(chan scheduler.Event, 64)}
@@ -81,20 +82,20 @@
 		cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return decider }
 	})
 	observed := observedEvents{events: decider.events}
-	// A node that no list names is not sent to.
+	// An attempt to a node that is not on the endpoint list fails its preconditions.
 	observed.awaitUntil(t, func() bool { return observed.lists >= 1 })
 	client := env.client()
 	id := client.sendRequest(nil)
 	observed.awaitUntil(t, func() bool {
-		isListFetched := observed.lists >= 2 // the first was pushed
+		isListFetched := observed.lists >= 2 // the first one was pushed by the registry
 		return observed.healthChecks >= 1 && observed.cancelled >= 1 && isListFetched
 	})
 	env.awaitLog("hello operators")
 	answer := client.awaitAnswer(id)
 	for by := time.Now().Add(5 * time.Second); cancels.Load() == 0 && time.Now().Before(by); {
-		time.Sleep(time.Millisecond) // the cancel frame may still be on its way to the node
+		time.Sleep(time.Millisecond) // the cancel frame may still be in transit
 	}
 	if answer.Reason != ReasonCancelled || cancels.Load() != 1 {
-		t.Errorf("got %+v; the node was cancelled %d times", answer, cancels.Load())
+		t.Errorf("got answer %+v and %d cancel frames; want reason cancelled and 1", answer, cancels.Load())
 	}
 }
--- a/internal/daemon/endpoint_list_test.go
+++ b/internal/daemon/endpoint_list_test.go
@@ -9,8 +9,8 @@
 	"landingpaddle/internal/proto"
 )
 
-// A node announces on its connection that it drains while requests are in flight. Nothing new reaches it
-// after the grace, though the list still has it as ready.
+// A node sends a drain notice on its connection while requests are in flight. From 100 ms after the notice
+// was processed it receives no more requests, although the endpoint list still has it as ready.
 func TestEventLoop_SendsNothingAfterDrainNotice(t *testing.T) {
 	env := newTestEnvironment(t)
 	node := env.node(0, echo)
@@ -37,7 +37,7 @@
 	stop.Store(true)
 	wg.Wait()
 	if after := node.requestCount.Load(); after != before {
-		t.Errorf("%d requests reached the node after its notice", after-before)
+		t.Errorf("got %d requests at the node after its drain notice; want 0", after-before)
 	}
 	for stream := uint64(1); stream <= client.lastStream; stream++ {
 		client.awaitAnswer(stream)
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -9,7 +9,7 @@
 	"landingpaddle/scheduler"
 )
 
-// A graceful shutdown answers all open calls, rejects new ones, and ends.
+// A graceful shutdown answers all open calls and rejects new ones; then Run returns nil.
 func TestInstance_AnswersOpenCallsBeforeStopping(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
@@ -33,26 +33,26 @@
 	instance.Stop()
 	env.awaitLog("instance stopping")
 	if answer := client.call(nil); answer.Reason != ReasonStopping || answer.RetryAfter <= 0 {
-		t.Errorf("a new request got %+v", answer)
+		t.Errorf("got %+v for a new request; want reason stopping and a RetryAfter", answer)
 	}
 	select {
 	case err := <-env.ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("got error %v from Run; want nil", err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("does not end")
+		t.Fatal("Run did not return within 5s")
 	}
 	for stream := uint64(1); stream <= 5; stream++ {
 		if answer := client.awaitAnswer(stream); answer.Code != proto.OK {
-			t.Errorf("open request %d got %+v", stream, answer)
+			t.Errorf("open request %d: got %+v; want OK", stream, answer)
 		}
 	}
 	<-client.ended
 	client.expectOneAnswerEach()
 }
 
-// A kill ends at once: connections close, open calls get no answer, no goroutine stays.
+// A kill takes effect immediately: connections close, open calls get no answer, no goroutine is left.
 func TestInstance_KillEndsAtOnce(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, ignoreRequest)
@@ -68,22 +68,22 @@
 	<-env.ended
 	<-client.ended
 	if took := time.Since(start); took > 2*time.Second || len(client.answersTo(1)) != 0 {
-		t.Errorf("ended after %v with %v", took, client.answersTo(1))
+		t.Errorf("got end after %v with answers %v; want at most 2s and none", took, client.answersTo(1))
 	}
 }
 
-// A call that was admitted before the stop and is submitted only when the shutdown timeout is over is
-// answered all the same, in either order of the two.
+// A call that was admitted before Stop is answered even if it is submitted only at the end of the shutdown
+// timeout, before or after the loop starts to fail the open calls.
 func TestEventLoop_AnswersCallsSubmittedAfterShutdownTimeout(t *testing.T) {
-	for _, first := range []bool{true, false} {
+	for _, submittedFirst := range []bool{true, false} {
 		drivers := &stubDrivers{}
 		eventLoop := NewEventLoop(EventLoopConfig{Settings: scheduler.Settings{Instances: 1,
 			Classes: []scheduler.Class{{LatencyObjective: time.Second, Deadline: time.Second}},
 			Plans:   []scheduler.Plan{{Weight: 1}}}})
 		l := newLoop(eventLoop, Drivers{Upstream: drivers, Endpoints: drivers})
 		l.now = eventLoop.Now()
-		if why := eventLoop.Admit(1); why != "" {
-			t.Fatal(why)
+		if reason := eventLoop.Admit(1); reason != "" {
+			t.Fatal(reason)
 		}
 		eventLoop.Stop()
 		call := &Call{
@@ -93,7 +93,7 @@
 			Request:    scheduler.Request{Units: 1, VolumeInstances: 1},
 		}
 		var wg sync.WaitGroup
-		if first {
+		if submittedFirst {
 			eventLoop.Submit(call)
 		} else {
 			wg.Go(func() {
@@ -105,16 +105,16 @@
 		wg.Wait()
 		if len(drivers.answers) != 1 || drivers.answers[0].Reason != ReasonStopping ||
 			eventLoop.openCalls.Load() != 0 {
-			t.Errorf("taken first %v: answers %+v, %d open", first, drivers.answers,
-				eventLoop.openCalls.Load())
+			t.Errorf("submitted first %v: got answers %+v, %d open; want one with reason stopping, 0 open",
+				submittedFirst, drivers.answers, eventLoop.openCalls.Load())
 		}
-		if why := eventLoop.Admit(1); why != ReasonStopping {
-			t.Errorf("after the stop: %q", why)
+		if reason := eventLoop.Admit(1); reason != ReasonStopping {
+			t.Errorf("after Stop: got reason %q; want stopping", reason)
 		}
 	}
 }
 
-// A graceful shutdown with merged operations in flight and other calls waiting answers all of them.
+// A graceful shutdown answers all calls, those of merged operations in flight and those still queued.
 func TestInstance_AnswersMergedCallsBeforeStopping(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
