--- a/internal/daemon/merging_failures_test.go
+++ b/internal/daemon/merging_failures_test.go
@@ -8,16 +8,17 @@
 	"landingpaddle/internal/proto"
 )
 
-// A byte of a merged read cannot be served. Only those who need it see that.
+// A node cannot read one byte of a merged read. Only the member whose range contains the byte fails.
 func TestMerging_UnreadableByteFailsOnlyItsReaders(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
 	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
-		const broken = 4500
-		if !request.Ranged || broken < request.Offset || broken >= request.Offset+uint64(request.Length) {
+		const badOffset = 4500
+		if !request.Ranged || badOffset < request.Offset ||
+			badOffset >= request.Offset+uint64(request.Length) {
 			return false
 		}
-		unreadable := []proto.UnreadableRange{{Offset: broken - request.Offset, Length: 1}}
+		unreadable := []proto.UnreadableRange{{Offset: badOffset - request.Offset, Length: 1}}
 		_ = disk.carryOut(conn, frame, request, unreadable)
 		return true
 	}
@@ -32,25 +33,25 @@
 		}
 		answer := env.defaultClient.awaitAnswer(id)
 		if answer.Code == proto.OK || answer.Reason != ReasonNodeError {
-			t.Errorf("who needs the bad byte got %+v", answer)
+			t.Errorf("got %+v for the range with the unreadable byte; want node-error", answer)
 		}
 	}
 	ops := disk.ranged()
 	if len(ops[0].Members) != 4 {
-		t.Errorf("not merged: %+v", ops[0])
+		t.Errorf("got first operation %+v; want 4 members", ops[0])
 	}
 	for _, request := range ops[1:] {
 		if request.Offset != 4000 || len(request.Members) != 0 {
-			t.Errorf("repeated with others: %+v", request)
+			t.Errorf("got repeated operation %+v; want only offset 4000, not merged", request)
 		}
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// The connection breaks with a merged read in flight, or its answer is no frame. Each member is retried
-// alone and served.
+// The connection breaks during a merged read, or the node sends bytes that are not a frame. Each member is
+// retried alone and served.
 func TestMerging_RetriesMembersOfLostReadAlone(t *testing.T) {
-	for name, lose := range map[string]func(conn *proto.Conn){
+	for name, breakConnection := range map[string]func(conn *proto.Conn){
 		"reset":   func(conn *proto.Conn) { conn.Close(nil) },
 		"corrupt": func(conn *proto.Conn) { conn.SendRaw(bytes.Repeat([]byte("this is no frame "), 10)) },
 	} {
@@ -59,7 +60,7 @@
 			volume, disk := env.volumeAt(0, 0), env.disks[0]
 			disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 				if len(request.Members) > 0 {
-					lose(conn)
+					breakConnection(conn)
 				}
 				return len(request.Members) > 0
 			}
@@ -71,15 +72,16 @@
 				env.expectRead(id, volume, uint64(i)*1000, 1000)
 			}
 			if ops := disk.ranged(); len(ops) != 5 || len(ops[0].Members) != 4 {
-				t.Errorf("%d operations, the first of %d members", len(ops), len(ops[0].Members))
+				t.Errorf("got %d operations, the first with %d members; want 5 and 4",
+					len(ops), len(ops[0].Members))
 			}
 			env.defaultClient.expectOneAnswerEach()
 		})
 	}
 }
 
-// The node drains as a merged read reaches it and rejects it. Each member goes alone to the node that holds
-// the cell next, and the drained one gets nothing more.
+// A node sends a drain notice when a merged read arrives, and rejects the read. Each member is retried alone
+// on the next node of the cell, and the draining node receives no more operations.
 func TestMerging_RetriesMembersAloneAfterDrain(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
@@ -99,21 +101,23 @@
 	for i, id := range ids {
 		env.expectRead(id, volume, uint64(i)*1000, 1000)
 	}
-	if old, now := disk.ranged(), next.ranged(); len(old) != 1 || len(old[0].Members) != 4 || len(now) != 4 {
-		t.Errorf("%d operations at the drained node, %d at the next", len(old), len(now))
+	if first, retries := disk.ranged(), next.ranged(); len(first) != 1 || len(first[0].Members) != 4 ||
+		len(retries) != 4 {
+		t.Errorf("got %d operations at the draining node, %d at the next; want 1 with 4 members, and 4",
+			len(first), len(retries))
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// Members are cancelled while they wait, while in flight, and after their answer. Each ends alone, the
-// others are served, and the node is not cancelled while one of them waits.
+// Members of a merged read are cancelled while queued, while in flight, and after their answer. Each ends
+// alone, the others are served, and the operation is not cancelled while one of them waits.
 func TestMerging_ServesOthersWhenMembersAreCancelled(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
-	out := make(chan func(), 8)
+	pending := make(chan func(), 8)
 	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 		if request.Ranged {
-			out <- func() { _ = disk.carryOut(conn, frame, request, nil) }
+			pending <- func() { _ = disk.carryOut(conn, frame, request, nil) }
 		}
 		return request.Ranged
 	}
@@ -122,10 +126,10 @@
 	for i := range uint64(5) {
 		ids = append(ids, env.read(volume, i*1000, 1000, nil))
 	}
-	cancel(ids[4]) // not sent yet
-	serve := <-out
-	cancel(ids[1]) // out
-	cancel(ids[0]) // out, and the lead
+	cancel(ids[4]) // queued
+	serve := <-pending
+	cancel(ids[1]) // in flight
+	cancel(ids[0]) // in flight, the leader
 	for env.instance.Stats.ClientGone.Load() < 3 {
 		time.Sleep(time.Millisecond)
 	}
@@ -135,16 +139,17 @@
 	}
 	cancel(ids[2]) // answered
 	if answer := env.defaultClient.awaitAnswer(ids[0]); answer.Reason != ReasonClientGone {
-		t.Errorf("the lead that left got %+v", answer)
+		t.Errorf("got %+v for the cancelled leader; want reason client-gone", answer)
 	}
 	if ops := disk.ranged(); len(ops) != 1 || len(ops[0].Members) != 4 {
-		t.Errorf("%d operations, %d members", len(ops), len(ops[0].Members))
+		t.Errorf("got %d operations, the first with %d members; want 1 and 4", len(ops), len(ops[0].Members))
 	}
-	env.defaultClient.call(nil) // the cancel of what was answered is past
+	env.defaultClient.call(nil) // answered only after the cancel of the answered read was processed
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// A node answers a merged read with too few bytes and unreadable ranges beyond the operation.
+// A node answers a merged read with too few bytes and an unreadable range outside the operation. Each member
+// is retried and served.
 func TestMerging_RetriesAfterInvalidAnswer(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
--- a/internal/daemon/merging_test.go
+++ b/internal/daemon/merging_test.go
@@ -9,12 +9,14 @@
 	"landingpaddle/internal/proto"
 )
 
-// Eight overlapping reads at once are one operation, and each gets its own bytes, uncopied. With merging
-// disabled they are eight.
-func TestMerging_ReadsNeighboursInOneOperation(t *testing.T) {
-	for _, alone := range []bool{false, true} {
-		t.Run(fmt.Sprint("alone ", alone), func(t *testing.T) {
-			env := newRangedEnvironment(t, func(cfg *Config) { cfg.Site.Extents.MergingDisabled = alone })
+// Eight overlapping reads that are queued together become one operation, and each gets its own bytes without
+// a copy. With merging disabled they are eight operations.
+func TestMerging_SendsOverlappingReadsAsOneOperation(t *testing.T) {
+	for _, mergingDisabled := range []bool{false, true} {
+		t.Run(fmt.Sprint("merging disabled ", mergingDisabled), func(t *testing.T) {
+			env := newRangedEnvironment(t, func(cfg *Config) {
+				cfg.Site.Extents.MergingDisabled = mergingDisabled
+			})
 			volume := env.volumeAt(0, 0)
 			var ids []uint64
 			for i := range uint64(8) {
@@ -24,32 +26,34 @@
 				env.expectRead(id, volume, uint64(i)*2000, 2000+i%2*100)
 			}
 			ops, stats, want := env.disks[0].ranged(), &env.instance.Stats, 1
-			if alone {
+			if mergingDisabled {
 				want = 8
 			}
 			if len(ops) != want || stats.Operations.Load() != uint64(want) {
-				t.Errorf("%d operations, %d counted; want %d", len(ops), stats.Operations.Load(), want)
+				t.Errorf("got %d operations, %d counted; want %d", len(ops), stats.Operations.Load(), want)
 			}
-			if !alone && (len(ops[0].Members) != 8 || ops[0].Length != 16100 || stats.Saved.Load() != 7) {
-				t.Errorf("%d members, %d saved: %+v", len(ops[0].Members), stats.Saved.Load(), ops[0])
+			if !mergingDisabled &&
+				(len(ops[0].Members) != 8 || ops[0].Length != 16100 || stats.Saved.Load() != 7) {
+				t.Errorf("got %d members, %d saved: %+v; want 8, 7 and length 16100",
+					len(ops[0].Members), stats.Saved.Load(), ops[0])
 			}
 			if stats.Copied.Load() != 0 {
-				t.Errorf("%d bytes copied", stats.Copied.Load())
+				t.Errorf("got %d bytes copied; want 0", stats.Copied.Load())
 			}
 			env.defaultClient.expectOneAnswerEach()
 		})
 	}
 }
 
-// A merged read is late. The member with the short time-out is answered at its time, the other gets its
-// bytes, and the node is told the shorter time.
+// A merged read is delayed. The member with the short time-out is answered when that expires, the other gets
+// its bytes, and the operation carries the shorter time-out.
 func TestMerging_MembersKeepTheirDeadlines(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
-	late := make(chan func(), 8)
+	delayed := make(chan func(), 8)
 	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 		if request.Ranged {
-			late <- func() { _ = disk.carryOut(conn, frame, request, nil) }
+			delayed <- func() { _ = disk.carryOut(conn, frame, request, nil) }
 		}
 		return request.Ranged
 	}
@@ -58,23 +62,24 @@
 	start := time.Now()
 	answer := env.defaultClient.awaitAnswer(short)
 	if answer.Code == proto.OK || time.Since(start) > 1500*time.Millisecond {
-		t.Errorf("the request with the short time-out got %+v after %v", answer, time.Since(start))
+		t.Errorf("got %+v after %v for the short time-out; want a failure within 1.5s", answer,
+			time.Since(start))
 	}
 	if len(env.defaultClient.answersTo(long)) != 0 {
-		t.Error("the other request was answered with it")
+		t.Error("got an answer to the other request as well; want none yet")
 	}
-	(<-late)()
+	(<-delayed)()
 	env.expectRead(long, volume, 0, 1000)
 	if ops := disk.ranged(); len(ops[0].Members) != 2 || ops[0].Timeout > 700*time.Millisecond {
-		t.Errorf("the node saw %+v", ops[0])
+		t.Errorf("got operation %+v; want 2 members and a time-out of at most 700ms", ops[0])
 	}
-	for env.instance.Stats.LateResults.Load() == 0 { // the part of the short one came after its client's time
+	for env.instance.Stats.LateResults.Load() == 0 { // the short member's part arrives after its time-out
 		time.Sleep(time.Millisecond)
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// Requests with a time-out below the usual latency are not merged with others.
+// Requests with a time-out below the usual latency are not merged into the operations of others.
 func TestMerging_LeavesOutRequestsWithShortDeadline(t *testing.T) {
 	env := newRangedEnvironment(t, func(cfg *Config) { cfg.Site.Limits.BatchInterval = 0 })
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
@@ -82,7 +87,7 @@
 		time.AfterFunc(60*time.Millisecond, func() { _ = disk.carryOut(conn, frame, request, nil) })
 		return true
 	}
-	for range 24 { // until the scheduler knows how long a read takes here
+	for range 24 { // until the scheduler has learned the latency of reads
 		env.defaultClient.awaitAnswer(env.read(volume, 0, 10, nil))
 	}
 	var ids []uint64
@@ -95,20 +100,21 @@
 	}
 	for i, id := range ids {
 		if answer := env.defaultClient.awaitAnswer(id); (answer.Code == proto.OK) != (i%2 == 0) {
-			t.Errorf("read %d got %+v", i, answer)
+			t.Errorf("read %d: got %+v; want OK for even reads, a failure for odd ones", i, answer)
 		}
 	}
 	for _, request := range disk.ranged()[24:] {
 		for _, member := range request.Members {
 			if member.Offset/10%2 != 0 && request.Offset/10%2 == 0 {
-				t.Errorf("a request with a short time-out was merged: %+v", request)
+				t.Errorf("got %+v; want no member with a short time-out in it", request)
 			}
 		}
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// A thousand reads of the same 4 KiB are a few operations. Each client gets the bytes, and none are copied.
+// A thousand reads of the same 4 KiB become at most a hundred operations. Each read gets the bytes, and none
+// are copied.
 func TestMerging_ServesThousandReadersOfSameBytes(t *testing.T) {
 	env := newRangedEnvironment(t, func(cfg *Config) { cfg.Site.Extents.MaxMembers = 64 })
 	volume := env.volumeAt(0, 0)
@@ -120,43 +126,43 @@
 		env.expectRead(id, volume, 4096, 4096)
 	}
 	if n := len(env.disks[0].ranged()); n > 100 {
-		t.Errorf("%d operations", n)
+		t.Errorf("got %d operations; want at most 100", n)
 	} else {
 		t.Logf("1000 requests, %d operations", n)
 	}
 	if n := env.instance.Stats.Copied.Load(); n != 0 {
-		t.Errorf("%d bytes copied", n)
+		t.Errorf("got %d bytes copied; want 0", n)
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// Volumes read the same bytes, and one of them is over its limit: it is not merged with the others, and
-// these are not held up.
+// Four volumes read from the same data volume, and one of them is over its plan's limit: its read is not
+// merged with the others and does not delay them.
 func TestMerging_LeavesOutVolumeOverItsLimit(t *testing.T) {
 	env := newRangedEnvironment(t, func(cfg *Config) {
 		cfg.Site.Plans = append(cfg.Site.Plans, config.Plan{Name: "limited", Rate: 1, Limit: 0.001, Burst: 1,
 			Weight: 1, PriorityWeight: 1})
 	})
 	volume := env.volumeAt(0, 0)
-	free := env.read(volume, 0, 1000, nil)
+	first := env.read(volume, 0, 1000, nil)
 	limited := env.read(volume+1, 1000, 1000, func(q *proto.Request) { q.DataVolumeID, q.Plan = volume, 1 })
-	other := env.read(volume+2, 2000, 1000, func(q *proto.Request) { q.DataVolumeID = volume })
-	again := env.read(volume+3, 0, 2000, func(q *proto.Request) { q.DataVolumeID = volume })
-	env.expectRead(free, volume, 0, 1000)
-	env.expectRead(again, volume, 0, 2000)
-	env.expectRead(other, volume, 2000, 1000)
+	third := env.read(volume+2, 2000, 1000, func(q *proto.Request) { q.DataVolumeID = volume })
+	fourth := env.read(volume+3, 0, 2000, func(q *proto.Request) { q.DataVolumeID = volume })
+	env.expectRead(first, volume, 0, 1000)
+	env.expectRead(fourth, volume, 0, 2000)
+	env.expectRead(third, volume, 2000, 1000)
 	if answer := env.defaultClient.awaitAnswer(limited); answer.Code != proto.Rejected {
-		t.Errorf("over its limit: %+v", answer)
+		t.Errorf("got %+v for the volume over its limit; want Rejected", answer)
 	}
 	for _, request := range env.disks[0].ranged() {
 		for _, member := range request.Members {
 			if member.Volume == volume+1 {
-				t.Error("the one at its limit was sent")
+				t.Error("got a member of the volume over its limit; want none")
 			}
 		}
 	}
 	if ops := env.disks[0].ranged(); len(ops) != 1 || len(ops[0].Members) != 3 {
-		t.Errorf("the node saw %d operations", len(ops))
+		t.Errorf("got %d operations; want 1 with 3 members", len(ops))
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
--- a/internal/daemon/ranged_call_test.go
+++ b/internal/daemon/ranged_call_test.go
@@ -6,7 +6,7 @@
 	"landingpaddle/internal/proto"
 )
 
-// A read across the edge of an extent goes to two nodes, and its bytes come back as one.
+// A read across an extent boundary is split between two nodes and answered with all its bytes.
 func TestRangedCall_ReadsAcrossExtents(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume := env.volumeAt(0, 0)
@@ -14,31 +14,34 @@
 	first, second := env.disks[0].ranged(), env.disks[1].ranged()
 	if len(first) != 1 || len(second) != 1 || first[0].Length != 100 || second[0].Offset != 16<<10 ||
 		first[0].Piece != 0 || second[0].Piece != 1 {
-		t.Errorf("the nodes saw %+v and %+v", first, second)
+		t.Errorf("got operations %+v and %+v; want piece 0 and piece 1 of the read, one at each node",
+			first, second)
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// Invalid ranges are rejected at once with a reason, and nothing reaches a node.
+// Invalid ranges are rejected immediately with a reason, and nothing is sent to a node.
 func TestRangedCall_RejectsInvalidRanges(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume := env.volumeAt(0, 0)
 	for name, id := range map[string]uint64{
-		"empty":          env.read(volume, 10, 0, nil),
-		"overflow":       env.read(volume, 1<<64-5, 10, nil),
-		"too many":       env.read(volume, 0, 80<<10, nil),
-		"over payload":   env.read(volume, 0, 9<<20, nil),
-		"short payload":  env.write(volume, 0, 10, 1, func(q *proto.Request) { q.Length = 11 }),
-		"payload on get": env.write(volume, 0, 10, 1, func(q *proto.Request) { q.Write, q.Class = false, 0 }),
+		"empty":                env.read(volume, 10, 0, nil),
+		"overflow":             env.read(volume, 1<<64-5, 10, nil),
+		"too many pieces":      env.read(volume, 0, 80<<10, nil),
+		"over maximum payload": env.read(volume, 0, 9<<20, nil),
+		"short payload":        env.write(volume, 0, 10, 1, func(q *proto.Request) { q.Length = 11 }),
+		"payload on read": env.write(volume, 0, 10, 1, func(q *proto.Request) {
+			q.Write, q.Class = false, 0
+		}),
 	} {
 		answer := env.defaultClient.awaitAnswer(id)
 		if answer.Code != proto.Rejected || answer.Reason != ReasonBadRange {
-			t.Errorf("%s: %+v", name, answer)
+			t.Errorf("%s: got %+v; want Rejected, bad-range", name, answer)
 		}
 	}
 	env.expectRead(env.read(volume, 1, 1, nil), volume, 1, 1)
 	if n := len(env.disks[0].ranged()) + len(env.disks[1].ranged()); n != 1 {
-		t.Errorf("%d operations reached nodes", n)
+		t.Errorf("got %d operations at the nodes; want 1", n)
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
--- a/internal/daemon/ranged_write_test.go
+++ b/internal/daemon/ranged_write_test.go
@@ -11,30 +11,31 @@
 	"landingpaddle/scheduler"
 )
 
-// Writes of one key over the same two extents: each node sees them in the order of arrival, no later one
-// before the earlier has ended everywhere, and the last one's bytes stay.
+// Writes of one key to the same two extents reach each node in the order of arrival, none before the previous
+// one has ended on both nodes, and the last one's bytes remain.
 func TestRangedCall_SplitWritesOfOneKeyStayInOrder(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume := env.volumeAt(0, 0)
 	var mu sync.Mutex
-	out, order := map[uint64]int{}, []uint64{}
+	inFlight, order := map[uint64]int{}, []uint64{}
 	for _, disk := range env.disks {
 		disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 			if !request.Ranged {
 				return false
 			}
 			mu.Lock()
-			for token, n := range out {
-				if token != request.Token && n > 0 {
-					t.Errorf("write %d reached a node while write %d was out", request.Token, token)
+			for token, pieces := range inFlight {
+				if token != request.Token && pieces > 0 {
+					t.Errorf("got write %d while write %d was in flight; want one at a time",
+						request.Token, token)
 				}
 			}
-			out[request.Token]++
+			inFlight[request.Token]++
 			order = append(order, request.Token)
 			mu.Unlock()
 			time.AfterFunc(20*time.Millisecond, func() {
 				mu.Lock()
-				out[request.Token]--
+				inFlight[request.Token]--
 				mu.Unlock()
 				_ = disk.carryOut(conn, frame, request, nil)
 			})
@@ -47,22 +48,22 @@
 	}
 	for _, id := range ids {
 		if answer := env.defaultClient.awaitAnswer(id); answer.Code != proto.OK {
-			t.Errorf("write %d: %+v", id, answer)
+			t.Errorf("write %d: got %+v; want OK", id, answer)
 		}
 	}
 	if !slices.IsSorted(order) || len(order) != 6 {
-		t.Errorf("the nodes saw the writes %v", order)
+		t.Errorf("got writes in the order %v; want 6 pieces in the order of arrival", order)
 	}
 	for i, disk := range env.disks {
 		if at := 12<<10 + i*4<<10; disk.bytes[volume][at] != 3 || disk.bytes[volume][at+4<<10-1] != 3 {
-			t.Errorf("node %d does not hold the last write", i)
+			t.Errorf("node %d: got other bytes than those of the last write", i)
 		}
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// Writes of one key to adjacent ranges that wait at once are one operation, in which each keeps its token
-// and key.
+// Writes of one key to adjacent ranges that are queued together become one operation, in which each member
+// keeps its token and key.
 func TestMerging_WritesAdjacentRangesInOneOperation(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume := env.volumeAt(0, 0)
@@ -72,23 +73,24 @@
 	}
 	for _, id := range ids {
 		if answer := env.defaultClient.awaitAnswer(id); answer.Code != proto.OK {
-			t.Errorf("write %d: %+v", id, answer)
+			t.Errorf("write %d: got %+v; want OK", id, answer)
 		}
 	}
 	ops := env.disks[0].ranged()
 	if len(ops) != 1 || len(ops[0].Members) != 4 {
-		t.Fatalf("the node saw %+v", ops)
+		t.Fatalf("got operations %+v; want 1 with 4 members", ops)
 	}
 	for i, member := range ops[0].Members {
 		if member.Token != ids[i] || member.Key != 7 || env.disks[0].bytes[volume][i*1000+500] != byte(i+1) {
-			t.Errorf("member %d is %+v, its bytes %d", i, member, env.disks[0].bytes[volume][i*1000+500])
+			t.Errorf("member %d: got %+v and byte %d; want its token, key and byte", i, member,
+				env.disks[0].bytes[volume][i*1000+500])
 		}
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// Two writes of different keys share an operation that does not end, and one of them times out. Its node is
-// told so before a later write of its key comes, which might run first otherwise.
+// Two writes of different keys share an operation that does not end, and one of them times out. The node must
+// receive its cancellation before a later write of its key, which it might otherwise execute first.
 func TestMerging_CancelsTimedOutMemberBeforeNextWriteOfKey(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
@@ -106,25 +108,26 @@
 		q.Key, q.Timeout = 7, 700*time.Millisecond
 	})
 	if answer := env.defaultClient.awaitAnswer(short); answer.Code == proto.OK {
-		t.Errorf("the request with the short time-out got %+v", answer)
+		t.Errorf("got %+v for the short time-out; want a failure", answer)
 	}
 	answer := env.defaultClient.awaitAnswer(env.write(volume, 1000, 1000, 3, withKey(7)))
 	if answer.Code != proto.OK {
-		t.Errorf("the next of its key got %+v", answer)
+		t.Errorf("got %+v for the next write of the key; want OK", answer)
 	}
 	env.defaultClient.awaitAnswer(long)
 	if len(disk.ranged()) < 2 || len(disk.ranged()[0].Members) != 2 {
-		t.Fatalf("the node saw %+v", disk.ranged())
+		t.Fatalf("got operations %+v; want 2 or more, the first with 2 members", disk.ranged())
 	}
 	if disk.mu.Lock(); cancelsBefore < 1 || fmt.Sprint(disk.cancelled[0]) != "[1]" {
-		t.Errorf("%d cancels before the next write, of %v", cancelsBefore, disk.cancelled)
+		t.Errorf("got %d cancels before the next write, of members %v; want 1 or more, the first of [1]",
+			cancelsBefore, disk.cancelled)
 	}
 	disk.mu.Unlock()
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// Three writes of one key wait as one operation for a connection, and the first one's client leaves.
-// Without it the other two must be sent alone, and still not side by side.
+// Three writes of one key wait in one operation for a connection, and the first one is cancelled. The other
+// two must then be sent as separate operations, and still not concurrently.
 func TestMerging_SeparatedWritesOfOneKeyStayInOrder(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume := env.volumeAt(0, 0)
@@ -135,16 +138,16 @@
 	env.registry.Put(endpoint)
 	env.awaitLog("node=" + slow.listener.Addr().String())
 	var mu sync.Mutex
-	out := 0
+	inFlight := 0
 	slow.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 		mu.Lock()
-		if out++; out > 1 {
-			t.Errorf("write %d reached the node while another of its key was out", request.Token)
+		if inFlight++; inFlight > 1 {
+			t.Errorf("got write %d while another of its key was in flight; want one at a time", request.Token)
 		}
 		mu.Unlock()
 		time.AfterFunc(30*time.Millisecond, func() {
 			mu.Lock()
-			out--
+			inFlight--
 			mu.Unlock()
 			_ = slow.carryOut(conn, frame, request, nil)
 		})
@@ -164,38 +167,38 @@
 	env.serve(slow.fakeNode, proto.Config{}, slow.serve)
 	for _, id := range ids[1:] {
 		if answer := env.defaultClient.awaitAnswer(id); answer.Code != proto.OK {
-			t.Errorf("write %d: %+v", id, answer)
+			t.Errorf("write %d: got %+v; want OK", id, answer)
 		}
 	}
 	if ops := slow.ranged(); len(ops) != 2 || ops[0].Token != ids[1] || ops[1].Token != ids[2] {
-		t.Errorf("the node saw %+v", ops)
+		t.Errorf("got operations %+v; want the second and third write, in order", ops)
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// The second piece of a split write is rejected for good and the first has run: the write fails, and what
-// is where is answered and logged. Had the first been rejected too, so would be the write.
+// The second piece of a split write is rejected permanently after the first was executed: the write fails,
+// and the state of its pieces is answered and logged. If the first is rejected as well, so is the write.
 func TestRangedCall_ReportsPartlyDoneWrite(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume := env.volumeAt(0, 0)
-	full := func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
+	overloaded := func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 		return request.Ranged && sendAnswer(conn, frame, proto.Answer{Code: proto.Overloaded})
 	}
-	env.disks[1].intercept = full
+	env.disks[1].intercept = overloaded
 	put := func(q *proto.Request) { q.Class = 2 }
 	answer := env.defaultClient.awaitAnswer(env.write(volume, 12<<10, 24<<10, 9, put))
 	if answer.Code != proto.Failed || answer.Reason != ReasonNodeOverloaded || answer.Done < 1 ||
 		answer.Done+answer.Uncertain+answer.Unsent != 3 {
-		t.Errorf("got %+v", answer)
+		t.Errorf("got %+v; want Failed, node-full, 3 pieces, at least 1 done", answer)
 	}
 	node := "node=" + env.disks[0].listener.Addr().String()
 	for _, want := range []string{"write partly done", "state=done", node} {
 		env.awaitLog(want)
 	}
-	env.disks[0].intercept = full
+	env.disks[0].intercept = overloaded
 	answer = env.defaultClient.awaitAnswer(env.write(volume, 12<<10, 8<<10, 9, put))
 	if answer.Code != proto.Rejected || answer.Done+answer.Uncertain != 0 {
-		t.Errorf("with nothing run: %+v", answer)
+		t.Errorf("got %+v without an executed piece; want Rejected", answer)
 	}
 	env.defaultClient.expectOneAnswerEach()
 }
