--- a/internal/daemon/client_listener_test.go
+++ b/internal/daemon/client_listener_test.go
@@ -7,7 +7,8 @@
 	"landingpaddle/internal/proto"
 )
 
-// A valid request is served with its data, one out of the site's bounds is rejected.
+// A valid request is answered with the node's data. Requests with a field outside the site's bounds are
+// rejected.
 func TestClientListener_ServesValidAndRejectsInvalidRequests(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, echo)
@@ -15,27 +16,28 @@
 	env.awaitLog("node listed")
 	client := env.client()
 	if answer := client.call(nil); answer.Code != proto.OK || string(client.payloads[1]) != "data" {
-		t.Errorf("got %+v, %q", answer, client.payloads[1])
+		t.Errorf("got %+v with payload %q; want OK with data", answer, client.payloads[1])
 	}
-	for _, bad := range []func(*proto.Request){
+	for _, change := range []func(*proto.Request){
 		func(q *proto.Request) { q.Class = 9 }, func(q *proto.Request) { q.Plan = 9 },
 		func(q *proto.Request) { q.Units = 0 }, func(q *proto.Request) { q.Units = 1000 },
 		func(q *proto.Request) { q.Timeout = 0 }, func(q *proto.Request) { q.Timeout = 100 * time.Hour },
 		func(q *proto.Request) { q.Cell = -2 }, func(q *proto.Request) { q.Cell = 1 << 20 }} {
-		if answer := client.call(bad); answer.Code != proto.Rejected || answer.Reason != ReasonBadRequest {
-			t.Errorf("a bad request got %+v", answer)
+		if answer := client.call(change); answer.Code != proto.Rejected || answer.Reason != ReasonBadRequest {
+			t.Errorf("got %+v for an invalid request; want Rejected, bad-request", answer)
 		}
 	}
 	client.expectOneAnswerEach()
 }
 
-// Ten thousand requests in one burst have one answer each, and those over the bound are told when to retry.
+// Each of ten thousand requests in one burst gets exactly one answer, and the rejections of requests above
+// MaxOpenRequests carry a RetryAfter.
 func TestClientListener_AnswersEachRequestOfBurstOnce(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, echo)
 	instance := env.start(func(cfg *Config) { cfg.Site.Limits.MaxOpenRequests = 2000 })
 	env.awaitLog("node listed")
-	callers := []*testClient{env.client(), env.client()} // one connection has 8,192 in flight at most
+	callers := []*testClient{env.client(), env.client()} // a connection allows at most 8,192 in flight
 	for range 5000 {
 		for _, client := range callers {
 			client.sendRequest(nil)
@@ -46,19 +48,19 @@
 		for stream := uint64(1); stream <= 5000; stream++ {
 			if answer := client.awaitAnswer(stream); answer.Reason == ReasonOverload {
 				if overload++; answer.RetryAfter <= 0 {
-					t.Fatal("rejected without RetryAfter")
+					t.Fatal("got a rejection for overload without RetryAfter; want RetryAfter > 0")
 				}
 			}
 		}
 		client.expectOneAnswerEach()
 	}
-	t.Logf("%d over the bound, %d served", overload, instance.Stats.Served.Load())
+	t.Logf("%d rejected for overload, %d served", overload, instance.Stats.Served.Load())
 	if open := instance.openCalls.Load(); open != 0 {
-		t.Errorf("%d counted as open after all", open)
+		t.Errorf("got %d open calls after all answers; want 0", open)
 	}
 }
 
-// A client that closes its connection ends its calls.
+// When a client closes its connection, its open calls end.
 func TestClientListener_EndsCallsOfClosedConnection(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, ignoreRequest)
@@ -77,11 +79,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	if open := instance.openCalls.Load(); open != 0 {
-		t.Errorf("%d still open", open)
+		t.Errorf("got %d open calls; want 0", open)
 	}
 }
 
-// Where the site's rejections may not say when to retry, those of the listener do not either.
+// The listener's rejections carry a RetryAfter only if the site allows it.
 func TestClientListener_RetryAfterOnlyWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		env := newTestEnvironment(t)
@@ -95,13 +97,17 @@
 		for instance.Stats.Attempts.Load() < 1 {
 			time.Sleep(time.Millisecond)
 		}
-		over := client.call(nil)
+		overload := client.call(nil)
 		instance.Stop()
 		env.awaitLog("instance stopping")
 		stopping := client.call(nil)
-		for reason, answer := range map[string]proto.Answer{ReasonOverload: over, ReasonStopping: stopping} {
+		for reason, answer := range map[string]proto.Answer{
+			ReasonOverload: overload,
+			ReasonStopping: stopping,
+		} {
 			if answer.Reason != reason || (answer.RetryAfter > 0) != allowed {
-				t.Errorf("RetryAfter allowed %v: got %+v", allowed, answer)
+				t.Errorf("RetryAfter allowed %v: got %+v; want the call's reason, RetryAfter only if allowed",
+					allowed, answer)
 			}
 		}
 		<-env.ended
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -15,7 +15,7 @@
 	"landingpaddle/scheduler"
 )
 
-// Invalid datagrams are dropped, valid ones reach the scheduler, and the instance works on.
+// Invalid datagrams are discarded, valid ones reach the scheduler, and the instance continues to serve.
 func TestInstance_DropsInvalidPeerMessages(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, echo)
@@ -25,50 +25,50 @@
 		t.Fatal(err)
 	}
 	peers[1] = other.Addr()
-	var heard atomic.Int64
+	var received atomic.Int64
 	instance := env.start(func(cfg *Config) {
 		cfg.Instances, cfg.PeerListen, cfg.Peers = 2, "127.0.0.1:0", peers
 		cfg.Hooks.Decider = func(_ scheduler.Settings, host Decider) Decider {
 			return peerCountingDecider{host,
-				&heard}
+				&received}
 		}
 	})
 	env.awaitLog("node listed")
-	out, err := net.Dial("udp4", instance.PeerAddr().String())
+	conn, err := net.Dial("udp4", instance.PeerAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer out.Close()
-	good, _ := peer.Encode(1, []byte("from a peer"))
+	defer conn.Close()
+	valid, _ := peer.Encode(1, []byte("from a peer"))
 	for i := range 200 {
-		fmt.Fprintf(out, "garbage %d", i)
+		fmt.Fprintf(conn, "garbage %d", i)
 	}
-	if _, err := out.Write(good); err != nil {
+	if _, err := conn.Write(valid); err != nil {
 		t.Fatal(err)
 	}
 	client := env.client()
 	if answer := client.call(nil); answer.Code != proto.OK {
-		t.Errorf("got %+v", answer)
+		t.Errorf("got %+v; want OK", answer)
 	}
 	for range 200 {
-		if heard.Load() == 1 {
+		if received.Load() == 1 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if heard.Load() != 1 {
-		t.Errorf("%d messages reached the scheduler, want 1", heard.Load())
+	if received.Load() != 1 {
+		t.Errorf("got %d messages at the scheduler; want 1", received.Load())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = other.Run(ctx, func(scheduler.PeerMessage) {})
 }
 
-// Where the site allows no messages between instances, a configuration with peers is an error.
+// New rejects a configuration with peers if the site allows no messages between instances.
 func TestNew_RejectsPeersWhereNotAllowed(t *testing.T) {
 	site := changedSite()
 	_, err := New(Config{Site: site, Listener: newTestEnvironment(t).listen(), PeerListen: "127.0.0.1:0"})
 	if err == nil || !strings.Contains(fmt.Sprint(err), "peers") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v; want one that names peers", err)
 	}
 }
--- a/internal/daemon/preconditions_test.go
+++ b/internal/daemon/preconditions_test.go
@@ -8,9 +8,10 @@
 	"landingpaddle/scheduler"
 )
 
-// The connection that a request waits for greets with a newer start than the list has. That is another
-// process than the one decided on, and cold: the request is not sent before the scheduler has decided anew.
-func TestUpstreamPool_SendsNothingToRestartedNodeUntilDecidedAnew(t *testing.T) {
+// The handshake of the connection that a request waits for reports a later start of the node than the
+// endpoint list. That is another, cold process than the one that the scheduler decided on: the request is not
+// sent before the scheduler has decided again.
+func TestUpstreamPool_SendsToRestartedNodeOnlyAfterNewDecision(t *testing.T) {
 	env := newTestEnvironment(t)
 	startedAt := time.Now().Add(-2 * time.Minute).UnixNano()
 	node := &fakeNode{listener: env.listen(), connections: make(chan *proto.Conn, 64)}
@@ -23,11 +24,11 @@
 	env.awaitLog("node=" + node.listener.Addr().String())
 	client := env.client()
 	if answer := client.call(nil); answer.Code != proto.OK {
-		t.Errorf("got %+v", answer)
+		t.Errorf("got %+v; want OK", answer)
 	}
 	stats := &env.instance.Stats
 	if node.requestCount.Load() != 1 || stats.ConnectFailed.Load() != 1 || stats.Attempts.Load() != 2 {
-		t.Errorf("%d requests came, %d attempts were not made, %d decided on; want 1, 1 and 2",
+		t.Errorf("got %d requests at the node, %d failed connects, %d attempts; want 1, 1 and 2",
 			node.requestCount.Load(), stats.ConnectFailed.Load(), stats.Attempts.Load())
 	}
 }
--- a/internal/daemon/reasons_test.go
+++ b/internal/daemon/reasons_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Reason words reach clients and operators: they are part of the interface.
-func TestReasons_KeepTheirWords(t *testing.T) {
+// Clients and operators match reasons by their text, so the texts must not change.
+func TestReasons_KeepTheirTexts(t *testing.T) {
 	for got, want := range map[string]string{
 		ReasonBadRequest:      "bad-request",
 		ReasonBadRange:        "bad-range",
@@ -22,7 +22,7 @@
 		ReasonTooLarge:        "answer-too-large",
 	} {
 		if got != want {
-			t.Errorf("reason %q, want %q", got, want)
+			t.Errorf("got reason %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/daemon/upstream_pool_test.go
+++ b/internal/daemon/upstream_pool_test.go
@@ -11,8 +11,8 @@
 	"landingpaddle/scheduler"
 )
 
-// A connection that breaks with 30 attempts in flight gives each its own result, and each request one
-// answer.
+// When a connection breaks with 30 attempts in flight, each attempt gets a separate result, and each request
+// one answer.
 func TestUpstreamPool_ReportsResetForEachAttemptInFlight(t *testing.T) {
 	env := newTestEnvironment(t)
 	var node *fakeNode
@@ -27,8 +27,8 @@
 		}
 		return nil
 	})
-	var outcomes atomic.Int64
-	env.start(func(cfg *Config) { cfg.Hooks.Decider = countResults(&outcomes, scheduler.Reset) })
+	var resets atomic.Int64
+	env.start(func(cfg *Config) { cfg.Hooks.Decider = countResults(&resets, scheduler.Reset) })
 	env.awaitLog("node listed")
 	client := env.client()
 	for range 30 {
@@ -36,17 +36,17 @@
 	}
 	for stream := uint64(1); stream <= 30; stream++ {
 		if answer := client.awaitAnswer(stream); answer.Code != proto.OK && answer.Code != proto.Rejected {
-			t.Errorf("request %d: %+v", stream, answer)
+			t.Errorf("request %d: got %+v; want OK or Rejected", stream, answer)
 		}
 	}
-	if outcomes.Load() != 30 {
-		t.Errorf("%d outcomes of a reset, want 30", outcomes.Load())
+	if resets.Load() != 30 {
+		t.Errorf("got %d attempts ended as Reset; want 30", resets.Load())
 	}
 	client.expectOneAnswerEach()
 }
 
-// Requests larger than a node takes are not sent and use no stream of its connection: a stream that was
-// opened for one and never ended would be lost for good.
+// Requests larger than a node accepts are not sent and occupy no stream of its connection: a stream opened
+// for such a request would never be closed and would be lost for the connection's lifetime.
 func TestUpstreamPool_OversizedRequestsTakeNoStreams(t *testing.T) {
 	env := newTestEnvironment(t)
 	limits := proto.Limits{MaxHeader: 4096, MaxPayload: 10, MaxStreams: 4, MaxBacklog: 1 << 20}
@@ -71,18 +71,18 @@
 			t.Fatal(err)
 		}
 		if answer := client.awaitAnswer(client.lastStream); answer.Code != proto.Rejected {
-			t.Fatalf("an oversized request got %+v", answer)
+			t.Fatalf("got %+v for an oversized request; want Rejected", answer)
 		}
 	}
-	time.Sleep(time.Second) // the module leaves a node alone for a while that seems out of reach
+	time.Sleep(time.Second) // the scheduler's backoff for a node that seems unreachable
 	if answer := client.call(nil); answer.Code != proto.OK {
-		t.Errorf("after that a small one got %+v", answer)
+		t.Errorf("got %+v for a small request after that; want OK", answer)
 	}
 	client.expectOneAnswerEach()
 }
 
-// A node accepts requests and never answers. Every request is answered before its client's time is up, and
-// no more are in flight on a connection than was agreed.
+// A node accepts requests and never answers. Every request is answered by its time-out, and the requests
+// in flight on a connection do not exceed the agreed stream limit.
 func TestUpstreamPool_KeepsStreamLimitOfSilentNode(t *testing.T) {
 	env := newTestEnvironment(t)
 	node := env.node(0, ignoreRequest)
@@ -97,23 +97,23 @@
 		client.awaitAnswer(stream)
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("answered after %v, wait was 500 ms", took)
+		t.Errorf("got answers after %v; want within 2s with a time-out of 500ms", took)
 	}
 	if got := node.requestCount.Load(); got > 16 {
-		t.Errorf("%d in flight on 2 connections of 8", got)
+		t.Errorf("got %d requests in flight on 2 connections of 8 streams; want at most 16", got)
 	}
 	client.expectOneAnswerEach()
 }
 
-// A node that never greets, and a port where nobody listens: the requests are known not to have run, so
-// they are rejected.
+// A node that never completes the handshake, and a port without a listener: the requests are known not to
+// have been executed, so they are rejected.
 func TestUpstreamPool_RejectsRequestsToUnreachableNodes(t *testing.T) {
 	env := newTestEnvironment(t)
-	mute := env.listen() // accepts by the system's backlog, greets never
-	dead := env.listen()
-	dead.Close()
-	t.Cleanup(func() { mute.Close() })
-	for cell, ln := range []net.Listener{mute, dead} {
+	silent := env.listen() // the kernel accepts connections, no handshake follows
+	closed := env.listen()
+	closed.Close()
+	t.Cleanup(func() { silent.Close() })
+	for cell, ln := range []net.Listener{silent, closed} {
 		env.registry.Put((&fakeNode{listener: ln}).endpoint(uint16(cell), scheduler.Ready))
 	}
 	env.start(nil)
@@ -123,7 +123,7 @@
 		answer := client.call(func(q *proto.Request) { q.Cell, q.Class = cell, 1; q.Key = uint64(cell) + 1 })
 		if answer.Code != proto.Rejected ||
 			answer.Reason != ReasonNodeUnreachable && answer.Reason != ReasonNotInTime {
-			t.Errorf("cell %d: %+v", cell, answer)
+			t.Errorf("cell %d: got %+v; want Rejected, node-unreachable or not-in-time", cell, answer)
 		}
 	}
 	client.expectOneAnswerEach()
