--- a/internal/daemon/snapshot_test.go
+++ b/internal/daemon/snapshot_test.go
@@ -12,8 +12,8 @@
 	"landingpaddle/internal/registry"
 )
 
-// The endpoint snapshot is used after a restart while the registry is down. A damaged one is ignored and
-// logged. A full disk costs nothing but the snapshot.
+// After a restart with the registry down, the instance uses the endpoint snapshot. A damaged snapshot is
+// ignored and logged. On a full disk only the snapshot is lost; requests are served.
 func TestInstance_RestoresEndpointSnapshot(t *testing.T) {
 	env := newTestEnvironment(t)
 	env.node(0, echo)
@@ -21,7 +21,7 @@
 	instance := env.start(func(cfg *Config) { cfg.Snapshot = file })
 	env.awaitLog("node listed")
 	for range 200 {
-		if k, err := file.Load(); err == nil && len(k.Endpoints) == 1 {
+		if snapshot, err := file.Load(); err == nil && len(snapshot.Endpoints) == 1 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -32,7 +32,7 @@
 	env.start(func(cfg *Config) { cfg.Snapshot, cfg.Site.PollEndpoints = file, true })
 	client := env.client()
 	if answer := client.call(nil); answer.Code != proto.OK {
-		t.Errorf("with the kept list alone: %+v", answer)
+		t.Errorf("got %+v with the snapshot alone; want OK", answer)
 	}
 	env.instance.Stop()
 	<-env.ended
@@ -40,32 +40,33 @@
 	if err := os.WriteFile(file.Path, []byte("damaged"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	full := file
-	full.Write = func(string, []byte) error { return syscall.ENOSPC }
+	fullDisk := file
+	fullDisk.Write = func(string, []byte) error { return syscall.ENOSPC }
 	env.registry.SetDown(false)
-	env.start(func(cfg *Config) { cfg.Snapshot = full })
+	env.start(func(cfg *Config) { cfg.Snapshot = fullDisk })
 	env.awaitLog("endpoint snapshot ignored")
 	env.awaitLog("no space left on device")
 	client = env.client()
 	if answer := client.call(nil); answer.Code != proto.OK {
-		t.Errorf("with a full disk: %+v", answer)
+		t.Errorf("got %+v with a full disk; want OK", answer)
 	}
 }
 
-// A registry that is the same as before may send a restarted instance just the changes since its snapshot.
+// A restarted instance applies an update that contains only the changes since its snapshot if the registry is
+// the same as before, and otherwise does not.
 func TestView_AppliesChangesToTrustedSnapshot(t *testing.T) {
-	for _, one := range []bool{true, false} {
+	for _, trusted := range []bool{true, false} {
 		view := endpoints.New(0)
 		view.Restore(endpoints.Clock{Now: time.Hour}, endpoints.Snapshot{Version: 3})
-		if one {
+		if trusted {
 			view.TrustRestored()
 		}
-		_, verdict := view.Apply(
+		_, result := view.Apply(
 			endpoints.Clock{Now: time.Hour},
 			endpoints.Update{Version: 4, BaseVersion: 3},
 		)
-		if (verdict == endpoints.Applied) != one {
-			t.Errorf("one service %v: verdict %v", one, verdict)
+		if (result == endpoints.Applied) != trusted {
+			t.Errorf("snapshot trusted %v: got result %v; want Applied only if trusted", trusted, result)
 		}
 	}
 }
--- a/internal/daemon/statistics_test.go
+++ b/internal/daemon/statistics_test.go
@@ -14,8 +14,8 @@
 	"landingpaddle/scheduler"
 )
 
-// changedSite is testSite with other settings: no messages between instances, no Retry-After, a retry budget,
-// writes that are not idempotent.
+// changedSite returns testSite with other settings, among them no messages between instances, no Retry-After,
+// a retry budget and writes that are not idempotent.
 func changedSite() config.Site {
 	site := testSite()
 	site.Limits.PeerMessages, site.Limits.RetryAfter = false, false
@@ -34,10 +34,10 @@
 	return site
 }
 
-// restartWithChangedSite runs an instance of testSite until it has statistics of a slow and a quick node,
-// stops it with requests in flight, and starts one of changedSite. Between the two it calls spoil with the
-// path of the saved statistics.
-func restartWithChangedSite(t *testing.T, spoil func(path string)) (*testEnvironment, *testClient) {
+// restartWithChangedSite runs an instance with testSite until it has statistics of a slow and a fast node,
+// stops it with requests in flight, and starts one with changedSite. In between it calls modify, if not nil,
+// with the path of the saved statistics.
+func restartWithChangedSite(t *testing.T, modify func(path string)) (*testEnvironment, *testClient) {
 	t.Helper()
 	env, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
 	env.node(0, echoAfter(60*time.Millisecond))
@@ -61,33 +61,33 @@
 		t.Fatal(err)
 	}
 	<-client.ended
-	client.expectOneAnswerEach() // each request taken before the switch has its one answer
-	if spoil != nil {
-		spoil(path)
+	client.expectOneAnswerEach() // also those in flight at the stop
+	if modify != nil {
+		modify(path)
 	}
 	env.start(func(cfg *Config) { cfg.StatisticsFile, cfg.Site = path, changedSite() })
 	return env, env.client()
 }
 
-// After a change of settings the instance has its statistics back, serves reads and writes that are not
-// idempotent, and stops gracefully.
+// After a restart with changed settings the instance restores its statistics, serves reads and writes that
+// are not idempotent, and stops gracefully.
 func TestStatistics_AreRestoredAfterSettingsChange(t *testing.T) {
 	env, client := restartWithChangedSite(t, nil)
 	env.awaitLog("statistics saved")
 	env.awaitLog("saved statistics restored")
 	text := env.logs.String()
 	if !strings.Contains(text, "nodes=2 saved_nodes=2 classes=1 all_classes=true") {
-		t.Errorf("not logged what was restored:\n%s", text)
+		t.Errorf("got a log without the restored nodes and classes:\n%s", text)
 	}
 	for i := range 20 {
 		class := uint16(i % 2)
 		answer := client.call(func(q *proto.Request) { q.Class, q.Cell = class, int32(i/2%2) })
 		if answer.Code != proto.OK {
-			t.Errorf("request %d got %+v", i, answer)
+			t.Errorf("request %d: got %+v; want OK", i, answer)
 		}
 	}
 	client.expectOneAnswerEach()
-	for range 3 { // what is out when it stops has its answer too
+	for range 3 { // requests in flight at the stop are answered as well
 		client.sendRequest(nil)
 	}
 	for env.instance.Stats.Admitted.Load() < 23 {
@@ -100,11 +100,11 @@
 	<-client.ended
 	client.expectOneAnswerEach()
 	if n := env.instance.Stats.Overdue.Load(); n != 0 {
-		t.Errorf("%d answers were overdue", n)
+		t.Errorf("got %d overdue calls; want 0", n)
 	}
 }
 
-// An incarnation without requests leaves the statistics of the one before as they are.
+// An incarnation without requests keeps the statistics that the previous one saved.
 func TestStatistics_IdleIncarnationKeepsThem(t *testing.T) {
 	env, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
 	env.node(0, echo)
@@ -118,15 +118,16 @@
 		if err := <-env.ended; err != nil {
 			t.Fatal(err)
 		}
-		var rec checkpoint.Record
-		if err := statefile.Read(path, statisticsMagic, &rec); err != nil || len(rec.Nodes) != 1 {
-			t.Errorf("incarnation %d: %d nodes, %v", incarnation, len(rec.Nodes), err)
+		var record checkpoint.Record
+		if err := statefile.Read(path, statisticsMagic, &record); err != nil || len(record.Nodes) != 1 {
+			t.Errorf("incarnation %d: got %d nodes, error %v; want 1 node", incarnation,
+				len(record.Nodes), err)
 		}
 	}
 }
 
-// rewriteStatistics returns a function that changes the record in a file of statistics and writes it again,
-// under a magic.
+// rewriteStatistics returns a function that changes the record in a statistics file and writes it back with
+// the given magic.
 func rewriteStatistics(t *testing.T, magic string, change func(*checkpoint.Record)) func(path string) {
 	return func(path string) {
 		var record checkpoint.Record
@@ -157,36 +158,36 @@
 	}
 }
 
-// Statistics that cannot be trusted are logged in one line and ignored; the instance serves all the same.
+// Invalid statistics are logged in one line and ignored; the instance still serves requests.
 func TestStatistics_IgnoresInvalidFiles(t *testing.T) {
 	remove := func(path string) { _ = os.Remove(path) }
 	flipLastByte := func(data []byte) []byte {
 		data[len(data)-1] ^= 1
 		return data
 	}
-	cutInHalf := func(data []byte) []byte { return data[:len(data)/2] }
+	truncate := func(data []byte) []byte { return data[:len(data)/2] }
 	unchanged := func(*checkpoint.Record) {}
 	otherInstance := func(r *checkpoint.Record) { r.Fingerprint.Instance = 7 }
 	twoHoursOlder := func(r *checkpoint.Record) { r.WrittenAt -= int64(2 * time.Hour) }
 	negativeMedian := func(r *checkpoint.Record) { r.MedianLatency = -1 }
 	for _, c := range []struct {
 		name, logged string
-		spoil        func(path string)
+		modify       func(path string)
 	}{
 		{"none", "no saved statistics", remove},
 		{"damaged", "checksum does not match", rewriteBytes(t, flipLastByte)},
-		{"cut", "bytes follow", rewriteBytes(t, cutInHalf)},
-		{"newer", "does not begin with", rewriteStatistics(t, "LPLEARN2", unchanged)},
-		{"foreign", "it is of instance 7", rewriteStatistics(t, statisticsMagic, otherInstance)},
-		{"old", "old, over", rewriteStatistics(t, statisticsMagic, twoHoursOlder)},
-		{"absurd", "out of range", rewriteStatistics(t, statisticsMagic, negativeMedian)},
+		{"truncated", "bytes follow", rewriteBytes(t, truncate)},
+		{"newer format", "does not begin with", rewriteStatistics(t, "LPLEARN2", unchanged)},
+		{"other instance", "it is of instance 7", rewriteStatistics(t, statisticsMagic, otherInstance)},
+		{"too old", "old, over", rewriteStatistics(t, statisticsMagic, twoHoursOlder)},
+		{"negative latency", "out of range", rewriteStatistics(t, statisticsMagic, negativeMedian)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			env, client := restartWithChangedSite(t, c.spoil)
+			env, client := restartWithChangedSite(t, c.modify)
 			env.awaitLog(c.logged)
 			expectServedWithoutStatistics(t, env, client)
 			if n := strings.Count(env.logs.String(), "saved statistics ignored"); c.name != "none" && n != 1 {
-				t.Errorf("logged in %d lines", n)
+				t.Errorf("got %d log lines on ignored statistics; want 1", n)
 			}
 		})
 	}
@@ -197,11 +198,11 @@
 	t.Helper()
 	for range 4 {
 		if answer := client.call(nil); answer.Code != proto.OK {
-			t.Errorf("got %+v", answer)
+			t.Errorf("got %+v; want OK", answer)
 		}
 	}
 	client.expectOneAnswerEach()
 	if strings.Contains(env.logs.String(), "saved statistics restored") {
-		t.Error("statistics were restored")
+		t.Error("got restored statistics; want none")
 	}
 }
--- a/internal/daemon/stored_test.go
+++ b/internal/daemon/stored_test.go
@@ -13,14 +13,14 @@
 	"landingpaddle/scheduler"
 )
 
-// The files in testdata were written before any field was renamed; what they hold must stay readable, and
-// what is written must stay the same bytes.
+// The files in testdata were written before Go fields of the record were renamed. They must stay readable,
+// and the same record must still be encoded to the same bytes.
 const (
-	storedFigures = "testdata/learnt.bin"      // storedRecord, written field by field
-	stoppedLearnt = "testdata/learnt-stop.bin" // written by a process at an orderly stop
+	storedFigures = "testdata/learnt.bin"      // storedRecord, with every field set
+	stoppedLearnt = "testdata/learnt-stop.bin" // written by an instance at a graceful shutdown
 )
 
-// storedRecord has a value of its own in every field.
+// storedRecord returns a record with a distinct value in every field.
 func storedRecord() checkpoint.Record {
 	return checkpoint.Record{WrittenAt: 1_780_000_000_000_000_001,
 		Fingerprint: checkpoint.Fingerprint{Instance: 3, MeanUnits: 2.5, MaxUnits: 8.25,
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	if want := storedRecord(); !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v\nwant %+v", got, want)
+		t.Errorf("got %+v\nwant %+v", got, want)
 	}
 	sameBytes(t, storedFigures, storedRecord())
 }
@@ -88,36 +88,36 @@
 	if err := statefile.Read(stoppedLearnt, statisticsMagic, &got); err != nil {
 		t.Fatal(err)
 	}
-	facts := checkpoint.Fingerprint{Instance: 0, MeanUnits: 2, MaxUnits: 8,
+	fingerprint := checkpoint.Fingerprint{Instance: 0, MeanUnits: 2, MaxUnits: 8,
 		Classes: []checkpoint.Class{{Name: "read"}, {Name: "write", Writes: true}}}
-	if err := got.Validate(got.WrittenAt, facts); err != nil {
+	if err := got.Validate(got.WrittenAt, fingerprint); err != nil {
 		t.Error(err)
 	}
-	if !reflect.DeepEqual(got.Fingerprint, facts) {
-		t.Errorf("facts of the site are %+v", got.Fingerprint)
+	if !reflect.DeepEqual(got.Fingerprint, fingerprint) {
+		t.Errorf("got fingerprint %+v; want that of the site", got.Fingerprint)
 	}
-	empty := func(node checkpoint.NodeRecord) bool {
+	incomplete := func(node checkpoint.NodeRecord) bool {
 		return node.Server.Addr != [4]byte{127, 0, 0, 1} || node.Server.Port == 0 || node.StartedAt == 0 ||
 			node.Statistics.Latency == 0 || node.Statistics.Deviation == 0
 	}
-	if len(got.Nodes) != 2 || slices.ContainsFunc(got.Nodes, empty) {
-		t.Errorf("nodes are %+v", got.Nodes)
+	if len(got.Nodes) != 2 || slices.ContainsFunc(got.Nodes, incomplete) {
+		t.Errorf("got nodes %+v; want 2 without zero values", got.Nodes)
 	}
-	for _, fit := range []scheduler.Regression{got.AllClasses, got.Classes[0].Latency,
+	for _, regression := range []scheduler.Regression{got.AllClasses, got.Classes[0].Latency,
 		got.Classes[1].Latency} {
-		if fit.Count == 0 || fit.MeanSize == 0 || fit.MeanTime == 0 || fit.MeanSquare == 0 ||
-			fit.MeanProduct == 0 {
-			t.Errorf("fit is %+v", fit)
+		if regression.Count == 0 || regression.MeanSize == 0 || regression.MeanTime == 0 ||
+			regression.MeanSquare == 0 || regression.MeanProduct == 0 {
+			t.Errorf("got regression %+v; want no zero values", regression)
 		}
 	}
 	if got.Classes[0].MeanUnits == 0 || got.Classes[0].Count == 0 || got.MedianLatency == 0 ||
 		got.RecentLatency == 0 {
-		t.Errorf("read %+v", got)
+		t.Errorf("got %+v; want units, count and latencies above 0", got)
 	}
 	sameBytes(t, stoppedLearnt, got)
 }
 
-// sameBytes checks that a record is written as the file that it was read from.
+// sameBytes checks that a record is encoded to the bytes of the file that it was read from.
 func sameBytes(t *testing.T, path string, record checkpoint.Record) {
 	t.Helper()
 	want, err := os.ReadFile(path)
@@ -129,6 +129,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(data, want) {
-		t.Errorf("%s: the record is written as %d other bytes:\n%x\nwant\n%x", path, len(data), data, want)
+		t.Errorf("%s: got the record encoded to %d other bytes:\n%x\nwant\n%x", path, len(data), data, want)
 	}
 }
