--- a/internal/platform/answer.go
+++ b/internal/platform/answer.go
@@ -16,8 +16,8 @@
 
 var _ daemon.Responder = (*inFlightRequest)(nil)
 
-// Respond gives the request its one final answer. It is called on the loop's goroutine and does not wait
-// until the answer is written.
+// Respond starts writing the request's one final answer. It is called on the loop's goroutine and returns
+// before the answer is written.
 func (r *inFlightRequest) Respond(answer proto.Answer, payload []byte) {
 	r.frontend.releaseID(r)
 	go r.writeAnswer(answer, payload)
@@ -38,7 +38,7 @@
 	close(r.answered)
 }
 
-// statusOf is the HTTP status of an answer.
+// statusOf returns the HTTP status of an answer.
 func statusOf(answer proto.Answer) int {
 	switch answer.Code {
 	case proto.OK:
@@ -53,7 +53,7 @@
 	return http.StatusBadGateway
 }
 
-// answerHeader is the fields of an answer that is not OK: when to come back, and why.
+// answerHeader returns the fields of an answer that is not OK: the reason, and Retry-After of a rejection.
 func answerHeader(answer proto.Answer) (header http1.Header) {
 	if answer.Code == proto.OK {
 		return nil
@@ -65,8 +65,8 @@
 	return append(header, http1.Field{Name: fieldReason, Value: answer.Reason})
 }
 
-// refuse answers a request that cannot be accepted with its error and ends the connection. A client that has
-// gone gets no answer.
+// refuse answers an invalid request with its error and ends the connection. A client that has disconnected
+// gets no answer.
 func (f *frontend) refuse(client *clientConn, cause error) {
 	var invalid *http1.Error
 	switch {
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	// requestTimeout bounds the time from a connection's first moment, or a later request's first byte, to
-	// the request's end. A client is owed an error or a close within 3 s.
+	// requestTimeout bounds the time from a connection's start, or from a later request's first byte, to the
+	// request's end. A client must receive an error or a close within 3 s.
 	requestTimeout = 2700 * time.Millisecond
 	// writeTimeout bounds the writing of an answer.
 	writeTimeout = 2 * time.Second
 )
 
-// connState is what a client connection is doing.
+// connState is the state of a client connection.
 type connState uint8
 
 const (
-	stateIdle    connState = iota // nothing of the next request has come
-	stateReading                  // a part of it has come
+	stateIdle    connState = iota // nothing of the next request has arrived
+	stateReading                  // a part of it has arrived
 	stateWorking                  // it is in flight
 )
 
 // clientConn is one client's connection. Only the goroutine of its session reads it, shuts it down and closes
-// it; others ask the session for that by frontend.evict.
+// it, except in frontend.closeAll; others request that from the session with frontend.evict.
 type clientConn struct {
 	conn   net.Conn
-	reader *http1.Reader // the session's
+	reader *http1.Reader // used by the session only
 
 	// Guarded by frontend.mu.
 	state          connState
 	stateSince     time.Time
-	requests       int  // that have come whole
-	closeRequested bool // the session ends once no request is on the connection
-	isLingering    bool // it counts as lingering and not among the open connections
-	hasPipelined   bool // a part of the next request came while one is in flight
-
-	// The session's own.
-	bufferedAt  time.Duration // when the oldest buffered byte came, by the scheduler's clock
-	readCount   int           // of reads when the request began
-	bufferBytes int64         // of the read buffer that count among the bodies
+	requests       int  // received completely
+	closeRequested bool // the session ends once no request is in flight on the connection
+	isLingering    bool // counted as lingering, not among the open connections
+	hasPipelined   bool // a part of the next request arrived while one is in flight
+
+	// Used only on the session's goroutine.
+	bufferedAt  time.Duration // arrival of the oldest buffered byte, by the scheduler's clock
+	readCount   int           // reader.ReadCount when the request began
+	bufferBytes int64         // part of the read buffer that counts in frontend.bodyBytes
 }
 
 func newClientConn(conn net.Conn) *clientConn {
@@ -50,27 +50,27 @@
 	return &clientConn{conn: conn, reader: http1.NewReader(conn, limits), stateSince: time.Now()}
 }
 
-// writeResponse writes one answer.
+// writeResponse writes one response within writeTimeout.
 func (c *clientConn) writeResponse(status int, header http1.Header, body []byte) error {
 	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.conn.Write(http1.AppendResponse(nil, status, http.StatusText(status), header, body))
 	return err
 }
 
-// beginReading notes that the next request has begun to come, and sets by when it must have come whole.
+// beginReading records that the next request has begun to arrive, and sets the deadline for its last byte.
 func (f *frontend) beginReading(client *clientConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	began := time.Now()
+	startedAt := time.Now()
 	if client.requests == 0 {
-		began = client.stateSince // the time for a first request counts from the connection's start
+		startedAt = client.stateSince // the timeout of a first request counts from the connection's start
 	}
 	client.state, client.stateSince = stateReading, time.Now()
 	client.hasPipelined, client.readCount = false, client.reader.ReadCount()
-	client.conn.SetReadDeadline(began.Add(requestTimeout))
+	client.conn.SetReadDeadline(startedAt.Add(requestTimeout))
 }
 
-// beginProcessing notes that a request has come whole.
+// beginProcessing records that a request has arrived completely.
 func (f *frontend) beginProcessing(client *clientConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,7 +80,8 @@
 	client.conn.SetReadDeadline(time.Time{})
 }
 
-// endProcessing notes that a request's answer is written, and wakes the session if it has something to do.
+// endProcessing records that a request's answer is written, and wakes the session if the connection must end
+// or a part of the next request has arrived.
 func (f *frontend) endProcessing(client *clientConn, isLast bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,15 +91,16 @@
 	}
 }
 
-// isLastAnswer reports whether an answer is its connection's last: the client wants so, or the connection
-// is to end and nothing of a next request has come on it.
-func (f *frontend) isLastAnswer(client *clientConn, closeWanted bool) bool {
+// isLastAnswer reports whether an answer is its connection's last: the client requested a close, or the
+// connection must end and nothing of a next request has arrived on it.
+func (f *frontend) isLastAnswer(client *clientConn, closeAfterAnswer bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return closeWanted || (f.closing || client.closeRequested) && !client.hasPipelined
+	return closeAfterAnswer || (f.closing || client.closeRequested) && !client.hasPipelined
 }
 
-// receivedAt is when the request just read came. A request behind others on its connection came with them.
+// receivedAt returns when the request just read arrived, by the scheduler's clock. A pipelined request that
+// was buffered completely arrived with the bytes before it.
 func (f *frontend) receivedAt(client *clientConn) time.Duration {
 	if client.reader.ReadCount() > client.readCount {
 		client.bufferedAt = f.loop.Now()
@@ -106,7 +108,7 @@
 	return client.bufferedAt
 }
 
-// accountBuffer counts what a read buffer holds beyond a head among the bodies.
+// accountBuffer counts the part of a read buffer that exceeds the limit of a head as body bytes.
 func (f *frontend) accountBuffer(client *clientConn) {
 	bufferBytes := max(0, int64(client.reader.BufferSize())-maxClientHead)
 	f.bodyBytes.Add(bufferBytes - client.bufferBytes)
--- a/internal/platform/eviction.go
+++ b/internal/platform/eviction.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// clientSweepInterval is how often idle connections are looked at.
+	// clientSweepInterval is how often idle connections are checked.
 	clientSweepInterval = 100 * time.Millisecond
-	// maxIdleTime is how long a connection may idle. Some clients keep a connection for good, and a client
-	// holds only so many.
+	// maxIdleTime is how long a connection may idle. Some clients never close a connection, and the number
+	// that a client holds is limited.
 	maxIdleTime = 2 * time.Second
 
-	// A connection may be closed for want of room after so long in its state.
+	// Time in a state after which a connection may be closed because the limit of connections is reached.
 	evictIdleAfter    = 200 * time.Millisecond
 	evictSilentAfter  = 5 * time.Millisecond
 	evictReadingAfter = 700 * time.Millisecond
 
-	// noneKept makes closeIdle close every connection that has idled for long enough.
+	// noneKept makes closeIdle close every connection that has idled for the given time.
 	noneKept = -1
 )
 
-// Eviction ranks; a lower one is closed first.
+// Eviction ranks; connections of a lower rank are closed first.
 const (
 	rankSilent = iota
 	rankReading
 	rankIdle
 )
 
-// Ranks among idle connections; a lower one is closed first. One that has sent no request yet counts as used
-// once.
+// Ranks of idle connections in closeIdle; a lower rank is closed first. A connection that has sent no request
+// yet counts as used once.
 const (
 	rankUsedOnce = iota
 	rankUsedRepeatedly
 )
 
-// evictionRank is which connection goes first where room is wanted, and after how long in its state it may
-// go. It does not hold for one with a request in flight, which is never evicted.
+// evictionRank returns a connection's rank and the time in its state after which it may be evicted. It does
+// not apply to a connection with a request in flight, which is never evicted.
 func (c *clientConn) evictionRank() (rank int, after time.Duration) {
 	switch {
 	case c.state == stateIdle && c.requests == 0:
@@ -49,20 +49,20 @@
 	return rankIdle, evictIdleAfter
 }
 
-// evictionCandidate is a connection that might be closed, as it stood when it was looked at.
+// evictionCandidate is a connection that may be closed, with its rank and state when it was checked.
 type evictionCandidate struct {
 	client     *clientConn
 	rank       int
 	stateSince time.Time
 }
 
-// rankForEviction returns the connections that pick ranks: by rank, and within a rank the longest in its
-// state first. It calls pick with the frontend's lock held.
-func (f *frontend) rankForEviction(pick func(*clientConn) (rank int, ok bool)) []evictionCandidate {
+// rankForEviction returns the connections for which rankOf returns ok: by rank, and within a rank the longest
+// in its state first. It calls rankOf with the frontend's lock held.
+func (f *frontend) rankForEviction(rankOf func(*clientConn) (rank int, ok bool)) []evictionCandidate {
 	var candidates []evictionCandidate
 	f.mu.Lock()
 	for client := range f.connections {
-		if rank, ok := pick(client); ok {
+		if rank, ok := rankOf(client); ok {
 			candidates = append(candidates, evictionCandidate{client, rank, client.stateSince})
 		}
 	}
@@ -73,13 +73,13 @@
 	return candidates
 }
 
-// makeRoom closes the connection of the lowest rank: one that has sent nothing since it was made, else one
-// that is slow to send its request, else the one that has idled for the longest. An idle connection with a
-// request waiting to be read stays. With force, neither the time in a state nor lingering connections
-// matter.
+// makeRoom closes the connection of the lowest rank: one that has sent nothing since it was accepted, else
+// one that is slow to send its request, else the one that has idled for the longest. It reports whether it
+// closed one. An idle connection with an unread request stays open. With force, neither the time in a state
+// nor the number of lingering connections matters.
 func (f *frontend) makeRoom(force bool) bool {
 	if f.isLingeringFull() && !force {
-		return false // they end within moments
+		return false // lingering connections end shortly
 	}
 	candidates := f.rankForEviction(func(client *clientConn) (int, bool) {
 		rank, after := client.evictionRank()
@@ -94,10 +94,10 @@
 	return false
 }
 
-// evict asks a connection's session to end it, and reports whether it will. A connection with a request in
-// flight, or with one that waits to be read, goes on. With makeRoom it counts as lingering from now on, so
-// that its place is free at once.
-func (f *frontend) evict(client *clientConn, makeRoom bool) bool {
+// evict requests that a connection's session end it, and reports whether it will. A connection with a request
+// in flight, or with an unread one, stays open. With countAsLingering it counts as lingering from now on, so
+// that a new connection can be accepted at once.
+func (f *frontend) evict(client *clientConn, countAsLingering bool) bool {
 	if !isOpenAndEmpty(client.conn) {
 		return false
 	}
@@ -107,14 +107,14 @@
 		return false
 	}
 	client.closeRequested = true
-	if makeRoom {
+	if countAsLingering {
 		f.moveToLingering(client)
 	}
 	client.conn.SetReadDeadline(wakeDeadline)
 	return true
 }
 
-// sweepIdle closes connections that have idled for long, until ctx ends.
+// sweepIdle closes connections that have idled for too long, until ctx ends.
 func (f *frontend) sweepIdle(ctx context.Context) {
 	runPeriodically(ctx, clientSweepInterval, func() {
 		if !f.keepIdle.Load() {
@@ -124,8 +124,8 @@
 	})
 }
 
-// closeIdle closes connections that have idled for at least a time, while more than keep connections have
-// sent a request. Those that sent one request go first, then the longest idle.
+// closeIdle closes connections that have idled for at least idleFor, while more than keep connections have
+// sent a request. Those that sent at most one request are closed first, and within a rank the longest idle.
 func (f *frontend) closeIdle(idleFor time.Duration, keep int) {
 	used := 0
 	candidates := f.rankForEviction(func(client *clientConn) (rank int, ok bool) {
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// acceptRetryDelay is the wait after a connection could not be accepted.
+	// acceptRetryDelay is the delay after a failed accept.
 	acceptRetryDelay = 5 * time.Millisecond
-	// A new connection waits for lingering ones to end, at most so often and so long each time.
+	// A new connection over the limit waits for lingering ones to end, up to maxLingerWaits times lingerWait.
 	maxLingerWaits = 20
 	lingerWait     = time.Millisecond
-	// drainPollInterval is how often a shutdown looks whether all connections have ended.
+	// drainPollInterval is how often a shutdown checks whether all connections have ended.
 	drainPollInterval = time.Millisecond
 )
 
@@ -29,27 +29,27 @@
 	log    *slog.Logger
 	limits resourceLimits
 
-	keepIdle  atomic.Bool  // idle connections stay open, as a shutdown has begun and no new ones come
-	bodyBytes atomic.Int64 // of request bodies in flight and of what clients sent ahead
+	keepIdle  atomic.Bool  // set by a shutdown: idle connections stay open, as no new ones arrive
+	bodyBytes atomic.Int64 // of request bodies in flight and of data that clients sent ahead
 
 	mu          sync.Mutex
-	closing     bool // connections end as soon as no request is on them
+	closing     bool // connections end as soon as no request is in flight on them
 	connections map[*clientConn]struct{}
-	lingering   int                 // connections that are closing and not among connections any more
+	lingering   int                 // closing connections, removed from connections
 	openIDs     map[string]struct{} // ids of requests in flight
 
 	counters frontendCounters
 }
 
-// frontendCounters count what happened since the start.
+// frontendCounters count events since the start.
 type frontendCounters struct {
 	accepted     atomic.Uint64 // connections
 	refused      atomic.Uint64 // connections that could not be accepted, or were closed at once
 	evicted      atomic.Uint64 // connections closed to make room for others
 	silent       atomic.Uint64 // connections that ended without a request
-	invalid      atomic.Uint64 // requests answered with an error when they were read
+	invalid      atomic.Uint64 // requests answered with an error while they were read
 	duplicateIDs atomic.Uint64 // requests with the id of one in flight
-	overLimit    atomic.Uint64 // requests rejected as too much is in flight, or during a shutdown
+	overLimit    atomic.Uint64 // requests rejected because a limit was reached, or during a shutdown
 }
 
 func newFrontend(loop *daemon.EventLoop, site *wire.Site, log *slog.Logger, limits resourceLimits) *frontend {
@@ -64,7 +64,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // no descriptor is left, or the client has gone already
+		case err != nil: // out of descriptors, or the client has disconnected already
 			f.counters.refused.Add(1)
 			f.makeRoom(true)
 			time.Sleep(acceptRetryDelay)
@@ -81,14 +81,14 @@
 	}
 }
 
-// register adds a connection to the open ones. Where there are as many as may be, it makes room by closing
-// another, and reports false if it cannot.
+// register adds a connection to the open ones. If the limit is reached, it closes another one first, and
+// reports false if it cannot.
 func (f *frontend) register(client *clientConn) bool {
 	f.mu.Lock()
 	hasRoom := len(f.connections) < f.limits.clients
 	f.mu.Unlock()
 	if !hasRoom {
-		// Lingering connections end within moments; new ones wait in the listener's queue meanwhile.
+		// Lingering connections end shortly; until then new ones wait in the listener's queue.
 		for wait := 0; wait < maxLingerWaits && f.isLingeringFull(); wait++ {
 			time.Sleep(lingerWait)
 		}
@@ -113,12 +113,12 @@
 	}
 }
 
-// connectionCounts is how many open client connections are in each state.
+// connectionCounts are the numbers of open client connections by state.
 type connectionCounts struct {
-	silent  int // without a request yet
-	reading int // with a part of a request
+	silent  int // no request sent yet
+	reading int // a part of a request received
 	idle    int // between requests
-	working int // with a request in flight
+	working int // a request in flight
 }
 
 func (f *frontend) countByState() (counts connectionCounts) {
@@ -139,7 +139,7 @@
 	return counts
 }
 
-// closeGracefully ends idle connections now, and all others once no request is on them.
+// closeGracefully closes idle connections now, and all others once no request is in flight on them.
 func (f *frontend) closeGracefully() {
 	f.mu.Lock()
 	f.closing = true
@@ -147,19 +147,19 @@
 	f.closeIdle(0, noneKept)
 }
 
-// waitUntilClosed waits until every connection has ended, lingering ones too, or until a deadline.
+// waitUntilClosed waits until every connection has ended, including lingering ones, or until a deadline.
 func (f *frontend) waitUntilClosed(deadline time.Time) {
 	for ; time.Now().Before(deadline); time.Sleep(drainPollInterval) {
 		f.mu.Lock()
-		left := len(f.connections) + f.lingering
+		remaining := len(f.connections) + f.lingering
 		f.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 	}
 }
 
-// closeAll closes the connections that are left as the process ends. It is the one place besides the session
+// closeAll closes the remaining connections as the process ends. It is the only place besides the session
 // that closes an open connection.
 func (f *frontend) closeAll() {
 	f.mu.Lock()
--- a/internal/platform/health.go
+++ b/internal/platform/health.go
@@ -2,20 +2,19 @@
 
 import "net/http"
 
-// serveHealth answers the platform's question whether this scheduler can serve, and reports whether the
-// connection goes on.
-func (f *frontend) serveHealth(client *clientConn, closeWanted bool) bool {
+// serveHealth answers a health check of the platform, and reports whether the connection stays open.
+func (f *frontend) serveHealth(client *clientConn, closeAfterAnswer bool) bool {
 	f.beginProcessing(client)
-	goesOn := f.answerHealth(client, closeWanted)
-	f.endProcessing(client, !goesOn)
-	if !goesOn {
+	staysOpen := f.answerHealth(client, closeAfterAnswer)
+	f.endProcessing(client, !staysOpen)
+	if !staysOpen {
 		f.linger(client)
 	}
-	return goesOn
+	return staysOpen
 }
 
-func (f *frontend) answerHealth(client *clientConn, closeWanted bool) bool {
-	isLast := f.isLastAnswer(client, closeWanted)
+func (f *frontend) answerHealth(client *clientConn, closeAfterAnswer bool) bool {
+	isLast := f.isLastAnswer(client, closeAfterAnswer)
 	status, text := http.StatusOK, "ok\n"
 	switch {
 	case f.loop.Stopping():
--- a/internal/platform/http_fields.go
+++ b/internal/platform/http_fields.go
@@ -7,7 +7,7 @@
 	fieldID       = "X-Call-Id"
 	fieldClass    = "X-Call-Class"
 	fieldPlan     = "X-Storage-Class"
-	fieldBudget   = "X-Budget" // the time that is left for the request, in seconds
+	fieldBudget   = "X-Budget" // the time left for the request, in seconds
 	fieldExtent   = "X-Extent"
 	fieldRetry    = "X-Again"
 	fieldKey      = "Idempotency-Key"
--- a/internal/platform/linger.go
+++ b/internal/platform/linger.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// What still comes after the last answer is read off, so that the answer arrives: so many bytes and so
-	// long at most, or what is there already if too many connections linger.
+	// Data that arrives after the last answer is drained and discarded, so that the answer is delivered: at
+	// most maxLingerBytes, for at most lingerTimeout. If the limit of lingering connections is reached,
+	// crowdedLingerTimeout covers only data that has already arrived.
 	maxLingerBytes       = 1 << 20
 	lingerTimeout        = 300 * time.Millisecond
 	crowdedLingerTimeout = time.Millisecond
 )
 
-// linger ends a client's connection. It is the one way to do so while the client may still be there: a
-// close over bytes that were not read resets the connection, and the answer written last goes with it. So
-// the sending side is shut down first, and what still comes is read off, within bounds, and never taken for
-// a request.
+// linger ends a client's connection. It is the only way to do so while the client may still be connected:
+// closing a socket with unread bytes resets the connection, and the answer written last is lost with it. So
+// the sending side is shut down first, and data that still arrives is drained and discarded, within bounds,
+// and never read as a request.
 func (f *frontend) linger(client *clientConn) {
 	f.mu.Lock()
 	f.moveToLingering(client)
 	f.mu.Unlock()
-	isCrowded := f.isLingeringFull()
+	isLimitReached := f.isLingeringFull()
 	tcp, ok := client.conn.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
 		return
 	}
 	timeout := lingerTimeout
-	if isCrowded {
+	if isLimitReached {
 		timeout = crowdedLingerTimeout
 	}
 	client.conn.SetReadDeadline(time.Now().Add(timeout))
@@ -49,5 +50,5 @@
 	return f.lingering
 }
 
-// isLingeringFull reports whether as many connections linger as may.
+// isLingeringFull reports whether the limit of lingering connections is reached.
 func (f *frontend) isLingeringFull() bool { return f.lingeringCount() >= f.limits.lingering }
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -20,15 +20,15 @@
 	id          string
 	method      string
 	target      string
-	forwarded   http1.Header // fields that go on to the disk server unchanged
+	forwarded   http1.Header // fields that are forwarded to the disk server unchanged
 	body        []byte
-	closeWanted bool          // the client wants nothing more on its connection
+	closeWanted bool          // the client sends no more requests on its connection
 	answered    chan struct{} // closed once the answer is written
-	isLast      bool          // it was the connection's last; to be read once answered is closed
+	isLast      bool          // it was the connection's last answer; valid once answered is closed
 }
 
-// readRequest reads a request whose head has come: the head is validated before the body is read. An error of
-// the request is an *http1.Error.
+// readRequest reads a request whose head has arrived: the head is validated before the body is read. The
+// error of an invalid request is an *http1.Error.
 func (f *frontend) readRequest(client *clientConn, head *http1.Request) (*inFlightRequest, error) {
 	if head.Method != http.MethodGet && head.Method != http.MethodPut {
 		return nil, &http1.Error{Status: http.StatusMethodNotAllowed, Reason: "reads are GET, writes are PUT"}
@@ -50,7 +50,7 @@
 	return request, nil
 }
 
-// readBody reads a request's body and counts its bytes as in flight; process takes them off again.
+// readBody reads a request's body and counts its bytes as in flight; process subtracts them again.
 func (f *frontend) readBody(client *clientConn, head *http1.Request) ([]byte, error) {
 	if f.bodyBytes.Add(head.Length) > f.limits.bodyBytes {
 		f.bodyBytes.Add(-head.Length)
@@ -68,8 +68,8 @@
 	return body, nil
 }
 
-// process submits a request to the loop and waits for its answer, or until the client has gone. It reports
-// whether the connection goes on.
+// process submits a request to the loop and waits for its answer, or until the client has disconnected. It
+// reports whether the connection stays open.
 func (f *frontend) process(request *inFlightRequest) bool {
 	client := request.client
 	defer f.bodyBytes.Add(-int64(len(request.body)))
@@ -108,7 +108,7 @@
 	request.writeAnswer(answer, nil)
 }
 
-// reserveID reports whether no other request in flight has an id, and takes the id if so.
+// reserveID reserves an id for a request in flight, and reports false if another one has it.
 func (f *frontend) reserveID(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -9,7 +9,7 @@
 	"landingpaddle/internal/http1"
 )
 
-// maxReadAhead bounds what is read of a client's connection while a request of it is in flight, in bytes.
+// maxReadAhead bounds the data buffered from a client's connection while a request is in flight, in bytes.
 const maxReadAhead = 128 << 10
 
 // runSession serves one connection, one request after another, and closes it.
@@ -44,8 +44,8 @@
 	return path == pathHealth && head.Method == http.MethodGet
 }
 
-// awaitRequest waits until something of the next request is there. It reports false when the connection has
-// ended: its end was asked for, nothing came in time, or the client has gone.
+// awaitRequest waits until a part of the next request has arrived. It reports false when the connection has
+// ended: a close was requested, nothing arrived in time, or the client has disconnected.
 func (f *frontend) awaitRequest(client *clientConn) bool {
 	for client.reader.Buffered() == 0 {
 		client.reader.Shrink()
@@ -59,11 +59,11 @@
 		case err == nil:
 			client.bufferedAt = f.loop.Now()
 		case isTimeout(err):
-			// The connection ends unless something came in that very moment.
+			// The connection ends unless data arrived at the same moment.
 			f.requestClose(client)
 		default:
 			f.countIfSilent(client)
-			return false // the client has gone
+			return false // the client has disconnected
 		}
 	}
 	f.beginReading(client)
@@ -83,14 +83,14 @@
 }
 
 // prepareToWait sets how long a connection with nothing buffered may wait for a request: a new one must send
-// something in time, others wait until they are evicted. It reports whether the connection is to end.
+// data within requestTimeout, others wait until they are evicted. It reports whether the connection must end.
 func (f *frontend) prepareToWait(client *clientConn) (isClosing bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	deadline := time.Time{}
 	switch {
 	case client.closeRequested || f.closing:
-		deadline = time.Now().Add(lingerTimeout) // for what came before the end and may be a request
+		deadline = time.Now().Add(lingerTimeout) // for data sent before the close, perhaps a request
 	case client.requests == 0:
 		deadline = client.stateSince.Add(requestTimeout)
 	}
@@ -98,9 +98,9 @@
 	return client.closeRequested || f.closing
 }
 
-// readAheadUntilAnswered reads ahead while a request is in flight, so that the client's departure is
-// noticed whatever else came on the connection before it. It returns true when the answer is written or
-// nothing more can be read ahead, and false when the client has gone.
+// readAheadUntilAnswered reads ahead while a request is in flight, so that a disconnect of the client is
+// detected whatever data arrived before it. It returns true when the answer is written or nothing more can be
+// read ahead, and false when the client has disconnected.
 func (f *frontend) readAheadUntilAnswered(client *clientConn) bool {
 	for {
 		if isAnswered := f.notePipelined(client); isAnswered {
@@ -108,7 +108,7 @@
 		}
 		buffered := client.reader.Buffered()
 		if buffered > 0 && f.bodyBytes.Load() > f.limits.bodyBytes {
-			return true // no memory is left to look beyond what is there
+			return true // the limit of body bytes allows no reading beyond the buffered data
 		}
 		err := client.reader.ReadAhead(maxReadAhead)
 		switch {
@@ -125,8 +125,8 @@
 	}
 }
 
-// notePipelined notes whether something of a next request has come, and reports whether the one in flight has
-// been answered.
+// notePipelined records whether a part of a next request has arrived, and reports whether the one in flight
+// has been answered.
 func (f *frontend) notePipelined(client *clientConn) (isAnswered bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/platform/validation.go
+++ b/internal/platform/validation.go
@@ -18,7 +18,7 @@
 	maxIDLength   = 128
 	maxClientWait = time.Hour
 	hex16Digits   = 16
-	// decimalCharacters are what a number in a header field may consist of; Go's parser accepts more.
+	// decimalCharacters are the characters allowed in numbers of header fields; Go's parser accepts more.
 	decimalCharacters = "0123456789."
 )
 
@@ -30,14 +30,14 @@
 	extentInstances = "hosts"
 )
 
-// forwardedFields go on to the disk server unchanged.
+// forwardedFields are forwarded to the disk server unchanged.
 var forwardedFields = []string{fieldID, fieldClass, fieldPlan, fieldExtent, fieldKey, fieldContentType}
 
 func badRequest(reason string) error {
 	return &http1.Error{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// requiredFields are the values of the fields that every request has to state once.
+// requiredFields are the values of the fields that every request must contain exactly once.
 type requiredFields struct{ id, class, plan, budget, extent string }
 
 func readRequiredFields(header http1.Header) (fields requiredFields, err error) {
@@ -55,7 +55,7 @@
 	return fields, nil
 }
 
-// requireSingleField is the value of a field that has to stand once.
+// requireSingleField returns the value of a field that must appear exactly once.
 func requireSingleField(header http1.Header, name string) (string, error) {
 	value, count := header.Get(name)
 	if count != 1 || value == "" {
@@ -64,7 +64,7 @@
 	return value, nil
 }
 
-// validate reads what a request's head states of it into the scheduler's form. Its errors are *http1.Error.
+// validate converts a request's head into the scheduler's form. Its errors are *http1.Error.
 func (f *frontend) validate(request *inFlightRequest, head *http1.Request) error {
 	fields, err := readRequiredFields(head.Header)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// parseClientWait is how long the client waits for the answer. It waits for its class's deadline at most,
-// over all its retries.
+// parseClientWait returns how long the client waits for the answer: at most for its class's deadline, over
+// all its retries.
 func parseClientWait(text string, class *scheduler.Class) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0 && seconds <= maxClientWait.Seconds()) || !isDecimal(text) {
@@ -156,7 +156,8 @@
 	return forwarded
 }
 
-// tokenOf is the number by which logs name a request: its id where that is a hexadecimal number, else a hash.
+// tokenOf returns the number that identifies a request in logs: its id if that is a hexadecimal number, else
+// a hash of it.
 func tokenOf(id string) uint64 {
 	if token, err := strconv.ParseUint(id, 16, 64); err == nil {
 		return token
@@ -166,7 +167,7 @@
 	return hash.Sum64()
 }
 
-// parseExtentQuery is the extent that a target's query names.
+// parseExtentQuery returns the extent that a target's query names.
 func parseExtentQuery(target string) (uint64, error) {
 	_, query, _ := strings.Cut(target, "?")
 	values, err := url.ParseQuery(query)
@@ -184,8 +185,8 @@
 	return value, nil
 }
 
-// parseExtentField reads the X-Extent field: volume, units, shard and number of instances, each once. Other
-// names are ignored.
+// parseExtentField parses the X-Extent field: volume, units, shard and number of instances, each exactly
+// once. Other names are ignored.
 func (f *frontend) parseExtentField(request *scheduler.Request, text string) error {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
@@ -214,28 +215,28 @@
 	case extentUnits:
 		request.Units, err = parseUnits(value, max(1, settings.MaxUnits))
 	case extentShard:
-		highest := math.MaxUint16
+		maxShard := math.MaxUint16
 		if f.site.Shards > 0 {
-			highest = f.site.Shards - 1
+			maxShard = f.site.Shards - 1
 		}
-		request.Cell, err = parseExtentInt(name, value, scheduler.NewObject, highest)
+		request.Cell, err = parseExtentInt(name, value, scheduler.NewObject, maxShard)
 	case extentInstances:
 		request.VolumeInstances, err = parseExtentInt(name, value, 1, max(1, settings.Instances))
 	}
 	return err
 }
 
-func parseUnits(text string, most float64) (float64, error) {
+func parseUnits(text string, maximum float64) (float64, error) {
 	units, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(units > 0) || units != math.Trunc(units) || units > most {
+	if err != nil || !(units > 0) || units != math.Trunc(units) || units > maximum {
 		return 0, extentOutOfRange(extentUnits)
 	}
 	return units, nil
 }
 
-func parseExtentInt(name, text string, least, most int) (int, error) {
+func parseExtentInt(name, text string, minimum, maximum int) (int, error) {
 	value, err := strconv.Atoi(text)
-	if err != nil || value < least || value > most {
+	if err != nil || value < minimum || value > maximum {
 		return 0, extentOutOfRange(name)
 	}
 	return value, nil
