--- a/internal/platform/address_table.go
+++ b/internal/platform/address_table.go
@@ -11,29 +11,30 @@
 	"landingpaddle/scheduler"
 )
 
-// goneRetention is how long a disk server that is gone can still be reached: attempts that were decided on
-// before it was known to be gone may be on their way.
+// goneRetention is how long the address of a removed disk server stays available: attempts that were decided
+// on before the removal was received may not be connected yet.
 const goneRetention = time.Minute
 
-// addressTable knows under which address each disk server is reached from here. A disk server is its
-// instanceId, the same at every scheduler; its address may differ from one to the next. It is safe for
-// concurrent use.
+// addressTable stores the address at which this scheduler reaches each disk server. A disk server is
+// identified by its instanceId, the same at every scheduler; its address may differ between schedulers. The
+// table is safe for concurrent use.
 type addressTable struct {
 	mu      sync.Mutex
 	entries map[scheduler.Server]addressEntry
 }
 
-// addressEntry is what the table knows of one disk server.
+// addressEntry is the table's entry of one disk server.
 type addressEntry struct {
 	id, address string
 	cell        uint16
-	goneAt      time.Time // zero: it is listed
+	goneAt      time.Time // when it was removed; zero: it is listed
 }
 
 func (e addressEntry) isGone() bool { return !e.goneAt.IsZero() }
 
-// errHashCollision is a list with two ids of one hash; the scheduler could not tell them apart.
-var errHashCollision = errors.New("two instances have one hash")
+// errHashCollision rejects a list in which an id has the hash of another id in the table; the scheduler could
+// not distinguish the two disk servers.
+var errHashCollision = errors.New("two instance ids have the same hash")
 
 func newAddressTable() *addressTable {
 	return &addressTable{entries: map[scheduler.Server]addressEntry{}}
@@ -46,7 +47,7 @@
 	return entry, known
 }
 
-// nodeName is how logs name a disk server: its id where that is known.
+// nodeName returns the name of a disk server in logs: its id, or its scheduler.Server if the table lacks it.
 func (t *addressTable) nodeName(server scheduler.Server) string {
 	if entry, known := t.find(server); known {
 		return entry.id
@@ -54,9 +55,9 @@
 	return fmt.Sprint(server)
 }
 
-// applyList turns a list into the form of package endpoints and notes its addresses. A disk server that
-// cannot be understood is an error for the whole list, which then changes nothing: half a list would look
-// like servers that are gone.
+// applyList converts a list into the form of package endpoints and records its addresses. An invalid disk
+// server is an error for the whole list, which then changes nothing: servers missing from a partial list
+// would count as removed.
 func (t *addressTable) applyList(list List, baseVersion uint64, site *wire.Site) (endpoints.Update, error) {
 	update := endpoints.Update{Version: list.Generation, BaseVersion: baseVersion, Full: list.Reset}
 	t.mu.Lock()
@@ -78,7 +79,7 @@
 	return update, nil
 }
 
-// noteEndpoints notes the addresses of a list and returns the servers that it names. The caller holds t.mu.
+// noteEndpoints records the addresses of a list and returns the servers in it. The caller holds t.mu.
 func (t *addressTable) noteEndpoints(instances []ListedServer, parsed []endpoints.Endpoint,
 	now time.Time) map[scheduler.Server]bool {
 	listed := map[scheduler.Server]bool{}
@@ -86,7 +87,7 @@
 		entry := addressEntry{id: instances[i].ID, address: instances[i].HostPort, cell: endpoint.Cell}
 		if endpoint.Status == scheduler.Gone {
 			if known, ok := t.entries[endpoint.Server]; ok {
-				entry = known // a disk server that is gone may be listed without its address
+				entry = known // a removed disk server may be listed without its address
 			}
 			entry.goneAt = now
 		}
@@ -96,8 +97,8 @@
 	return listed
 }
 
-// expire notes as gone what a full list does not name, and forgets what has been gone for long. The caller
-// holds t.mu.
+// expire marks servers that a full list does not contain as removed, and deletes entries that were removed
+// more than goneRetention ago. The caller holds t.mu.
 func (t *addressTable) expire(isFull bool, listed map[scheduler.Server]bool, now time.Time) {
 	for server, entry := range t.entries {
 		switch {
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// minReadTimeout is how long an answer is read for at least; the scheduler ends an attempt long before
+	// minReadTimeout is the least timeout for reading a response; the scheduler ends an attempt long before
 	// that.
 	minReadTimeout = time.Minute
 	budgetDecimals = 4
-	// maxUsageFigure bounds the figures on use that disk servers report.
+	// maxUsageFigure bounds the usage values that disk servers report.
 	maxUsageFigure = 1e6
 )
 
-// attempt is one sending of a request to a disk server, the driver's state of an operation. Its goroutine
-// runs it; the loop may cancel it.
+// attempt sends a request to a disk server once; it is the driver's state of an operation. Its goroutine runs
+// it; the loop may cancel it.
 type attempt struct {
 	pool      *upstreamPool
 	operation *daemon.Operation
@@ -34,19 +34,19 @@
 	cancel    context.CancelFunc
 
 	mu     sync.Mutex
-	conn   net.Conn // nil: none is bound to the attempt
+	conn   net.Conn // nil: no connection is bound to the attempt
 	isOver bool     // it was cancelled, or its result is about to be reported
 }
 
-// attemptResult is how an attempt ended, by the protocol's table: until the last byte of the request is
-// written it has never run, after that it may have.
+// attemptResult is the result of an attempt by the protocol's table: a request whose last byte was not
+// written has not run; one whose last byte was written may have.
 type attemptResult struct {
 	code   scheduler.ResultCode
-	answer proto.Answer // of the disk server; the zero value: there is none
+	answer proto.Answer // of the disk server; the zero value: none
 	body   []byte
 }
 
-// run carries the attempt out and reports its one result, unless it was cancelled.
+// run executes the attempt and reports its one result, unless it was cancelled.
 func (a *attempt) run() {
 	defer a.cancel()
 	a.pool.countAttempt(a.operation.Server(), 1)
@@ -61,7 +61,7 @@
 	}
 }
 
-// execute finds a connection and sends the request once over it.
+// execute acquires or dials a connection and sends the request once over it.
 func (a *attempt) execute() attemptResult {
 	server := a.operation.Server()
 	entry, known := a.pool.addresses.find(server)
@@ -80,14 +80,14 @@
 		}
 	}
 	if code := a.bind(connection); code != scheduler.OK {
-		a.pool.release(server, connection) // nothing was written: it serves the next attempt
+		a.pool.release(server, connection) // nothing was written: the next attempt can use it
 		return attemptResult{code: code}
 	}
 	return a.roundTrip(connection, entry)
 }
 
-// bind ties an attempt to its connection, unless what it was decided on no longer holds: finding a connection
-// may have taken long. It is the one check before the first byte.
+// bind ties an attempt to its connection if the attempt preconditions are still true: dialing may have taken
+// long. This is the only check before the first byte is written.
 func (a *attempt) bind(connection *upstreamConn) scheduler.ResultCode {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,8 +101,7 @@
 	return code
 }
 
-// roundTrip writes the request and reads the response. The connection is kept if it can serve another
-// attempt.
+// roundTrip writes the request and reads the response. The connection is kept if another attempt can use it.
 func (a *attempt) roundTrip(connection *upstreamConn, entry addressEntry) attemptResult {
 	timeLeft := a.operation.Deadline() - a.pool.loop.Now()
 	if _, err := connection.conn.Write(a.encodeRequest(entry.address, timeLeft)); err != nil {
@@ -136,7 +135,8 @@
 	return http1.AppendRequest(nil, a.request.method, a.request.target, header, a.request.body)
 }
 
-// reportInvalid counts and logs a response that broke the protocol. A connection that just ended is neither.
+// reportInvalid counts and logs a response that violates the protocol. A connection that merely ended is
+// neither counted nor logged.
 func (a *attempt) reportInvalid(entry addressEntry, err error) {
 	var invalid *http1.Error
 	if errors.As(err, &invalid) {
@@ -145,14 +145,14 @@
 	}
 }
 
-// resultOf reads a response by the protocol's table.
+// resultOf converts a response into a result by the protocol's table.
 func resultOf(response *http1.Response) attemptResult {
 	result := attemptResult{code: scheduler.Error}
-	if figure, ok := parseUsageField(response.Header, fieldMeter); ok {
-		result.answer.MeteredRate = 1 + figure
+	if value, ok := parseUsageField(response.Header, fieldMeter); ok {
+		result.answer.MeteredRate = 1 + value
 	}
-	if figure, ok := parseUsageField(response.Header, fieldDelta); ok {
-		result.answer.ElsewhereUnits = figure
+	if value, ok := parseUsageField(response.Header, fieldDelta); ok {
+		result.answer.ElsewhereUnits = value
 	}
 	rejected, _ := response.Header.Get(fieldRejected)
 	switch response.Status {
@@ -166,15 +166,15 @@
 	return result
 }
 
-// parseUsageField reads a figure on use, rounded. One that cannot be read counts as not stated.
+// parseUsageField parses a usage value and rounds it. A value that cannot be parsed counts as missing.
 func parseUsageField(header http1.Header, name string) (uint32, bool) {
 	text, count := header.Get(name)
 	if count != 1 || text == "" || !isDecimal(text) {
 		return 0, false
 	}
-	figure, err := strconv.ParseFloat(text, 64)
-	if err != nil || figure > maxUsageFigure {
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || value > maxUsageFigure {
 		return 0, false
 	}
-	return uint32(figure + 0.5), true
+	return uint32(value + 0.5), true
 }
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -8,8 +8,8 @@
 	"landingpaddle/scheduler"
 )
 
-// CheckHealth asks a disk server, on a connection of its own, whether it serves, and reports the result to
-// the loop.
+// CheckHealth sends a health check to a disk server on a separate connection and reports the result to the
+// loop. It does not wait for the result.
 func (p *upstreamPool) CheckHealth(server scheduler.Server) {
 	startedAt := p.loop.Now()
 	go func() {
--- a/internal/platform/socket.go
+++ b/internal/platform/socket.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// wakeDeadline is a deadline in the past; setting it wakes whoever reads from a connection.
+// wakeDeadline is a deadline in the past; setting it wakes a goroutine that reads from a connection.
 var wakeDeadline = time.Unix(1, 0)
 
-// isOpenAndEmpty reports whether a connection is open and nothing is there to be read. It reads nothing off.
-// A connection that is no socket counts as such.
+// isOpenAndEmpty reports whether a connection is open and has no data to read. It consumes no data. A
+// connection that is not a socket counts as open and empty.
 func isOpenAndEmpty(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -30,7 +30,7 @@
 	return err == nil && wouldBlock
 }
 
-// isTimeout reports whether an error is a deadline that passed.
+// isTimeout reports whether an error is an exceeded deadline.
 func isTimeout(err error) bool {
 	var netError net.Error
 	return errors.As(err, &netError) && netError.Timeout()
--- a/internal/platform/upstream.go
+++ b/internal/platform/upstream.go
@@ -26,20 +26,20 @@
 
 	mu          sync.Mutex
 	idle        map[scheduler.Server][]*upstreamConn // the longest idle first; no empty lists
-	connections int                                  // open or being made
-	attempts    map[scheduler.Server]int             // in flight; no zeros
+	connections int                                  // open or being dialed
+	attempts    map[scheduler.Server]int             // in flight; no zero counts
 
 	counters upstreamCounters
 }
 
-// upstreamCounters count what happened since the start.
+// upstreamCounters count events since the start.
 type upstreamCounters struct {
-	dialed      atomic.Uint64 // connections begun
+	dialed      atomic.Uint64 // dials started
 	reused      atomic.Uint64 // idle connections used again
 	stale       atomic.Uint64 // idle connections found too old, closed or with unsolicited bytes
 	invalid     atomic.Uint64 // responses that could not be read
-	unsolicited atomic.Uint64 // responses with bytes behind them
-	exhausted   atomic.Uint64 // attempts that found no connection free
+	unsolicited atomic.Uint64 // responses followed by unsolicited bytes
+	exhausted   atomic.Uint64 // dials refused because the limit of connections was reached
 }
 
 var _ daemon.Upstream = (*upstreamPool)(nil)
@@ -55,7 +55,7 @@
 	}
 }
 
-// Send starts an attempt in a goroutine of its own.
+// Send starts an attempt in its own goroutine.
 func (p *upstreamPool) Send(operation *daemon.Operation) {
 	a := &attempt{pool: p, operation: operation, request: operation.Responder().(*inFlightRequest)}
 	a.ctx, a.cancel = context.WithCancel(p.ctx)
@@ -63,7 +63,7 @@
 	go a.run()
 }
 
-// Cancel ends an attempt. Its connection is closed, which is how disk servers learn of a cancellation.
+// Cancel ends an attempt. Its connection is closed, which notifies the disk server of the cancellation.
 func (p *upstreamPool) Cancel(operation *daemon.Operation) {
 	a, ok := operation.DriverState.(*attempt)
 	if !ok {
@@ -83,10 +83,10 @@
 
 // CloseIdle closes the idle connections to a disk server.
 func (p *upstreamPool) CloseIdle(server scheduler.Server) {
-	p.closeIdleWhere(func(of scheduler.Server, _ *upstreamConn) bool { return of == server })
+	p.closeIdleWhere(func(owner scheduler.Server, _ *upstreamConn) bool { return owner == server })
 }
 
-// countAttempt counts the attempts in flight to a disk server.
+// countAttempt adds change to the number of attempts in flight to a disk server.
 func (p *upstreamPool) countAttempt(server scheduler.Server, change int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +101,7 @@
 	return maps.Clone(p.attempts)
 }
 
-// countConnections returns how many connections are open or being made, and how many of them idle.
+// countConnections returns how many connections are open or being dialed, and how many of them are idle.
 func (p *upstreamPool) countConnections() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/platform/upstream_conn.go
+++ b/internal/platform/upstream_conn.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// idleFraction of the time after which disk servers close an idle connection, it is kept.
+	// idleFraction is the part of the disk servers' idle timeout for which a connection may idle here.
 	idleFraction = 0.8
-	// settleTime is the idle time by which unsolicited bytes on a connection have come.
+	// settleTime is the idle time after which unsolicited bytes on a connection have arrived.
 	settleTime = 10 * time.Millisecond
-	// defaultIdleTimeout is the idle time of connections where the settings state none.
+	// defaultIdleTimeout is how long a connection may idle if the settings specify no idle timeout.
 	defaultIdleTimeout    = time.Minute
 	defaultConnectTimeout = time.Second
 	upstreamSweepInterval = time.Second
 )
 
-var errPoolExhausted = errors.New("all connections that may be open are in use")
+var errPoolExhausted = errors.New("connection limit reached and no connection is idle")
 
-// upstreamConn is one connection to a disk server. While it idles it belongs to the pool, else to one
+// upstreamConn is one connection to a disk server. While it is idle it belongs to the pool, else to one
 // attempt or health check.
 type upstreamConn struct {
 	conn      net.Conn
 	reader    *http1.Reader
-	idleSince time.Time // when the disk server saw it used last
-	isUnused  bool      // it has brought no answer yet
+	idleSince time.Time // last use, as the disk server sees it
+	isUnused  bool      // no response has arrived on it yet
 }
 
-// acquire finds an idle connection on which nothing unsolicited came: the last one used of those that have
-// settled. One that has not settled may still bring bytes that belong to no request and would be taken for
-// the next answer.
+// acquire takes an idle connection without unsolicited bytes from the pool: the last used one of those that
+// have settled; nil if there is none. On a connection that has not settled, bytes that belong to no request
+// may still arrive and would be read as the next response.
 func (p *upstreamPool) acquire(server scheduler.Server) *upstreamConn {
 	for {
 		connection := p.takeSettled(server)
@@ -51,7 +51,7 @@
 	}
 }
 
-// takeSettled takes the last used of the settled idle connections out of the pool; nil: there is none.
+// takeSettled removes the last used of the settled idle connections from the pool; nil if there is none.
 func (p *upstreamPool) takeSettled(server scheduler.Server) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,8 +86,8 @@
 	return defaultIdleTimeout
 }
 
-// releaseAfterAnswer lets a connection idle that has brought an answer. If its attempt was cancelled
-// meanwhile it is closed already.
+// releaseAfterAnswer returns a connection to the pool after a response. If its attempt was cancelled before
+// that, the connection is closed already and is discarded.
 func (p *upstreamPool) releaseAfterAnswer(a *attempt, connection *upstreamConn) {
 	a.mu.Lock()
 	isOver := a.isOver
@@ -101,8 +101,8 @@
 	p.release(a.operation.Server(), connection)
 }
 
-// release lets a connection idle until the next attempt. Its idle time runs on unless the caller has set
-// it: to its disk server a connection that was not written to has idled all the time.
+// release returns a connection to the pool for the next attempt. Its idle time continues unless the caller
+// has set it: for its disk server, a connection that was not written to has been idle throughout.
 func (p *upstreamPool) release(server scheduler.Server, connection *upstreamConn) {
 	if p.ctx.Err() != nil {
 		p.discard(connection)
@@ -115,7 +115,7 @@
 	p.mu.Unlock()
 }
 
-// discard closes a connection that does not idle in the pool.
+// discard closes a connection that is not idle in the pool.
 func (p *upstreamPool) discard(connection *upstreamConn) {
 	connection.conn.Close()
 	p.freeConnection()
@@ -127,8 +127,8 @@
 	p.mu.Unlock()
 }
 
-// dial makes a connection, in place of the longest idle one where no more may be open. Its error is
-// errPoolExhausted where none idles.
+// dial opens a connection, in place of the longest idle one if the limit of connections is reached. If none
+// is idle then, the error is errPoolExhausted.
 func (p *upstreamPool) dial(ctx context.Context, address string) (*upstreamConn, error) {
 	if !p.reserveConnection() {
 		p.counters.exhausted.Add(1)
@@ -164,14 +164,14 @@
 	return defaultConnectTimeout
 }
 
-// evictLongestIdle closes the connection that has idled for the longest, and reports false if none idles. The
-// caller holds p.mu.
+// evictLongestIdle closes the connection that has been idle for the longest, and reports false if none is
+// idle. The caller holds p.mu.
 func (p *upstreamPool) evictLongestIdle() bool {
 	var server scheduler.Server
 	var oldest *upstreamConn
-	for of, connections := range p.idle {
+	for owner, connections := range p.idle {
 		if oldest == nil || connections[0].idleSince.Before(oldest.idleSince) {
-			server, oldest = of, connections[0]
+			server, oldest = owner, connections[0]
 		}
 	}
 	if oldest == nil {
@@ -183,8 +183,8 @@
 	return true
 }
 
-// sweepIdle closes idle connections ahead of the time after which disk servers do, and those to disk servers
-// that are gone. When ctx ends it closes all of them.
+// sweepIdle closes idle connections before the idle timeout of disk servers, and those to disk servers that
+// were removed. When ctx ends it closes all idle connections.
 func (p *upstreamPool) sweepIdle(ctx context.Context) {
 	runPeriodically(ctx, upstreamSweepInterval, func() {
 		p.closeIdleWhere(func(server scheduler.Server, connection *upstreamConn) bool {
