--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -17,27 +17,27 @@
 	"landingpaddle/internal/wire"
 )
 
-// A watch that falls silent, and a first call after it that fails, must both be noticed early enough that a
-// second call brings the list within the 6 s after which the scheduler counts as notified of what the watch
-// missed. The waits between are the scheduler's, under a second in all.
+// A watch that falls silent, and a first call after it that fails, must both be detected early enough that a
+// second call returns the list within the 6 s after which the scheduler counts as notified of the changes
+// that the watch missed. The scheduler sets the delays between the calls, under a second in total.
 const (
-	heartbeatTimeout = 2500 * time.Millisecond // a heartbeat comes every 2 s; without one the watch is dead
-	callTimeout      = 1200 * time.Millisecond // until discovery's answer to a call begins
-	fetchTimeout     = 2 * time.Second         // until the full list is there
-	maxListBytes     = 1 << 20                 // of a list, or of one message of a watch
-	maxResponseHead  = 16 << 10                // bytes
+	heartbeatTimeout = 2500 * time.Millisecond // heartbeats arrive every 2 s; one that is late ends the watch
+	callTimeout      = 1200 * time.Millisecond // until discovery's response to a call begins
+	fetchTimeout     = 2 * time.Second         // until the full list has arrived
+	maxListBytes     = 1 << 20                 // of a full list, or of one message of a watch
+	maxResponseHead  = 16 << 10                // bytes of a response's head
 	pathServers      = "/v1/servers"
 )
 
 var (
-	errDiscoverySilent  = errors.New("discovery fell silent")
-	errListTooLong      = errors.New("the list is too long")
+	errDiscoverySilent  = errors.New("discovery did not respond in time")
+	errListTooLong      = errors.New("endpoint list exceeds the size limit")
 	errWatchEnded       = errors.New("discovery ended the watch")
 	errUnexpectedStatus = errors.New("discovery answered with an unexpected status")
 )
 
-// discovery watches and fetches the endpoint list: one watch and one fetch at a time, each in a goroutine
-// of its own. When to call again after a failure is the scheduler's to say.
+// discovery watches and fetches the endpoint list: one watch and one fetch at a time, each in its own
+// goroutine. The scheduler decides when to call again after a failure.
 type discovery struct {
 	ctx       context.Context // of the gateway; calls end with it
 	loop      *daemon.EventLoop
@@ -46,14 +46,14 @@
 	client    *http.Client
 	calls     sync.WaitGroup
 
-	firstOutcome chan struct{} // closed once a call has brought a list, or failed
+	firstOutcome chan struct{} // closed once a call has returned a list or failed
 	firstOnce    sync.Once
 
 	mu          sync.Mutex
 	address     string // host:port
 	watchWanted bool
 	cancelWatch context.CancelFunc // of the watch that was opened last
-	cancelFetch context.CancelFunc // of the fetch that is under way; nil: there is none
+	cancelFetch context.CancelFunc // of the fetch in progress; nil: none
 }
 
 var _ daemon.EndpointSource = (*discovery)(nil)
@@ -67,7 +67,7 @@
 		client: client, firstOutcome: make(chan struct{})}
 }
 
-// Watch opens the watch anew, or ends it.
+// Watch opens the watch, in place of one that is open, or ends it.
 func (d *discovery) Watch(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,18 +75,18 @@
 	d.openWatch()
 }
 
-// Fetch asks for the full list once, in place of a fetch that is under way.
+// Fetch requests the full list once, in place of a fetch in progress.
 func (d *discovery) Fetch() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.startFetch()
 }
 
-// FetchFull is Fetch: every fetch is of the full list.
+// FetchFull is the same as Fetch: every fetch returns the full list.
 func (d *discovery) FetchFull() { d.Fetch() }
 
-// MoveTo directs all calls to another address from now on. What was asked of the old one is asked anew,
-// whether a watch stands there, is being opened, or has failed and waits to be opened again.
+// MoveTo directs all further calls to another address. Requests to the old address are sent again to the new
+// one, whether a watch is open there, is being opened, or has failed and waits to be opened again.
 func (d *discovery) MoveTo(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,10 +100,10 @@
 	}
 }
 
-// wait returns when all calls have ended, which they do once the gateway's context has.
+// wait blocks until all calls have ended. They end with the gateway's context.
 func (d *discovery) wait() { d.calls.Wait() }
 
-// openWatch ends the watch that stands and starts another if one is wanted. The caller holds d.mu.
+// openWatch ends the current watch and starts another if watchWanted is set. The caller holds d.mu.
 func (d *discovery) openWatch() {
 	if d.cancelWatch != nil {
 		d.cancelWatch()
@@ -118,13 +118,13 @@
 	d.calls.Go(func() {
 		defer cancel()
 		err := d.followList(ctx, address)
-		if ctx.Err() == nil { // else another watch has taken its place
+		if ctx.Err() == nil { // else it was replaced, or the gateway ends
 			d.reportFailure(fmt.Errorf("watch: %w", err))
 		}
 	})
 }
 
-// startFetch asks for the full list, in place of a fetch that is under way. The caller holds d.mu.
+// startFetch requests the full list, in place of a fetch in progress. The caller holds d.mu.
 func (d *discovery) startFetch() {
 	if d.cancelFetch != nil {
 		d.cancelFetch()
@@ -147,7 +147,7 @@
 	})
 }
 
-// fetchList fetches the full list.
+// fetchList fetches the full list and applies it.
 func (d *discovery) fetchList(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeoutCause(ctx, fetchTimeout, errDiscoverySilent)
 	defer cancel()
@@ -165,12 +165,12 @@
 	if err := json.Unmarshal(document, &list); err != nil {
 		return err
 	}
-	list.Reset = true // whatever it states of itself
+	list.Reset = true // whatever the document states
 	return d.applyList(list, 0)
 }
 
-// followList follows the list until the watch breaks or falls silent. Messages end with their JSON value, not
-// with a line: they may be indented.
+// followList applies the messages of a watch until it breaks or sends nothing for heartbeatTimeout. A message
+// ends with its JSON value, not with a line: it may be indented.
 func (d *discovery) followList(ctx context.Context, address string) error {
 	_, version := d.loop.ListVersion()
 	url := "http://" + address + pathServers + "?stream=1&index=" + strconv.FormatUint(version, 10)
@@ -179,7 +179,7 @@
 		return err
 	}
 	defer response.close()
-	if version > 0 { // the watch stands: if there is nothing new, heartbeats are all that comes
+	if version > 0 { // the watch is established: without changes, only heartbeats arrive
 		d.loop.ReceiveUpdate(endpoints.Update{Version: version, BaseVersion: version})
 	}
 	for messages := json.NewDecoder(response); ; {
@@ -198,7 +198,7 @@
 	}
 }
 
-// applyList notes a list or a change of it and hands it to the loop.
+// applyList records a list or a change of it and hands it to the loop.
 func (d *discovery) applyList(list List, baseVersion uint64) error {
 	update, err := d.addresses.applyList(list, baseVersion, d.site)
 	if err != nil {
--- a/internal/platform/discovery_call.go
+++ b/internal/platform/discovery_call.go
@@ -7,19 +7,18 @@
 	"time"
 )
 
-// callResponse is the answer to a call. Reading it fails with errDiscoverySilent once nothing has come for
-// silenceTimeout, and with errListTooLong when one message of it is too long. It has one reader, which closes
-// it.
+// callResponse is the response to a call. Reading it fails with errDiscoverySilent if no byte arrives for
+// silenceTimeout, and with errListTooLong if a message exceeds bytesLeft. It has one reader, which closes it.
 type callResponse struct {
 	ctx            context.Context
 	cancel         func()
 	response       *http.Response
 	silenceTimeout time.Duration
 	silenceTimer   *time.Timer
-	bytesLeft      int // that the present message may still have
+	bytesLeft      int // that the current message may still contain
 }
 
-// call begins a call. Its answer must begin within callTimeout; after that at most silenceTimeout may pass
+// call starts a call. Its response must begin within callTimeout; after that at most silenceTimeout may pass
 // without a byte.
 func (d *discovery) call(ctx context.Context, url string,
 	silenceTimeout time.Duration) (*callResponse, error) {
@@ -43,7 +42,7 @@
 	return c, nil
 }
 
-// Read reads a part of the answer.
+// Read reads a part of the response body.
 func (c *callResponse) Read(buffer []byte) (int, error) {
 	n, err := c.response.Body.Read(buffer)
 	if n > 0 {
@@ -55,7 +54,7 @@
 	return n, c.cause(err)
 }
 
-// cause is why a call really failed, where this side gave it up.
+// cause returns why this side cancelled the call, if it did, in place of the error that resulted.
 func (c *callResponse) cause(err error) error {
 	if cause := context.Cause(c.ctx); err != nil && cause != nil {
 		return cause
--- a/internal/platform/endpoint_list.go
+++ b/internal/platform/endpoint_list.go
@@ -12,7 +12,7 @@
 	"landingpaddle/scheduler"
 )
 
-// List is a list of disk servers in discovery's form: the full list, or what changed.
+// List is a list of disk servers in discovery's form: the full list, or the changes to it.
 type List struct {
 	Generation uint64         `json:"generation"` // grows with each change
 	Reset      bool           `json:"reset"`      // the list is full
@@ -31,7 +31,7 @@
 	StartedAtMS float64 `json:"startedAtMs"` // milliseconds since the Unix epoch
 }
 
-// maxStartedAtMS bounds the times of discovery to what a JSON number holds exactly.
+// maxStartedAtMS bounds the start times in lists to integers that a JSON number represents exactly.
 const maxStartedAtMS = 1 << 53
 
 var statusByLifecycle = map[string]scheduler.Status{
@@ -45,7 +45,7 @@
 	errHostPortMissing = errors.New("hostPort is missing")
 )
 
-// serverOf is the scheduler's name of a disk server: a hash of its id, the same at every scheduler.
+// serverOf returns the scheduler's name of a disk server: a hash of its id, the same at every scheduler.
 func serverOf(id string) (server scheduler.Server) {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
@@ -58,11 +58,11 @@
 	return server
 }
 
-// parseEndpoint turns a disk server of a list into the form of package endpoints.
+// parseEndpoint converts a disk server of a list into the form of package endpoints.
 func parseEndpoint(listed *ListedServer, site *wire.Site) (endpoints.Endpoint, error) {
 	status, known := statusByLifecycle[listed.Lifecycle]
 	if !known {
-		return endpoints.Endpoint{}, fmt.Errorf("lifecycle %q is not known", listed.Lifecycle)
+		return endpoints.Endpoint{}, fmt.Errorf("unknown lifecycle %q", listed.Lifecycle)
 	}
 	if err := listed.validate(status); err != nil {
 		return endpoints.Endpoint{}, err
--- a/internal/platform/gossip.go
+++ b/internal/platform/gossip.go
@@ -16,13 +16,13 @@
 const maxDatagram = 256
 
 var (
-	errNoBroadcastAddress = errors.New("no address for all schedulers is known")
-	errDatagramTooLong    = errors.New("the message is too long for a datagram")
-	errUnknownPeer        = errors.New("there is no such scheduler")
+	errNoBroadcastAddress = errors.New("no broadcast address is configured")
+	errDatagramTooLong    = errors.New("message is too long for a datagram")
+	errUnknownPeer        = errors.New("no scheduler has this index")
 )
 
 // gossip exchanges datagrams with the other schedulers. A datagram is the body of one of the scheduler's
-// messages; its sender is known by its address.
+// messages; its sender is identified by its address.
 type gossip struct {
 	config *Config
 	conn   *net.UDPConn
@@ -39,8 +39,8 @@
 	return &gossip{config: config, conn: conn}, nil
 }
 
-// receive hands datagrams to the loop until ctx ends, and then closes the socket. A datagram from an unknown
-// sender is dropped, and so is one that is too long.
+// receive hands datagrams to the loop until ctx ends, and then closes the socket. It ignores datagrams from
+// unknown senders and datagrams longer than maxDatagram.
 func (g *gossip) receive(ctx context.Context, loop *daemon.EventLoop) {
 	stop := context.AfterFunc(ctx, func() { g.conn.Close() })
 	defer stop()
@@ -51,7 +51,7 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP answer to a datagram sent earlier
+			continue // an ICMP error for a datagram sent earlier
 		}
 		index, known := g.peerAt(sender)
 		if !known || length > maxDatagram {
@@ -61,20 +61,20 @@
 	}
 }
 
-// peerAt is the index of the scheduler with an address; this scheduler itself is not known.
+// peerAt returns the index of the scheduler with an address; this scheduler's own address counts as unknown.
 func (g *gossip) peerAt(address netip.AddrPort) (index uint32, known bool) {
 	address = netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
-	at := slices.Index(g.config.Peers, address)
-	if at < 0 || at == g.config.Site.Settings.InstanceIndex {
+	position := slices.Index(g.config.Peers, address)
+	if position < 0 || position == g.config.Site.Settings.InstanceIndex {
 		return 0, false
 	}
-	return uint32(at), true
+	return uint32(position), true
 }
 
 // Send sends a message to one scheduler or to all. Like any datagram it may be lost without an error.
 func (g *gossip) Send(to uint32, body []byte) error {
 	if len(body) > maxDatagram {
-		return fmt.Errorf("%w: %d bytes, %d are allowed", errDatagramTooLong, len(body), maxDatagram)
+		return fmt.Errorf("%w: %d bytes, at most %d are allowed", errDatagramTooLong, len(body), maxDatagram)
 	}
 	address, err := g.addressOf(to)
 	if err != nil {
