--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -9,26 +9,26 @@
 	"landingpaddle/internal/wire"
 )
 
-// Limits are the resources of the scheduler's machine. Zero means that the configuration does not state one.
+// Limits are the resources of the scheduler's machine. Zero means that the configuration specifies no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"` // in MiB
 	Sockets  int     `json:"sockets"`   // file descriptors that the process may have open
 }
 
-// Config is the checked configuration of one scheduler. It is not changed once [Load] has returned it.
+// Config is the validated configuration of one scheduler. It does not change after [Load] has returned it.
 type Config struct {
 	Name          string
 	Listen        netip.AddrPort
 	Discovery     string // host:port of the discovery service
 	Seed          uint64
 	Limits        Limits
-	PeerListen    netip.AddrPort   // where datagrams are received; the zero value: no datagrams are exchanged
+	PeerListen    netip.AddrPort   // receives datagrams; the zero value: no datagrams are exchanged
 	Peers         []netip.AddrPort // datagram addresses of all schedulers, by instance index
 	BroadcastAddr netip.AddrPort   // reaches all schedulers; the zero value: there is no such address
-	InitialList   *List            // nil: the configuration holds none
-	// PushedList reports that the endpoint list comes from an agent on the machine. What the agent knows
-	// counts as notified from the process's first moment on.
+	InitialList   *List            // nil: the configuration contains none
+	// PushedList reports that an agent on the machine pushes the endpoint list. The scheduler counts as
+	// notified of the agent's list from the start of the process.
 	PushedList bool
 	Site       wire.Site
 }
@@ -44,7 +44,7 @@
 	envDiscovery = "BALANCER_DISCOVERY"
 )
 
-// Keys of the configuration file that errors name.
+// Keys of the configuration file that appear in errors.
 const (
 	configKeyName       = "name"
 	configKeyListen     = "listen"
@@ -65,10 +65,10 @@
 	errNegativeLimit = errors.New("a limit is negative")
 )
 
-// ConfigError is a configuration value that cannot be used. Its text is one line.
+// ConfigError reports an invalid configuration value. Its text is one line.
 type ConfigError struct {
 	Key   string  // path of the value in the configuration file
-	Value *string // the value as it stands there; nil: the fault is not in one value
+	Value *string // the value as configured; nil: the error does not concern a single value
 	Err   error   // what is wrong with it
 }
 
@@ -89,9 +89,9 @@
 	return &ConfigError{Key: key, Value: &value, Err: err}
 }
 
-// Load reads and checks the configuration file that BALANCER_CONFIG names. BALANCER_NAME, BALANCER_LISTEN
-// and BALANCER_DISCOVERY supply what the file leaves out; the first two may not contradict it. Errors name
-// the file, and where it can be told the key, as a [*ConfigError].
+// Load reads and validates the configuration file that BALANCER_CONFIG names. BALANCER_NAME, BALANCER_LISTEN
+// and BALANCER_DISCOVERY supply values that the file omits; the first two must not contradict it. Errors name
+// the file and, if it is known, the key, as a [*ConfigError].
 func Load(lookup LookupEnv) (*Config, error) {
 	path := lookup(envConfig)
 	if path == "" {
--- a/internal/platform/config_file.go
+++ b/internal/platform/config_file.go
@@ -10,14 +10,14 @@
 	"landingpaddle/internal/wire"
 )
 
-// Assumptions where the configuration states no limit, and the least that it may state.
+// Defaults of limits that the configuration omits, and the least number of sockets that it may specify.
 const (
 	defaultMemoryMB = 64
 	defaultSockets  = 256
 	minSockets      = 32
 )
 
-// configFile is the configuration as it stands in its file. Keys that are not listed here are ignored.
+// configFile is the content of a configuration file. Keys that are not listed here are ignored.
 type configFile struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
@@ -31,7 +31,7 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// parseConfig turns a configuration file, completed from the environment, into a checked configuration.
+// parseConfig converts a configuration file, completed from the environment, into a validated configuration.
 func parseConfig(document []byte, lookup LookupEnv) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(document, &file); err != nil {
@@ -51,8 +51,9 @@
 	return config, nil
 }
 
-// applyEnvironment takes from the environment what the file leaves out. A discovery address in the file goes
-// before the environment's, since a changed file may name another one while the process runs.
+// applyEnvironment sets values that the file omits from the environment. A discovery address in the file
+// takes precedence over the environment's, since a changed file may specify another one while the process
+// runs.
 func (f *configFile) applyEnvironment(lookup LookupEnv) error {
 	for _, setting := range []struct {
 		key, variable string
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// parseLimits checks the machine's limits. A limit that is not stated is assumed to be small.
+// parseLimits checks the machine's limits. Memory and sockets get small defaults if they are not specified.
 func (c *Config) parseLimits(*configFile) error {
 	limits := &c.Limits
 	switch {
@@ -104,7 +105,7 @@
 		return keyError(configKeyLimits, errNegativeLimit)
 	case limits.Sockets > 0 && limits.Sockets < minSockets:
 		return keyError(configKeySockets,
-			fmt.Errorf("%d sockets are too few, %d are needed", limits.Sockets, minSockets))
+			fmt.Errorf("%d sockets are too few, at least %d are needed", limits.Sockets, minSockets))
 	}
 	if limits.MemoryMB == 0 {
 		limits.MemoryMB = defaultMemoryMB
@@ -122,8 +123,8 @@
 	if c.Site, err = wire.ParseNested(file.Settings); err != nil {
 		return err
 	}
-	// A pushed list comes from the machine's agent on a watch that has to be kept open like any other, so the
-	// scheduler has to poll for it.
+	// The machine's agent pushes its list on a watch that must be kept open like any other, so the scheduler
+	// has to poll.
 	settings := &c.Site.Settings
 	if c.PushedList = !settings.PollEndpoints; c.PushedList {
 		settings.PollEndpoints, settings.PollTimeout = true, 0
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// parsePeers reads the addresses of datagrams. Without a listening address no peer messages are exchanged.
+// parsePeers parses the datagram addresses. Without a listening address no peer messages are exchanged.
 func (c *Config) parsePeers(file *configFile) (err error) {
 	if !c.Site.Settings.PeerMessages || file.PeerListen == "" {
 		c.Site.Settings.PeerMessages = false
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// answerSlackMargin is the part of what the platform grants beyond every time limit that stays unused, as
+	// answerSlackMargin is the part of the platform's tolerance beyond every time limit that stays unused, as
 	// sockets and processors may be late.
 	answerSlackMargin = 30 * time.Millisecond
-	// responseMargin of a client's wait is kept for the way of the answer.
+	// responseMargin is the part of a client's wait that is reserved for the network delay of the response.
 	responseMargin = 5 * time.Millisecond
 )
 
@@ -33,10 +33,10 @@
 	started   chan net.Addr // receives the listener's address
 
 	mu               sync.Mutex
-	discovery        *discovery // nil: Run has not been called yet
+	discovery        *discovery // nil until Run sets it
 	discoveryAddress string
 
-	shutdown     chan struct{} // closed when a graceful shutdown is wanted
+	shutdown     chan struct{} // closed to request a graceful shutdown
 	shutdownOnce sync.Once
 	shutdownAt   time.Time // set before shutdown is closed
 }
@@ -73,7 +73,7 @@
 	return g, nil
 }
 
-// initialList is the endpoint list of the configuration, or an empty one.
+// initialList returns the endpoint list of the configuration, or an empty one.
 func (g *Gateway) initialList() (endpoints.Snapshot, error) {
 	var list List
 	if g.config.InitialList != nil {
@@ -88,7 +88,7 @@
 }
 
 // Run serves until a graceful shutdown is complete or ctx ends; both return nil. All goroutines that it
-// started have ended then. An address that cannot be listened at, for clients or for datagrams, is a
+// started have ended by then. If it cannot listen on the address for clients or for datagrams, the error is a
 // [*ConfigError].
 func (g *Gateway) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
@@ -128,7 +128,7 @@
 	return err
 }
 
-// startDrivers makes what carries the loop's actions out: discovery, the upstream pool and, where the
+// startDrivers creates the drivers that execute the loop's actions: discovery, the upstream pool and, if the
 // configuration has an address for it, gossip.
 func (g *Gateway) startDrivers(ctx context.Context, workers *sync.WaitGroup) (daemon.Drivers, error) {
 	g.mu.Lock()
@@ -147,8 +147,8 @@
 	return drivers, nil
 }
 
-// serveClients accepts clients. Where lists are pushed it first waits for a list or for the news that none
-// can be had now; an agent that is there and has nothing new says nothing, so the wait is bounded.
+// serveClients accepts clients. If lists are pushed, it first waits for a list or a failed call; an agent
+// that is connected and has nothing new sends nothing, so the wait is bounded.
 func (g *Gateway) serveClients(ctx context.Context, listener net.Listener) {
 	if g.config.PushedList {
 		select {
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -8,9 +8,9 @@
 
 // Bounds of HTTP messages, in bytes.
 const (
-	maxBody         = 64 << 10 // of requests and answers, by the protocol
+	maxBody         = 64 << 10 // of requests and responses, by the protocol
 	maxClientHead   = 8 << 10  // of a request's head
-	maxUpstreamHead = 8 << 10  // of an answer's head
+	maxUpstreamHead = 8 << 10  // of a response's head
 )
 
 // resourceLimits divides the machine's limits among their uses.
@@ -21,29 +21,30 @@
 	upstream     int   // connections to disk servers
 	openRequests int   // requests in flight
 	bodyBytes    int64 // of request bodies in flight
-	memoryBytes  int64 // that the Go runtime aims to stay under
+	memoryBytes  int64 // soft memory limit of the Go runtime
 }
 
 const (
 	// reservedSockets are set aside for discovery, datagrams, the listener, logs and the runtime, and for
 	// accepted connections that are closed at once.
 	reservedSockets = 24
-	// clientSocketsPercent of the sockets that are not reserved are for clients.
+	// clientSocketsPercent is the share of the unreserved sockets for client connections.
 	clientSocketsPercent = 60
-	// lingeringDivisor: one in so many of the clients' connections may be closing.
+	// lingeringDivisor divides the client connections; the quotient is the number that may linger.
 	lingeringDivisor = 16
 	minLingering     = 2
-	// keptIdleDivisor: connections that idle may take this part of all sockets. Clients hold a third of the
-	// descriptors at most, and a connection that one of them keeps for good is missing to the next request.
+	// keptIdleDivisor divides all sockets; the quotient is the number of connections that may idle. Clients
+	// hold at most a third of the descriptors, and a connection that a client never closes is not available
+	// to the next request.
 	keptIdleDivisor = 4
-	// bodyMemoryDivisor: request bodies may take this part of the memory.
+	// bodyMemoryDivisor divides the memory; the quotient is the limit of request bodies in flight.
 	bodyMemoryDivisor = 8
 	// The runtime's memory limit is this share of the machine's memory.
 	memoryLimitNumerator, memoryLimitDenominator = 6, 10
 )
 
-// limitsFor divides the machine. Clients get more connections than they usually need, as some of them hold
-// theirs without using it.
+// limitsFor divides the machine's resources. Clients get more connections than they usually need, as some of
+// them hold connections without using them.
 func limitsFor(config *Config) resourceLimits {
 	available := config.Limits.Sockets - reservedSockets
 	memory := int64(config.Limits.MemoryMB) << 20
@@ -58,8 +59,8 @@
 		bodyBytes:    memory / bodyMemoryDivisor,
 		memoryBytes:  memory * memoryLimitNumerator / memoryLimitDenominator,
 	}
-	if most := config.Site.MaxOpenRequests; most > 0 {
-		limits.openRequests = min(limits.openRequests, most)
+	if maxOpen := config.Site.MaxOpenRequests; maxOpen > 0 {
+		limits.openRequests = min(limits.openRequests, maxOpen)
 	}
 	return limits
 }
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -53,7 +53,7 @@
 	attrRequestsDuplicateID = "requests_duplicate_id"
 	attrRequestsOverLimit   = "requests_over_limit"
 
-	// Connections to disk servers now.
+	// Current connections to disk servers.
 	attrUpstreamConnections = "upstream_connections"
 	attrUpstreamIdle        = "upstream_idle"
 
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -1,6 +1,6 @@
 package platform
 
-// Reload takes over from a new configuration what may change while the scheduler runs: the address of the
+// Reload applies the part of a new configuration that may change while the scheduler runs: the address of the
 // discovery service. Everything else in it is ignored.
 func (g *Gateway) Reload(config *Config) {
 	g.mu.Lock()
--- a/internal/platform/status.go
+++ b/internal/platform/status.go
@@ -13,7 +13,7 @@
 // statusInterval is how often the state of connections and nodes is logged.
 const statusInterval = 5 * time.Second
 
-// nodeLatencyPrecision is the precision to which latencies are logged.
+// nodeLatencyPrecision is the precision of logged latencies.
 const nodeLatencyPrecision = 100 * time.Microsecond
 
 // logStatus logs connection statistics and the scheduler's view of the nodes until ctx ends.
@@ -24,7 +24,7 @@
 	})
 }
 
-// logNodeStates logs the scheduler's state of each disk server beside the attempts that are really in flight
+// logNodeStates logs the scheduler's state of each disk server and the number of attempts actually in flight
 // there. The loop calls it on its own goroutine.
 func (g *Gateway) logNodeStates(states []scheduler.NodeState) {
 	attempts := g.upstream.attemptsByNode()
@@ -42,7 +42,7 @@
 		state.Latency.Round(nodeLatencyPrecision), state.Failures)
 }
 
-// statusValue is the state of the connections, the counters and the process.
+// statusValue returns the state of the connections, the counters and the process.
 func (g *Gateway) statusValue() slog.Value {
 	attributes := []slog.Attr{slog.Any(attrCounters, &g.loop.Stats)}
 	attributes = append(attributes, g.frontend.statusAttributes()...)
