--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -16,14 +16,14 @@
 
 const (
 	defaultReconnectDelay = 500 * time.Millisecond
-	// watchIdleTimeout is long as a watch is silent while nothing changes.
+	// watchIdleTimeout is long because a watch carries no frames while the list does not change.
 	watchIdleTimeout = 24 * time.Hour
-	maxCommands      = 16 // that wait to be carried out
+	maxCommands      = 16 // calls that are queued for Run
 )
 
 // Errors that a client reports to ClientConfig.OnFailure.
 var (
-	ErrTooManyCalls = errors.New("too many calls to the registry wait")
+	ErrTooManyCalls = errors.New("too many queued calls to the registry")
 	ErrUnavailable  = errors.New("registry")
 )
 
@@ -31,15 +31,16 @@
 type ClientConfig struct {
 	Addr string
 	Conn proto.Config
-	// Push means that the registry sends changes by itself: the client watches from its start and reconnects
-	// by itself. Else it does only what it is asked for.
+	// Push means that the registry pushes changes: the client opens a watch when it starts and reconnects
+	// automatically. Otherwise it connects only for the calls of its methods.
 	Push bool
-	// ReconnectDelay is the mean delay before a pushing registry is connected to again; 0: half a second.
+	// ReconnectDelay is the mean delay before reconnecting to a registry that pushes; 0 means 500 ms.
 	ReconnectDelay time.Duration
-	// Version returns the list held, so that only changes are sent.
+	// Version returns the version of the list that the instance stores, so that the registry sends only
+	// later changes; nil requests full lists.
 	Version func() (epoch, version uint64)
-	// OnUpdate takes an update, OnFailure that a call failed or a watch broke. Both are called from the
-	// client's goroutines and must not block.
+	// OnUpdate is called with each update, OnFailure when a call failed or the connection ended. Both are
+	// called from the client's goroutines, OnFailure also from a caller's, and must not block.
 	OnUpdate  func(endpoints.Update)
 	OnFailure func(error)
 }
@@ -56,7 +57,7 @@
 // Streams of a connection.
 const (
 	streamWatch = 1
-	streamFetch = 2 // and up
+	streamFetch = 2 // each fetch has a higher number
 )
 
 // Client calls a registry. Its methods never block and may be called by any goroutine.
@@ -65,7 +66,7 @@
 	commands chan command
 }
 
-// NewClient prepares a client; Run makes it work.
+// NewClient returns a client that sends nothing until Run is called.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.ReconnectDelay == 0 {
 		cfg.ReconnectDelay = defaultReconnectDelay
@@ -75,7 +76,7 @@
 	return &Client{cfg: cfg, commands: make(chan command, maxCommands)}
 }
 
-// Watch opens or ends the standing watch.
+// Watch opens the watch, on which the registry sends updates, or cancels it.
 func (c *Client) Watch(on bool) {
 	if on {
 		c.enqueue(watchOn)
@@ -84,10 +85,10 @@
 	}
 }
 
-// Fetch asks for the list once: changes since the one held, or the full list.
+// Fetch requests the list once: the changes since the stored version, or the full list.
 func (c *Client) Fetch() { c.enqueue(fetch) }
 
-// FetchFull asks for the full list once, as no change can build on the one held.
+// FetchFull requests the full list once, for an instance that could not apply a change to the stored list.
 func (c *Client) FetchFull() { c.enqueue(fetchFull) }
 
 func (c *Client) enqueue(command command) {
@@ -98,7 +99,7 @@
 	}
 }
 
-// Run carries calls out until ctx ends.
+// Run connects to the registry and sends the queued calls until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	caller := &clientLoop{client: c, group: group}
@@ -106,12 +107,12 @@
 	return group.Wait()
 }
 
-// clientLoop carries a client's calls out, on one connection at a time. It is owned by the goroutine of run.
+// clientLoop sends a client's calls, on one connection at a time. It is owned by the goroutine of run.
 type clientLoop struct {
 	client    *Client
 	group     *errgroup.Group
 	link      *link            // nil: not connected
-	reconnect <-chan time.Time // nil: no reconnect is due
+	reconnect <-chan time.Time // nil: no reconnect is scheduled
 }
 
 func (l *clientLoop) run(ctx context.Context) error {
@@ -139,7 +140,8 @@
 	}
 }
 
-// linkEnded receives why the connection ended; it blocks for ever without one.
+// linkEnded returns the channel that receives the cause of the connection's end; nil, which blocks forever,
+// without a connection.
 func (l *clientLoop) linkEnded() <-chan error {
 	if l.link == nil {
 		return nil
@@ -147,10 +149,10 @@
 	return l.link.ended
 }
 
-// call sends a call, on a new connection if there is none.
+// call sends a call, on a new connection if none is open.
 func (l *clientLoop) call(ctx context.Context, command command) {
 	if l.link == nil {
-		made, err := l.client.connect(ctx, l.group)
+		newLink, err := l.client.connect(ctx, l.group)
 		if err != nil {
 			if ctx.Err() == nil {
 				l.client.cfg.OnFailure(fmt.Errorf("%w: %w", ErrUnavailable, err))
@@ -158,7 +160,7 @@
 			}
 			return
 		}
-		l.link = made
+		l.link = newLink
 	}
 	if err := l.link.call(command, l.client.cfg.Version); err != nil {
 		l.link.conn.Close(err)
@@ -175,8 +177,8 @@
 	l.scheduleReconnect()
 }
 
-// scheduleReconnect connects to a pushing registry again after a random delay, so that instances do not do so
-// in step.
+// scheduleReconnect schedules a reconnect to a registry that pushes. The delay is random, so that instances
+// do not reconnect at the same time.
 func (l *clientLoop) scheduleReconnect() {
 	if mean := l.client.cfg.ReconnectDelay; l.client.cfg.Push {
 		l.reconnect = time.After(mean/2 + rand.N(mean))
@@ -188,7 +190,7 @@
 	conn       *proto.Conn
 	ended      chan error
 	watching   bool
-	called     bool // any call since it was made
+	called     bool // a call was sent on this connection
 	lastStream uint64
 }
 
@@ -207,11 +209,11 @@
 	return l, nil
 }
 
-// call sends a call with the version of the list held, unless the full list is wanted.
-func (l *link) call(command command, held func() (epoch, version uint64)) error {
+// call sends a call with the version of the stored list, or without one to request the full list.
+func (l *link) call(command command, storedVersion func() (epoch, version uint64)) error {
 	var version proto.ListVersion
-	if command != fetchFull && held != nil {
-		version.Epoch, version.Version = held()
+	if command != fetchFull && storedVersion != nil {
+		version.Epoch, version.Version = storedVersion()
 	}
 	l.called = true
 	switch command {
@@ -229,8 +231,8 @@
 	return l.conn.Send(proto.TypeFetch, l.lastStream, version, nil)
 }
 
-// handleFrame takes in what the registry sends. An update is acknowledged once it has been passed on, so that
-// the registry's own record tells when this instance knew.
+// handleFrame handles a frame from the registry. An update is acknowledged after OnUpdate has returned, so
+// that the registry's record shows when this instance received it.
 func (c *Client) handleFrame(conn *proto.Conn, frame proto.Frame) error {
 	switch frame.Type {
 	case proto.TypeUpdate:
@@ -250,5 +252,5 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("a registry sends no frame of type %v", frame.Type)
+	return fmt.Errorf("unexpected frame of type %v from the registry", frame.Type)
 }
--- a/internal/registry/message.go
+++ b/internal/registry/message.go
@@ -11,21 +11,21 @@
 	"landingpaddle/scheduler"
 )
 
-// MaxEndpoints bounds a list read from outside.
+// MaxEndpoints is the maximum length of a list that is received or loaded from a file.
 const MaxEndpoints = 20_000
 
-// Limits of the registry protocol's frames: a list is one header.
+// Limits are the frame limits of the registry protocol, in which a whole list is one header.
 var Limits = proto.Limits{MaxHeader: 4 << 20, MaxPayload: 0, MaxStreams: 16, MaxBacklog: 64 << 20}
 
-// Errors of endpoints read from outside.
+// Errors of endpoint lists and addresses that come from outside the process.
 var (
-	ErrTooManyEndpoints = fmt.Errorf("a list holds %d endpoints at most", MaxEndpoints)
-	ErrUnknownStatus    = errors.New("status is not known")
+	ErrTooManyEndpoints = fmt.Errorf("list exceeds %d endpoints", MaxEndpoints)
+	ErrUnknownStatus    = errors.New("unknown status")
 	ErrNoPort           = errors.New("port 0")
 	ErrNotIPv4          = errors.New("not an IPv4 address")
 )
 
-// EndpointRecord is an endpoint on the wire and in snapshot files. The keys must not change.
+// EndpointRecord is the encoding of an endpoint in frames and snapshot files. The keys must not change.
 type EndpointRecord struct {
 	Addr            uint32  `cbor:"1,keyasint"` // IPv4, most significant byte first
 	Port            uint16  `cbor:"2,keyasint"`
@@ -37,7 +37,8 @@
 	NominalCapacity float64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Message is the header of an update frame and the body of a snapshot file. The keys must not change.
+// Message is the header of an update or register frame and the body of a snapshot file. The keys must
+// not change.
 type Message struct {
 	Epoch       uint64           `cbor:"1,keyasint"`
 	Version     uint64           `cbor:"2,keyasint"`
@@ -46,7 +47,8 @@
 	Endpoints   []EndpointRecord `cbor:"5,keyasint"`
 }
 
-// ServerFromAddrPort converts an address such as 127.0.0.1:7100. An address that is not IPv4 is ErrNotIPv4.
+// ServerFromAddrPort converts an address such as 127.0.0.1:7100. The error of an address that is not IPv4
+// wraps ErrNotIPv4.
 func ServerFromAddrPort(addr netip.AddrPort) (scheduler.Server, error) {
 	ip := addr.Addr().Unmap()
 	if !ip.Is4() {
@@ -60,7 +62,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(s.Addr), s.Port)
 }
 
-// DecodeUpdate reads the header of an update frame.
+// DecodeUpdate decodes the header of an update or register frame.
 func DecodeUpdate(frame proto.Frame) (endpoints.Update, error) {
 	var message Message
 	if err := frame.Decode(&message); err != nil {
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -9,11 +9,11 @@
 	"landingpaddle/internal/proto"
 )
 
-// registerRetryDelay is the delay before a registry that cannot be reached is connected to again.
+// registerRetryDelay is the delay before a node reconnects to a registry that cannot be reached.
 const registerRetryDelay = 100 * time.Millisecond
 
-// Register keeps a node listed for as long as ctx lasts: each endpoint received from changes is sent to the
-// registry, and the last one again after a reconnect.
+// Register keeps a node listed until ctx ends: it sends each endpoint received from changes to the registry,
+// and sends the last one again after a reconnect.
 func Register(ctx context.Context, addr string, cfg proto.Config, changes <-chan endpoints.Endpoint) error {
 	cfg.Limits, cfg.IdleTimeout = Limits, watchIdleTimeout
 	r := &registration{changes: changes}
@@ -28,10 +28,10 @@
 	return nil
 }
 
-// registration is a node's registration over all its connections.
+// registration is the state of a node's registration across reconnects.
 type registration struct {
 	changes <-chan endpoints.Endpoint
-	last    *endpoints.Endpoint // nil: nothing to register yet
+	last    *endpoints.Endpoint // nil: no endpoint was received yet
 }
 
 func (r *registration) waitForRetry(ctx context.Context) {
@@ -43,12 +43,12 @@
 	}
 }
 
-// serve sends changes on a connection until it or ctx ends.
+// serve sends endpoints on a connection until the connection or ctx ends.
 func (r *registration) serve(ctx context.Context, conn *proto.Conn) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = conn.Run(ctx, func(frame proto.Frame) error { // its end is all that matters
+		_ = conn.Run(ctx, func(frame proto.Frame) error { // the cause of the end is not needed
 			return fmt.Errorf("unexpected frame of type %v", frame.Type)
 		})
 	}()
@@ -72,5 +72,5 @@
 
 func send(conn *proto.Conn, endpoint endpoints.Endpoint) {
 	message := Message{Endpoints: recordsOf([]endpoints.Endpoint{endpoint})}
-	_ = conn.Send(proto.TypeRegister, 0, message, nil) // after a reconnect it is sent again
+	_ = conn.Send(proto.TypeRegister, 0, message, nil) // the endpoint is sent again after a reconnect
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -23,7 +23,7 @@
 	return endpoints.Endpoint{Server: server, Status: s, Cell: uint16(port), StartedAt: 7, NominalCapacity: 1}
 }
 
-// rig is a stand-in registry and one client of it.
+// rig is a stand-in registry with one client.
 type rig struct {
 	server       *Server
 	client       *Client
@@ -34,7 +34,7 @@
 }
 
 // start runs a registry and a client until the test ends.
-func start(t *testing.T, cfg ServerConfig, push bool, held func() (uint64, uint64)) *rig {
+func start(t *testing.T, cfg ServerConfig, push bool, storedVersion func() (uint64, uint64)) *rig {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -46,12 +46,12 @@
 		acknowledged: make(chan endpoints.Endpoint, 64),
 		addr:         ln.Addr().String(),
 	}
-	cfg.OnAcknowledged = func(inst uint32, e endpoints.Endpoint) { r.acknowledged <- e }
+	cfg.OnAcknowledged = func(_ uint32, e endpoints.Endpoint) { r.acknowledged <- e }
 	cfg.Epoch = 9
 	r.server = NewServer(cfg)
 	r.client = NewClient(
-		ClientConfig{Addr: r.addr, Push: push, ReconnectDelay: 20 * time.Millisecond, Version: held,
-			OnUpdate:  func(n endpoints.Update) { r.updates <- n },
+		ClientConfig{Addr: r.addr, Push: push, ReconnectDelay: 20 * time.Millisecond, Version: storedVersion,
+			OnUpdate:  func(update endpoints.Update) { r.updates <- update },
 			OnFailure: func(err error) { r.errs <- err }},
 	)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -62,7 +62,7 @@
 	return r
 }
 
-// next receives what must arrive soon.
+// next receives a value that must arrive within 5 s.
 func next[T any](t *testing.T, c chan T) T {
 	t.Helper()
 	select {
@@ -79,55 +79,57 @@
 	r.server.Put(endpoint(1, scheduler.Ready))
 	time.Sleep(50 * time.Millisecond)
 	r.client.Watch(true)
-	if n := next(t, r.updates); !n.Full || len(n.Endpoints) != 1 || n.Epoch != 9 {
-		t.Fatalf("first update %+v", n)
+	if update := next(t, r.updates); !update.Full || len(update.Endpoints) != 1 || update.Epoch != 9 {
+		t.Fatalf("first update %+v", update)
 	}
 	if e := next(t, r.acknowledged); e.Server.Port != 1 {
 		t.Errorf("acknowledged %+v", e)
 	}
 	r.server.Put(endpoint(2, scheduler.Draining))
-	n := next(t, r.updates)
-	if n.Full || n.BaseVersion+1 != n.Version || n.Endpoints[0].Status != scheduler.Draining {
-		t.Errorf("change %+v", n)
+	update := next(t, r.updates)
+	if update.Full || update.BaseVersion+1 != update.Version ||
+		update.Endpoints[0].Status != scheduler.Draining {
+		t.Errorf("change %+v", update)
 	}
 	r.client.Watch(false)
 	time.Sleep(50 * time.Millisecond)
 	r.server.Put(endpoint(3, scheduler.Ready))
-	// The registry publishes a change after a delay of its own: a fetch may overtake it.
+	// The registry publishes a change from a timer: a fetch may be served before it.
 	for tries := 1; ; tries++ {
 		r.client.Fetch()
-		n := next(t, r.updates)
-		if n.Full && len(n.Endpoints) == 3 {
+		update := next(t, r.updates)
+		if update.Full && len(update.Endpoints) == 3 {
 			return
 		}
-		if !n.Full || tries == 100 {
-			t.Fatalf("fetch %d after the watch ended: %+v", tries, n)
+		if !update.Full || tries == 100 {
+			t.Fatalf("fetch %d after the watch ended: %+v", tries, update)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func TestClient_FetchGetsOnlyChangesToTheListHeld(t *testing.T) {
+func TestClient_FetchGetsOnlyChangesToTheStoredList(t *testing.T) {
 	r := start(t, ServerConfig{MaxWait: time.Second}, false, func() (uint64, uint64) { return 9, 1 })
 	r.server.Put(endpoint(1, scheduler.Ready))
 	r.server.Put(endpoint(2, scheduler.Ready))
 	time.Sleep(50 * time.Millisecond)
 	r.client.Fetch()
-	if n := next(t, r.updates); n.Full || n.BaseVersion != 1 || len(n.Endpoints) != 1 ||
-		n.Endpoints[0].Server.Port != 2 {
-		t.Errorf("changes %+v", n)
+	if update := next(t, r.updates); update.Full || update.BaseVersion != 1 || len(update.Endpoints) != 1 ||
+		update.Endpoints[0].Server.Port != 2 {
+		t.Errorf("changes %+v", update)
 	}
 	r.client.FetchFull()
-	if n := next(t, r.updates); !n.Full || len(n.Endpoints) != 2 {
-		t.Errorf("full list %+v", n)
+	if update := next(t, r.updates); !update.Full || len(update.Endpoints) != 2 {
+		t.Errorf("full list %+v", update)
 	}
 }
 
-// Endpoints are published after the stated delay; a node whose process ends is gone, after the delay as well.
+// Endpoints are published after the configured delay; a node whose process ended is removed after the same
+// delay.
 func TestServer_DelaysChangesAndRemovesEndedNodes(t *testing.T) {
 	r := start(t, ServerConfig{MaxWait: time.Second, Delay: 150 * time.Millisecond}, true, nil)
-	if n := next(t, r.updates); !n.Full || len(n.Endpoints) != 0 {
-		t.Fatalf("empty list: %+v", n)
+	if update := next(t, r.updates); !update.Full || len(update.Endpoints) != 0 {
+		t.Fatalf("empty list: %+v", update)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	changes := make(chan endpoints.Endpoint, 1)
@@ -135,20 +137,20 @@
 	wg.Go(func() { _ = Register(ctx, r.addr, proto.Config{}, changes) })
 	began := time.Now()
 	changes <- endpoint(5, scheduler.Ready)
-	if n := next(t,
-		r.updates); n.Endpoints[0].Status != scheduler.Ready || time.Since(began) < 150*time.Millisecond {
-		t.Errorf("after %v: %+v", time.Since(began), n)
+	if update := next(t, r.updates); update.Endpoints[0].Status != scheduler.Ready ||
+		time.Since(began) < 150*time.Millisecond {
+		t.Errorf("after %v: %+v", time.Since(began), update)
 	}
 	began = time.Now()
 	cancel()
 	wg.Wait()
-	if n := next(t, r.updates); n.Endpoints[0].Status != scheduler.Gone ||
+	if update := next(t, r.updates); update.Endpoints[0].Status != scheduler.Gone ||
 		time.Since(began) < 140*time.Millisecond {
-		t.Errorf("after %v: %+v", time.Since(began), n)
+		t.Errorf("after %v: %+v", time.Since(began), update)
 	}
 }
 
-// Calls over the registry's capacity that wait too long fail; the others are served.
+// Calls that would wait longer than MaxWait for a worker fail; the others are served.
 func TestServer_FailsCallsThatWaitTooLong(t *testing.T) {
 	r := start(t, ServerConfig{Workers: 1, CallTime: 100 * time.Millisecond,
 		MaxWait: 150 * time.Millisecond}, false,
@@ -166,8 +168,9 @@
 	}
 }
 
-// The registry is down at the start: a polling client is notified, one with pushed lists is connected later.
-func TestClient_SurvivesARegistryThatIsDownAtTheStart(t *testing.T) {
+// The registry is unreachable at the start: a polling client reports the failure, and one to which lists are
+// pushed also connects once the registry is available.
+func TestClient_HandlesARegistryThatIsDownAtTheStart(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -178,7 +181,7 @@
 	for _, push := range []bool{false, true} {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := NewClient(ClientConfig{Addr: addr, Push: push, ReconnectDelay: 20 * time.Millisecond,
-			OnUpdate: func(n endpoints.Update) { updates <- n }, OnFailure: func(err error) {
+			OnUpdate: func(update endpoints.Update) { updates <- update }, OnFailure: func(err error) {
 				select {
 				case errs <- err:
 				default:
@@ -206,9 +209,9 @@
 func FuzzDecodeUpdate(f *testing.F) {
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n, err := DecodeUpdate(proto.Frame{Type: proto.TypeUpdate, Header: data})
-		if err == nil && len(n.Endpoints) > MaxEndpoints {
-			t.Fatal("more endpoints than the bound")
+		update, err := DecodeUpdate(proto.Frame{Type: proto.TypeUpdate, Header: data})
+		if err == nil && len(update.Endpoints) > MaxEndpoints {
+			t.Fatal("more endpoints than MaxEndpoints")
 		}
 		_, _ = parseSnapshot(data)
 	})
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -14,7 +14,7 @@
 	"landingpaddle/scheduler"
 )
 
-// Reasons in the answers to calls that fail.
+// Reasons in the answers to failed calls.
 const (
 	reasonDown = "down"
 	reasonBusy = "busy"
@@ -25,18 +25,18 @@
 // ServerConfig configures a stand-in registry.
 type ServerConfig struct {
 	Epoch    uint64
-	Delay    time.Duration // after which changes are published
-	Workers  int           // calls served at the same time; at least 1
-	CallTime time.Duration // that one call takes
-	MaxWait  time.Duration // a call that would wait longer for a worker fails after this
-	MaxConns int           // 0: 4096
+	Delay    time.Duration // between a change and its publication
+	Workers  int           // calls served concurrently; at least 1
+	CallTime time.Duration // service time of one call
+	MaxWait  time.Duration // a call that would wait longer for a worker fails after this time
+	MaxConns int           // 0 means 4096
 	Conn     proto.Config
-	// OnAcknowledged, where set, is called when an instance has acknowledged an update that contains an
-	// endpoint.
+	// OnAcknowledged, if not nil, is called for each endpoint of an update when an instance has acknowledged
+	// the update.
 	OnAcknowledged func(instance uint32, endpoint endpoints.Endpoint)
 }
 
-// Server is the stand-in: nodes register with it and are listed for as long as their connection lasts. Its
+// Server is the stand-in registry: nodes register with it and are listed until their connection ends. Its
 // methods may be called by any goroutine.
 type Server struct {
 	cfg ServerConfig
@@ -45,23 +45,23 @@
 	delay       time.Duration
 	down        bool
 	version     uint64
-	listed      map[scheduler.Server]endpoints.Endpoint // as published; gone ones stay with that status
-	changedIn   map[scheduler.Server]uint64             // version of the last change
+	listed      map[scheduler.Server]endpoints.Endpoint // as published; removed nodes stay, marked so
+	changedIn   map[scheduler.Server]uint64             // version of each endpoint's last change
 	watchers    map[*session]struct{}
-	workersFree []time.Time // when each worker is free
+	workersFree []time.Time // when each worker becomes free
 	timers      map[*time.Timer]struct{}
-	unpublished []change // in order
+	unpublished []change // in the order of arrival
 	closed      bool
 }
 
-// change is a change of an endpoint that is not published yet.
+// change is a change to an endpoint that is not published yet.
 type change struct {
 	due      time.Time
 	endpoint endpoints.Endpoint
-	ended    bool // its process ended, unless a later incarnation is listed by then
+	ended    bool // the process ended; ignored if a later incarnation is listed when it is due
 }
 
-// NewServer returns a registry that lists nothing.
+// NewServer returns a registry with an empty list.
 func NewServer(cfg ServerConfig) *Server {
 	cfg.Workers, cfg.MaxConns = max(cfg.Workers, 1), cmp.Or(cfg.MaxConns, defaultMaxConns)
 	cfg.Conn.Limits = Limits
@@ -78,14 +78,15 @@
 	}
 }
 
-// SetDelay changes the delay of changes from now on.
+// SetDelay sets the delay with which later changes are published.
 func (s *Server) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// SetDown makes all calls fail and breaks the watches, or ends that.
+// SetDown sets whether the registry is down. Going down closes the connections of all watches; while it is
+// down, all calls fail.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// Serve runs the registry until ctx ends.
+// Serve serves connections until ctx ends.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	err := proto.Serve(ctx, ln, s.cfg.Conn, s.cfg.MaxConns, s.serveConn)
 	s.mu.Lock()
@@ -110,7 +111,7 @@
 	return err
 }
 
-// after runs f with the lock held after a while, unless the registry has ended by then. The lock is held.
+// after runs f, with the lock held, after d, unless Serve has ended by then. The caller holds the lock.
 func (s *Server) after(d time.Duration, f func()) {
 	var timer *time.Timer
 	run := func() {
@@ -125,16 +126,16 @@
 	s.timers[timer] = struct{}{}
 }
 
-// Put lists an endpoint, after the delay.
+// Put adds an endpoint to the list or replaces it, after the delay.
 func (s *Server) Put(endpoint endpoints.Endpoint) { s.schedule(change{endpoint: endpoint}) }
 
-// remove lists an endpoint as gone, after the delay.
+// remove marks an endpoint as removed, after the delay.
 func (s *Server) remove(endpoint endpoints.Endpoint) {
 	s.schedule(change{endpoint: endpoint, ended: true})
 }
 
-// schedule queues a change. Changes are published in the order in which they came, also where the delay
-// became less.
+// schedule queues a change. Changes are published in the order of arrival, even if the delay is reduced
+// between them.
 func (s *Server) schedule(c change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,23 +150,24 @@
 	s.after(time.Until(c.due), s.publishDue)
 }
 
-// publishDue publishes all changes that are due. The lock is held.
+// publishDue publishes all changes that are due. The caller holds the lock.
 func (s *Server) publishDue() {
 	for len(s.unpublished) > 0 && !s.unpublished[0].due.After(time.Now()) {
 		next := s.unpublished[0]
 		s.unpublished = s.unpublished[1:]
-		if now := s.listed[next.endpoint.Server]; next.ended {
-			if now.StartedAt > next.endpoint.StartedAt {
+		if current := s.listed[next.endpoint.Server]; next.ended {
+			if current.StartedAt > next.endpoint.StartedAt {
 				continue
 			}
-			next.endpoint = now
+			next.endpoint = current
 			next.endpoint.Status = scheduler.Gone
 		}
 		s.publish(next.endpoint)
 	}
 }
 
-// publish writes an endpoint into the list and sends it to all watchers. The lock is held.
+// publish writes an endpoint into the list and sends it to all watchers, unless a later incarnation is
+// listed. The caller holds the lock.
 func (s *Server) publish(endpoint endpoints.Endpoint) {
 	if old, ok := s.listed[endpoint.Server]; ok && old.StartedAt > endpoint.StartedAt {
 		return
@@ -179,15 +181,16 @@
 	}
 }
 
-// call serves a watch or fetch when a worker is free.
-func (s *Server) call(caller *session, kind proto.Type, stream uint64, held proto.ListVersion) {
+// call serves a watch or fetch as soon as a worker is free. A call fails at once while the registry is down,
+// and after MaxWait if the wait for a worker would be longer.
+func (s *Server) call(caller *session, kind proto.Type, stream uint64, stored proto.ListVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	freeFirst := slices.MinFunc(s.workersFree, time.Time.Compare)
+	earliestFree := slices.MinFunc(s.workersFree, time.Time.Compare)
 	start := now
-	if freeFirst.After(now) {
-		start = freeFirst
+	if earliestFree.After(now) {
+		start = earliestFree
 	}
 	switch wait := start.Sub(now); {
 	case s.down:
@@ -195,28 +198,28 @@
 	case wait > s.cfg.MaxWait:
 		s.after(s.cfg.MaxWait, func() { caller.fail(stream, reasonBusy) })
 	default:
-		s.workersFree[slices.Index(s.workersFree, freeFirst)] = start.Add(s.cfg.CallTime)
+		s.workersFree[slices.Index(s.workersFree, earliestFree)] = start.Add(s.cfg.CallTime)
 		s.after(wait+s.cfg.CallTime, func() {
 			if kind == proto.TypeWatch {
 				s.watchers[caller] = struct{}{}
 			}
-			s.send(caller, s.updateSince(held), stream)
+			s.send(caller, s.updateSince(stored), stream)
 		})
 	}
 }
 
-// updateSince returns what has changed since the list that an instance holds, or the full list where that is
-// unknown. The lock is held.
-func (s *Server) updateSince(held proto.ListVersion) endpoints.Update {
-	isUnknown := held.Epoch != s.cfg.Epoch || held.Version == 0 || held.Version > s.version
-	update := endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: held.Version,
+// updateSince returns the changes since the version that an instance stores, or the full list if that version
+// is unknown. The caller holds the lock.
+func (s *Server) updateSince(stored proto.ListVersion) endpoints.Update {
+	isUnknown := stored.Epoch != s.cfg.Epoch || stored.Version == 0 || stored.Version > s.version
+	update := endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: stored.Version,
 		Full: isUnknown}
 	for _, endpoint := range s.listed {
-		wanted := s.changedIn[endpoint.Server] > held.Version
+		included := s.changedIn[endpoint.Server] > stored.Version
 		if update.Full {
-			wanted = endpoint.Status != scheduler.Gone
+			included = endpoint.Status != scheduler.Gone
 		}
-		if wanted {
+		if included {
 			update.Endpoints = append(update.Endpoints, endpoint)
 		}
 	}
@@ -224,26 +227,27 @@
 	return update
 }
 
-// send sends an update and notes what its acknowledgement will confirm. The lock is held.
+// send sends an update and records the endpoints that its acknowledgement confirms. The caller holds the
+// lock.
 func (s *Server) send(to *session, update endpoints.Update, stream uint64) {
 	if to.conn.Send(proto.TypeUpdate, stream, messageOf(update), nil) != nil {
 		return
 	}
 	sent := update.Endpoints
 	if update.Full {
-		sent = slices.Collect(maps.Values(s.listed)) // what is missing in a full list is gone
+		sent = slices.Collect(maps.Values(s.listed)) // a full list confirms removed nodes too: it lacks them
 	}
 	to.unacknowledged[update.Version] = append(to.unacknowledged[update.Version], sent...)
 }
 
-// acknowledge reports what an instance knows by its acknowledgement of a version.
+// acknowledge reports the endpoints that an instance confirms by acknowledging a version.
 func (s *Server) acknowledge(from *session, version uint64) {
 	s.mu.Lock()
-	known := from.unacknowledged[version]
+	confirmed := from.unacknowledged[version]
 	delete(from.unacknowledged, version)
 	s.mu.Unlock()
 	if s.cfg.OnAcknowledged != nil {
-		for _, endpoint := range known {
+		for _, endpoint := range confirmed {
 			s.cfg.OnAcknowledged(from.instance, endpoint)
 		}
 	}
--- a/internal/registry/snapshot_file.go
+++ b/internal/registry/snapshot_file.go
@@ -10,13 +10,13 @@
 	"landingpaddle/internal/statefile"
 )
 
-// snapshotMagic begins a snapshot file; another number in it would be another form.
+// snapshotMagic starts a snapshot file; its digit is the version of the format.
 const snapshotMagic = "LPLIST1\n"
 
-// SnapshotFile holds the last list that an instance knew, for its next incarnation.
+// SnapshotFile stores the last endpoint list of an instance, for its next incarnation.
 type SnapshotFile struct {
-	Path string // "": nothing is saved
-	// Write replaces the file durably; nil is statefile.Replace. Tests simulate a full disk by it.
+	Path string // empty: no list is saved
+	// Write replaces the file durably; nil means statefile.Replace. Tests use it to simulate a full disk.
 	Write func(path string, data []byte) error
 }
 
@@ -36,13 +36,13 @@
 		write = statefile.Replace
 	}
 	if err := write(f.Path, data); err != nil {
-		return fmt.Errorf("saving the list: %w", err)
+		return fmt.Errorf("saving the endpoint list: %w", err)
 	}
 	return nil
 }
 
-// Load reads the snapshot. No file is an empty list. The error of a file that is truncated or changed wraps
-// statefile.ErrCorrupt; the instance then starts as if there were none.
+// Load reads the snapshot, which is empty if the file does not exist. The error of a truncated or changed
+// file wraps statefile.ErrCorrupt; the instance then starts without a list.
 func (f SnapshotFile) Load() (endpoints.Snapshot, error) {
 	data, err := os.ReadFile(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/registry/snapshot_file_test.go
+++ b/internal/registry/snapshot_file_test.go
@@ -14,8 +14,8 @@
 	"landingpaddle/scheduler"
 )
 
-// The files in testdata were written before any field was renamed: what they hold must stay readable, and
-// what is written must stay the same bytes.
+// The files in testdata were written before any field was renamed: they must stay readable, and saving their
+// lists must yield the same bytes.
 const (
 	storedList  = "testdata/list.bin"      // storedSnapshot, written field by field
 	stoppedList = "testdata/list-stop.bin" // written by a process that watched a registry
@@ -72,8 +72,8 @@
 	sameListBytes(t, stoppedList, got)
 }
 
-// sameListBytes checks that a list is written as the file that it was read from.
-func sameListBytes(t *testing.T, path string, k endpoints.Snapshot) {
+// sameListBytes checks that saving a list yields the bytes of the file that it was read from.
+func sameListBytes(t *testing.T, path string, snapshot endpoints.Snapshot) {
 	t.Helper()
 	want, err := os.ReadFile(path)
 	if err != nil {
@@ -81,19 +81,20 @@
 	}
 	var data []byte
 	f := SnapshotFile{Path: path, Write: func(_ string, written []byte) error { data = written; return nil }}
-	if err := f.Save(k); err != nil {
+	if err := f.Save(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(data, want) {
-		t.Errorf("%s: the list is written as other bytes:\n%x\nwant\n%x", path, data, want)
+		t.Errorf("%s: saved bytes: got\n%x\nwant\n%x", path, data, want)
 	}
 }
 
-// A file that is truncated or changed anywhere is reported, and a write that fails leaves the old file.
+// A file that is truncated at any length or changed in any byte is reported, and a failed write leaves the
+// old file.
 func TestSnapshotFile_ReportsDamageAndKeepsTheOldList(t *testing.T) {
 	f := SnapshotFile{Path: filepath.Join(t.TempDir(), "list")}
-	if k, err := f.Load(); err != nil || k.Version != 0 {
-		t.Fatalf("no file: %+v, %v", k, err)
+	if snapshot, err := f.Load(); err != nil || snapshot.Version != 0 {
+		t.Fatalf("no file: %+v, %v", snapshot, err)
 	}
 	want := endpoints.Snapshot{
 		Epoch:   3,
@@ -111,20 +112,20 @@
 	data, _ := os.ReadFile(f.Path)
 	for n := range data {
 		if _, err := parseSnapshot(data[:n]); !errors.Is(err, statefile.ErrCorrupt) {
-			t.Fatalf("cut at %d: %v", n, err)
+			t.Fatalf("truncated at %d: %v", n, err)
 		}
-		bad := append([]byte(nil), data...)
-		bad[n] ^= 1
-		if _, err := parseSnapshot(bad); !errors.Is(err, statefile.ErrCorrupt) {
+		changed := append([]byte(nil), data...)
+		changed[n] ^= 1
+		if _, err := parseSnapshot(changed); !errors.Is(err, statefile.ErrCorrupt) {
 			t.Fatalf("byte %d changed: %v", n, err)
 		}
 	}
 	f.Write = func(string, []byte) error { return syscall.ENOSPC }
 	if err := f.Save(want); !errors.Is(err, syscall.ENOSPC) {
-		t.Errorf("a full disk: %v", err)
+		t.Errorf("full disk: %v", err)
 	}
 	f.Write = nil
-	if k, err := f.Load(); err != nil || k.Version != 4 {
-		t.Errorf("the old list after a failed write: %+v, %v", k, err)
+	if snapshot, err := f.Load(); err != nil || snapshot.Version != 4 {
+		t.Errorf("list after a failed write: %+v, %v", snapshot, err)
 	}
 }
