--- a/internal/peer/bytes_test.go
+++ b/internal/peer/bytes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A datagram's bytes are part of the protocol.
+// The encoding of a datagram is part of the protocol.
 func TestEncode_WritesTheBytesOfTheProtocol(t *testing.T) {
 	const want = "4c50503107000000626f6479a8eac565"
 	datagram, err := Encode(7, []byte("body"))
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -7,11 +7,11 @@
 	"hash/crc32"
 )
 
-// MaxBody bounds the body of a message, in bytes.
+// MaxBody is the maximum length of a message's body, in bytes.
 const MaxBody = 256
 
-// A datagram is a magic string, the sender's number (u32, little-endian), the body, and the CRC-32C of all
-// before it (u32, little-endian).
+// A datagram consists of a magic string, the sender's instance number (u32, little-endian), the body, and the
+// CRC-32C of the preceding bytes (u32, little-endian).
 const (
 	magic        = "LPP1"
 	senderSize   = 4 // bytes
@@ -22,13 +22,14 @@
 
 // Errors of datagrams.
 var (
-	ErrBodyTooLong = fmt.Errorf("a message holds %d bytes at most", MaxBody)
-	ErrMalformed   = errors.New("no message of this protocol")
+	ErrBodyTooLong = fmt.Errorf("message body exceeds %d bytes", MaxBody)
+	ErrMalformed   = errors.New("malformed datagram")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns the datagram of a message from an instance. A body over MaxBody is ErrBodyTooLong.
+// Encode returns the datagram of a message from an instance. The error of a body over MaxBody wraps
+// ErrBodyTooLong.
 func Encode(sender uint32, body []byte) ([]byte, error) {
 	if len(body) > MaxBody {
 		return nil, fmt.Errorf("%w: %d", ErrBodyTooLong, len(body))
@@ -40,8 +41,8 @@
 	return binary.LittleEndian.AppendUint32(datagram, crc32.Checksum(datagram, castagnoli)), nil
 }
 
-// Decode returns the sender and the body of a datagram. The body is part of the datagram's bytes. A datagram
-// that is not valid is ErrMalformed.
+// Decode returns the sender and the body of a datagram. The body shares the datagram's memory. The error of
+// an invalid datagram wraps ErrMalformed.
 func Decode(datagram []byte) (sender uint32, body []byte, err error) {
 	if len(datagram) < overhead || len(datagram) > overhead+MaxBody {
 		return 0, nil, ErrMalformed
--- a/internal/peer/datagram_test.go
+++ b/internal/peer/datagram_test.go
@@ -13,9 +13,9 @@
 		if err != nil {
 			return
 		}
-		again, err := Encode(sender, body)
-		if err != nil || !bytes.Equal(again, datagram) {
-			t.Fatalf("%x reads back as %x, %v", datagram, again, err)
+		encoded, err := Encode(sender, body)
+		if err != nil || !bytes.Equal(encoded, datagram) {
+			t.Fatalf("%x is encoded again as %x, %v", datagram, encoded, err)
 		}
 	})
 }
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer carries short messages (gossip) between instances by UDP. Messages may be lost, duplicated and
-// reordered. docs/protocol.md describes the datagrams.
+// Package peer carries short messages (gossip) between instances over UDP. Messages may be lost, duplicated
+// and reordered. docs/protocol.md describes the datagrams.
 package peer
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,21 +10,21 @@
 	"landingpaddle/scheduler"
 )
 
-// Link is an instance's socket for messages to and from its peers. Run is called by one goroutine; the other
-// methods may be called by any.
+// Link is an instance's UDP socket for messages to and from its peers. Run is called by one goroutine; the
+// other methods may be called by any.
 type Link struct {
 	instance uint32
 	conn     *net.UDPConn
-	peers    map[uint32]netip.AddrPort // by instance; never changed by the link
+	peers    map[uint32]netip.AddrPort // by instance number; read-only
 	gate     func()
 
-	// Rejected counts datagrams that are malformed or do not come from another known instance.
+	// Rejected counts datagrams that are malformed or whose sender is not another known instance.
 	Rejected atomic.Uint64
 }
 
-// Listen opens the socket of an instance. The map holds the addresses of all instances by their numbers; it
-// must not be changed while the link runs. gate, where set, is called before each message is handled and may
-// block: the testbed suspends a process by it.
+// Listen opens the socket of an instance. peers contains the addresses of all instances by number; it must
+// not be changed while the link runs. gate, if not nil, is called before each received datagram is decoded
+// and may block: the testbed uses it to suspend a process.
 func Listen(addr string, instance uint32, peers map[uint32]netip.AddrPort, gate func()) (*Link, error) {
 	udpAddr, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
@@ -40,19 +40,19 @@
 // Addr returns the address on which the link listens.
 func (l *Link) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Run passes messages to handle, which must not block, until ctx ends. It closes the socket then and returns
-// nil.
+// Run passes received messages to handle, which must not block, until ctx ends. It then closes the socket and
+// returns nil.
 func (l *Link) Run(ctx context.Context, handle func(scheduler.PeerMessage)) error {
 	stop := context.AfterFunc(ctx, func() { l.conn.Close() })
 	defer stop()
-	buffer := make([]byte, overhead+MaxBody+1) // one byte more, so that an oversized datagram is noticed
+	buffer := make([]byte, overhead+MaxBody+1) // one byte more, so that an oversized datagram is detected
 	for {
 		length, _, err := l.conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			continue // an ICMP error that a datagram sent earlier came back with
+			continue // an ICMP error in response to a datagram sent earlier
 		}
 		if l.gate != nil {
 			l.gate()
@@ -63,19 +63,19 @@
 	}
 }
 
-// accept decodes a datagram; one that is not a message from another known instance is counted.
+// accept decodes a datagram. It rejects and counts one that is not a message from another known instance.
 func (l *Link) accept(datagram []byte) (message scheduler.PeerMessage, ok bool) {
 	sender, body, err := Decode(datagram)
 	if _, known := l.peers[sender]; err != nil || !known || sender == l.instance {
 		l.Rejected.Add(1)
 		return scheduler.PeerMessage{}, false
 	}
-	copied := append([]byte(nil), body...) // the next datagram is read into the same bytes
+	copied := append([]byte(nil), body...) // the next datagram is read into the same buffer
 	return scheduler.PeerMessage{From: sender, Body: copied}, true
 }
 
 // Send sends a message to one instance, or to all others if receiver is scheduler.AllPeers. A message that
-// cannot be sent is lost, as any may be; the error is that of the last datagram.
+// cannot be sent is not retried, as any datagram may be lost; the error is that of the last datagram.
 func (l *Link) Send(receiver uint32, body []byte) error {
 	datagram, err := Encode(l.instance, body)
 	if err != nil {
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -44,29 +44,30 @@
 	return link
 }
 
-// sendGarbage sends datagrams that a link must not accept.
-func sendGarbage(t *testing.T, addr netip.AddrPort) {
+// sendInvalidDatagrams sends datagrams that a link must reject.
+func sendInvalidDatagrams(t *testing.T, addr netip.AddrPort) {
 	t.Helper()
 	conn, err := net.Dial("udp4", addr.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	stranger, _ := Encode(7, []byte("x"))
+	unknownSender, _ := Encode(7, []byte("x"))
 	changed, _ := Encode(0, []byte("abc"))
 	changed[9] ^= 1
 	tooLong := bytes.Repeat([]byte("LPP1"), 400)
-	for _, datagram := range [][]byte{{}, []byte("garbage"), stranger, changed, tooLong} {
+	for _, datagram := range [][]byte{{}, []byte("garbage"), unknownSender, changed, tooLong} {
 		if _, err := conn.Write(datagram); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// Messages are delivered; garbage, messages of strangers and changed bytes are counted and go no further.
-func TestLink_DeliversMessagesAndRejectsGarbage(t *testing.T) {
+// Valid messages are delivered. Malformed or changed datagrams and messages of unknown senders are counted
+// and not delivered.
+func TestLink_DeliversMessagesAndRejectsInvalidDatagrams(t *testing.T) {
 	sender, receiver, received := linkPair(t)
-	sendGarbage(t, receiver.Addr())
+	sendInvalidDatagrams(t, receiver.Addr())
 	if err := sender.Send(scheduler.AllPeers, []byte("hello")); err != nil {
 		t.Fatal(err)
 	}
@@ -76,16 +77,16 @@
 			t.Errorf("got %+v", message)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("no message arrived within 5 s")
 	}
 	if rejected := receiver.Rejected.Load(); rejected < 4 || len(received) > 0 {
-		t.Errorf("%d bad ones counted, %d let through", rejected, len(received))
+		t.Errorf("%d datagrams rejected, %d invalid messages delivered", rejected, len(received))
 	}
 }
 
 func TestLink_DoesNotSendOversizedMessages(t *testing.T) {
 	sender, _, _ := linkPair(t)
 	if err := sender.Send(1, make([]byte, MaxBody+1)); err == nil {
-		t.Error("an oversized message is sent")
+		t.Error("no error for an oversized message")
 	}
 }
