--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -1,8 +1,8 @@
 // Package statefile reads and writes the small files that an instance saves for its next incarnation.
 //
-// A file consists of a magic of eight bytes, the length of the body and its CRC-32C (u32 each,
-// little-endian), and the body in CBOR. It is replaced atomically: a stop at any moment leaves either the old
-// file or the new one.
+// A file consists of a magic string of eight bytes, the length of the body and its CRC-32C (u32 each,
+// little-endian), and the body in CBOR. It is replaced atomically: a crash at any moment leaves either the
+// old file or the new one.
 package statefile
 
 import (
@@ -30,7 +30,7 @@
 // ErrCorrupt is wrapped by the errors of files whose content cannot be used.
 var ErrCorrupt = errors.New("state file")
 
-// Encode returns the bytes of a file that holds a value.
+// Encode returns the content of a file that stores a value.
 func Encode(magic string, value any) ([]byte, error) {
 	body, err := cbor.Marshal(value)
 	if err != nil {
@@ -43,18 +43,18 @@
 	return append(data, body...), nil
 }
 
-// Decode reads the bytes of a file into a value. An error wraps ErrCorrupt and names the byte where the file
-// is truncated, changed or of another kind.
+// Decode decodes the content of a file into value, a pointer. An error wraps ErrCorrupt and states the offset
+// of the byte where the file is truncated, changed or of another format.
 func Decode(magic string, data []byte, value any) error {
 	if len(data) < headerSize {
-		return fmt.Errorf("%w: cut at byte %d of its first %d", ErrCorrupt, len(data), headerSize)
+		return fmt.Errorf("%w: truncated at byte %d of its %d-byte header", ErrCorrupt, len(data), headerSize)
 	}
 	if string(data[:magicSize]) != magic {
-		return fmt.Errorf("%w: byte 0: it does not begin with %q", ErrCorrupt, magic)
+		return fmt.Errorf("%w: byte 0: file does not begin with %q", ErrCorrupt, magic)
 	}
 	length, body := binary.LittleEndian.Uint32(data[lengthOffset:]), data[headerSize:]
 	if length > maxBody || int(length) != len(body) {
-		return fmt.Errorf("%w: byte %d: %d bytes follow, %d are stated", ErrCorrupt, headerSize, len(body),
+		return fmt.Errorf("%w: byte %d: %d bytes follow; header states %d", ErrCorrupt, headerSize, len(body),
 			length)
 	}
 	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(data[checksumOffset:]) {
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// Read reads a file into a value. Of a file that does not exist the error is fs.ErrNotExist; else see Decode.
+// Read decodes a file into value, a pointer. The error of a file that does not exist wraps fs.ErrNotExist;
+// for invalid content see Decode.
 func Read(path, magic string, value any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return Decode(magic, data, value)
 }
 
-// Replace writes a file beside the old one, makes it durable and renames it into the old one's place.
+// Replace writes a temporary file in the directory of path, makes it durable and renames it to path.
 func Replace(path string, data []byte) error {
 	directory := filepath.Dir(path)
 	temporary, err := writeTemporary(directory, filepath.Base(path)+".new-*", data)
@@ -89,8 +90,7 @@
 	return syncDirectory(directory)
 }
 
-// writeTemporary writes a durable temporary file and returns its path. Where that fails nothing is left
-// behind.
+// writeTemporary writes a durable temporary file and returns its path. It removes the file on failure.
 func writeTemporary(directory, pattern string, data []byte) (path string, err error) {
 	file, err := os.CreateTemp(directory, pattern)
 	if err != nil {
