--- a/internal/proto/bytes_test.go
+++ b/internal/proto/bytes_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A request and an answer with all fields set, each to a value of its own.
+// A request and an answer with all fields set, each to a different value.
 var (
 	fullRequest = Request{
 		Token:           1,
@@ -49,7 +49,7 @@
 	}
 )
 
-// Each frame's bytes are part of the protocol: version 1 is what testdata/frames.txt says.
+// The encoding of frames is part of the protocol: testdata/frames.txt contains the frames of version 1.
 func TestAppendFrame_WritesTheBytesOfVersion1(t *testing.T) {
 	var out strings.Builder
 	for _, frame := range []struct {
--- a/internal/proto/config.go
+++ b/internal/proto/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Time spans that hold where Config states none.
+// Defaults of the timeouts in Config.
 const (
 	defaultHandshake = time.Second
 	defaultIdle      = time.Minute
@@ -13,24 +13,24 @@
 	defaultWrite     = 10 * time.Second
 )
 
-// Config configures a connection.
+// Config configures a connection. Defaults apply to zero limits and timeouts.
 type Config struct {
-	Hello  Hello  // the greeting to send; Defaults fills its version and limits
-	Limits Limits // zero: DefaultLimits
-	// HandshakeTimeout bounds the greeting.
+	Hello  Hello  // sent in the handshake; Defaults sets its version and limits
+	Limits Limits // zero means DefaultLimits
+	// HandshakeTimeout limits the duration of the handshake.
 	HandshakeTimeout time.Duration
-	// IdleTimeout is how long a connection without requests in flight stays open.
+	// IdleTimeout limits the time in which a connection without requests in flight receives nothing.
 	IdleTimeout time.Duration
-	// SilenceTimeout is how long nothing may be received on a connection with requests in flight.
+	// SilenceTimeout limits the time in which a connection with requests in flight receives nothing.
 	SilenceTimeout time.Duration
-	// WriteTimeout is how long a write may make no progress.
+	// WriteTimeout limits the duration of one write of queued frames to the socket.
 	WriteTimeout time.Duration
-	// Gate, where set, is called before each read and write and may block: the testbed suspends a process by
-	// it.
+	// Gate, if not nil, is called before each read and write and may block: the testbed uses it to suspend a
+	// process.
 	Gate func()
 }
 
-// Defaults returns the configuration with defaults for what is not set.
+// Defaults returns the configuration with defaults in place of zero values.
 func (c Config) Defaults() Config {
 	c.HandshakeTimeout = cmp.Or(c.HandshakeTimeout, defaultHandshake)
 	c.IdleTimeout = cmp.Or(c.IdleTimeout, defaultIdle)
--- a/internal/proto/conn.go
+++ b/internal/proto/conn.go
@@ -16,35 +16,35 @@
 // Errors of connections.
 var (
 	ErrClosed          = errors.New("connection is closed")
-	ErrBacklogFull     = errors.New("the other side does not read: too much waits to be written")
+	ErrBacklogFull     = errors.New("peer does not read: write queue is over the limit")
 	ErrTooManyStreams  = errors.New("more requests in flight than agreed")
 	ErrStreamInUse     = errors.New("stream is in use")
-	ErrVersionMismatch = errors.New("the other side speaks another version")
-	ErrSilent          = errors.New("nothing was heard for too long")
+	ErrVersionMismatch = errors.New("peer uses another protocol version")
+	ErrSilent          = errors.New("nothing received within the time limit")
 )
 
-// errGoodbye is the end of reading after an orderly end by the other side.
-var errGoodbye = errors.New("the other side said goodbye")
+// errGoodbye ends reading after an orderly close by the peer.
+var errGoodbye = errors.New("peer closed the connection")
 
 const readBufferSize = 64 << 10 // bytes
 
-// Conn is a connection after its greeting. Run is called by one goroutine, once; all other methods may be
+// Conn is a connection after its handshake. Run is called by one goroutine, once; all other methods may be
 // called by any goroutine.
 type Conn struct {
 	netConn    net.Conn
 	cfg        Config
-	reader     *bufio.Reader // owned by the greeting, then by Run
+	reader     *bufio.Reader // owned by the handshake, then by Run
 	peerHello  Hello
-	peerLimits Limits // of what may be sent
+	peerLimits Limits // of frames sent to the peer
 
 	mu          sync.Mutex
-	pending     *bytes.Buffer       // frames that are not written yet
+	pending     *bytes.Buffer       // frames that are queued for writing
 	err         error               // why the connection ended; nil: it is open
-	openStreams map[uint64]struct{} // in flight
-	busySince   time.Time           // when the first of them was opened
+	openStreams map[uint64]struct{} // requests in flight
+	busySince   time.Time           // when openStreams last became non-empty
 
-	wakeWriter chan struct{} // holds an item if pending may have content
-	closing    chan struct{} // closed when nothing more is to be queued
+	wakeWriter chan struct{} // contains an item if pending may be non-empty
+	closing    chan struct{} // closed when no more frames are to be queued
 	closeOnce  sync.Once     // guards the closing of closing
 }
 
@@ -60,12 +60,12 @@
 	}
 }
 
-// PeerHello returns the greeting of the other side.
+// PeerHello returns the Hello of the peer.
 func (c *Conn) PeerHello() Hello { return c.peerHello }
 
-// Run reads frames, passes each to handle and writes what is queued until the connection ends. It returns
-// why: nil after an orderly end, that is a goodbye of either side or a close by the other side between two
-// frames. An error of handle ends the connection.
+// Run reads frames, passes each to handle and writes queued frames until the connection ends. It returns the
+// cause of the end: nil after an orderly close, that is a goodbye of either side or a close by the peer
+// between two frames. An error of handle ends the connection.
 func (c *Conn) Run(ctx context.Context, handle func(Frame) error) error {
 	stop := context.AfterFunc(ctx, func() { c.Close(context.Cause(ctx)) })
 	defer stop()
@@ -87,7 +87,7 @@
 	case readErr == nil || errors.Is(readErr, errGoodbye):
 		return nil
 	case errors.Is(cause, ErrClosed):
-		return nil // this side said goodbye
+		return nil // this side closed it without a fault
 	case cause != nil && errors.Is(readErr, net.ErrClosed):
 		return cause
 	case writeErr != nil && errors.Is(readErr, net.ErrClosed):
@@ -96,22 +96,23 @@
 	return readErr
 }
 
-// Close ends the connection at once, without writing what is queued. Run returns soon after. Only the first
-// cause counts.
+// Close ends the connection at once, without writing the queued frames. Run returns soon after. Of several
+// causes, the first is kept.
 func (c *Conn) Close(cause error) {
 	c.setCause(cause)
 	c.stopQueueing()
 	c.netConn.Close()
 }
 
-// CloseGracefully ends the connection after what is queued and a goodbye have been written.
+// CloseGracefully ends the connection after the queued frames and a goodbye have been written. It does not
+// block.
 func (c *Conn) CloseGracefully(reason string) {
 	_ = c.Send(TypeGoodbye, 0, Goodbye{Reason: reason}, nil) // a closed connection needs no goodbye
 	c.setCause(ErrClosed)
 	c.stopQueueing()
 }
 
-// setCause notes why the connection ended, unless that is known.
+// setCause records why the connection ended, unless a cause is recorded already.
 func (c *Conn) setCause(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,5 +121,5 @@
 	}
 }
 
-// stopQueueing makes the writer write what is queued and end.
+// stopQueueing makes the writer write the queued frames and return.
 func (c *Conn) stopQueueing() { c.closeOnce.Do(func() { close(c.closing) }) }
--- a/internal/proto/conn_read.go
+++ b/internal/proto/conn_read.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// silenceCheckInterval is how often a silent connection is checked: requests that are opened or closed
-// meanwhile change how long it may be silent.
+// silenceCheckInterval is the interval at which a silent connection is checked: requests that are opened or
+// closed while it is silent change the limit.
 const silenceCheckInterval = time.Second
 
-// goodbyeIdle is the reason of a goodbye on a connection that was idle for too long.
+// goodbyeIdle is the reason of a goodbye after IdleTimeout.
 const goodbyeIdle = "idle"
 
 // readFrames passes frames to handle until the connection or handle fails; it never returns nil.
@@ -39,11 +39,11 @@
 }
 
 // waitForFrame waits for the first byte of a frame. A connection with nothing in flight may be silent for
-// IdleTimeout, one with requests in flight for SilenceTimeout; the rest of a frame must come within
+// IdleTimeout, one with requests in flight for SilenceTimeout; the rest of a frame must arrive within
 // SilenceTimeout too.
 func (c *Conn) waitForFrame() error {
 	if c.reader.Buffered() >= prefixSize {
-		return nil // deadlines are set once for a burst of frames, not for each
+		return nil // the deadline is set once for a burst of frames, not for each frame
 	}
 	started := time.Now()
 	for {
@@ -59,7 +59,7 @@
 		switch {
 		case err == nil:
 			return c.netConn.SetReadDeadline(time.Now().Add(c.cfg.SilenceTimeout))
-		case errors.Is(err, os.ErrDeadlineExceeded): // silent so far
+		case errors.Is(err, os.ErrDeadlineExceeded): // nothing received yet
 		case errors.Is(err, io.EOF):
 			return errGoodbye
 		default:
@@ -68,15 +68,15 @@
 	}
 }
 
-// silence is how long the other side may send nothing.
+// silence is the limit that applies to a connection on which nothing is received.
 type silence struct {
-	idle  bool // nothing is in flight
+	idle  bool // no requests are in flight
 	limit time.Duration
-	since time.Time
+	since time.Time // from when the limit counts
 }
 
-// allowedSilence returns what is allowed at present to a connection on which nothing was received since a
-// time.
+// allowedSilence returns the limit that applies at present to a connection on which nothing was received
+// since the given time.
 func (c *Conn) allowedSilence(since time.Time) silence {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,12 +84,12 @@
 		return silence{idle: true, limit: c.cfg.IdleTimeout, since: since}
 	}
 	if c.busySince.After(since) {
-		since = c.busySince // the connection was idle before
+		since = c.busySince // idle time before the first request does not count
 	}
 	return silence{limit: c.cfg.SilenceTimeout, since: since}
 }
 
-// endSilentConnection returns the error of a connection that was silent for too long; an idle one is closed
+// endSilentConnection returns the error of a connection that has reached its limit; it closes an idle one
 // gracefully.
 func (c *Conn) endSilentConnection(allowed silence) error {
 	if allowed.idle {
--- a/internal/proto/conn_test.go
+++ b/internal/proto/conn_test.go
@@ -66,7 +66,7 @@
 	started := time.Now()
 	err := client.Run(context.Background(), ignoreFrame)
 	if !errors.Is(err, ErrSilent) {
-		t.Fatalf("ended by %v", err)
+		t.Fatalf("ended with %v", err)
 	}
 	if elapsed := time.Since(started); elapsed < 2500*time.Millisecond {
 		t.Errorf("ended after %v: the idle time before the request was counted", elapsed)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestConn_EndsIfTheOtherSideDoesNotRead(t *testing.T) {
+func TestConn_EndsIfThePeerDoesNotRead(t *testing.T) {
 	block := make(chan struct{})
 	limits := Limits{MaxHeader: 4096, MaxPayload: 1 << 20, MaxStreams: 4, MaxBacklog: 4 << 20}
 	client, _ := connect(t, Config{Limits: limits}, func(*Conn, Frame) error { <-block; return nil })
@@ -107,6 +107,6 @@
 		t.Errorf("%v, then %v and %v", err, client.OpenStream(2), client.OpenStream(3))
 	}
 	if client.CloseStream(1); client.OpenStream(3) != nil {
-		t.Error("a stream that ended still counts")
+		t.Error("a closed stream still counts as in flight")
 	}
 }
--- a/internal/proto/conn_write.go
+++ b/internal/proto/conn_write.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// maxSpareBuffer bounds the memory in bytes that the writer keeps: one burst must not hold its memory for
-// good.
+// maxSpareBuffer is the largest capacity, in bytes, of a buffer that the writer keeps for reuse: the memory
+// of one burst must not stay allocated for the lifetime of the connection.
 const maxSpareBuffer = 1 << 20
 
-// Send queues a frame; it never blocks on the socket. A header or payload over the limits of the other side
-// is an error of that frame alone (ErrHeaderTooLong, ErrPayloadTooLong). A full queue ends the connection
-// with ErrBacklogFull, as the other side does not read.
+// Send queues a frame; it never blocks on the socket. If a header or payload is over the limits of the peer,
+// only this frame fails, with ErrHeaderTooLong or ErrPayloadTooLong. A full queue ends the connection with
+// ErrBacklogFull, as the peer does not read.
 func (c *Conn) Send(frameType Type, stream uint64, header any, payload []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// SendRaw queues bytes as they are. Only the testbed sends what is no frame.
+// SendRaw queues bytes without framing them. Only the testbed and tests use it, to send malformed frames.
 func (c *Conn) SendRaw(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,12 +42,12 @@
 func (c *Conn) notifyWriter() {
 	select {
 	case c.wakeWriter <- struct{}{}:
-	default: // it was notified already
+	default: // already notified
 	}
 }
 
-// writeQueued writes what is queued, all that has come together at once, until the connection ends. The
-// buffers of what is being written and of what is queued meanwhile take turns.
+// writeQueued writes the queued frames, all of them in one write, until the connection ends. Two buffers
+// alternate: frames are queued in one during the write of the other.
 func (c *Conn) writeQueued() error {
 	spare := &bytes.Buffer{}
 	for {
@@ -68,7 +68,7 @@
 	}
 }
 
-// waitForQueued blocks until something is queued or nothing more will be, and reports the latter.
+// waitForQueued blocks until frames are queued or the connection is closing, and reports the latter.
 func (c *Conn) waitForQueued() (closing bool) {
 	select {
 	case <-c.wakeWriter:
@@ -82,7 +82,7 @@
 	}
 }
 
-// takePending returns what is queued and makes empty the queue.
+// takePending returns the queued frames and replaces the queue with an empty buffer.
 func (c *Conn) takePending(empty *bytes.Buffer) *bytes.Buffer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -7,7 +7,7 @@
 	"hash/crc32"
 )
 
-// Version is the protocol's version, stated in the greeting. Both sides must speak the same.
+// Version is the protocol's version, stated in the handshake. Both sides must use the same version.
 const Version = 1
 
 // Type is the type of a frame.
@@ -15,20 +15,20 @@
 
 // The frame types. The numbers must not change.
 const (
-	TypeHello           Type = 1 // the greeting, first on each side; header Hello
+	TypeHello           Type = 1 // the handshake, first from each side; header Hello
 	TypeRequest         Type = 2 // header Request, payload of a write
 	TypeAnswer          Type = 3 // the one final answer of a stream; header Answer, payload of a read
 	TypeResponseStarted Type = 4 // a streamed answer has begun; no header
-	// TypeCancel says that a stream's answer is no longer wanted; it is still sent. No header, or Cancel.
+	// TypeCancel cancels a stream's request; the final answer is still sent. No header, or Cancel.
 	TypeCancel            Type = 5
-	TypeHealthCheck       Type = 6  // asks whether the other side serves; no header
+	TypeHealthCheck       Type = 6  // checks whether the peer serves requests; no header
 	TypeHealthCheckResult Type = 7  // answers a health check; header Answer
-	TypeDrain             Type = 8  // the sender is draining: it takes nothing new
+	TypeDrain             Type = 8  // the sender is draining: it accepts no new requests
 	TypeGoodbye           Type = 9  // the sender closes the connection gracefully; header Goodbye
 	TypeWatch             Type = 10 // to the registry: header ListVersion; updates until the connection ends
 	TypeFetch             Type = 11 // to the registry: header ListVersion; one update or answer
 	TypeUpdate            Type = 12 // from the registry: header registry.Message
-	TypeAcknowledge       Type = 13 // to the registry: the update whose version is the stream was applied
+	TypeAcknowledge       Type = 13 // to the registry: the update whose version is the stream was received
 	TypeRegister          Type = 14 // from a node to the registry: header registry.Message
 
 	lastType = TypeRegister
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("type %d", uint8(t))
 }
 
-// Frame is one frame as read. Header is valid until the next read only; Payload belongs to the caller.
+// Frame is a received frame. Header is valid only until the next read; the caller owns Payload.
 type Frame struct {
 	Type    Type
 	Stream  uint64
@@ -56,17 +56,17 @@
 	Payload []byte
 }
 
-// Errors of frames. One in a frame that was received ends its connection, and no other.
+// Errors of frames. An error in a received frame ends its connection, and no other connection.
 var (
 	ErrChecksum       = errors.New("checksum does not match")
 	ErrHeaderTooLong  = errors.New("header is over the limit")
 	ErrPayloadTooLong = errors.New("payload is over the limit")
 	ErrReservedBytes  = errors.New("reserved bytes are not zero")
-	ErrUnknownType    = errors.New("frame type is not known")
-	ErrTruncated      = errors.New("frame is cut short")
+	ErrUnknownType    = errors.New("unknown frame type")
+	ErrTruncated      = errors.New("truncated frame")
 )
 
-// Layout of the prefix of fixed size in front of each frame's header. Numbers are little-endian.
+// Layout of the fixed-size prefix before each frame's header. Integers are little-endian.
 const (
 	headerLengthOffset  = 0  // u32, bytes
 	payloadLengthOffset = 4  // u32, bytes
@@ -83,7 +83,7 @@
 	stream        uint64
 	headerLength  uint32
 	payloadLength uint32
-	reservedSet   bool // any reserved byte is not zero
+	reservedSet   bool // a reserved byte is not zero
 }
 
 func parsePrefix(encoded *[prefixSize]byte) prefix {
@@ -97,7 +97,7 @@
 	}
 }
 
-// put encodes the prefix, but for its checksum, into zeroed bytes.
+// put encodes the prefix, except for its checksum, into zeroed bytes.
 func (p prefix) put(encoded []byte) {
 	binary.LittleEndian.PutUint32(encoded[headerLengthOffset:], p.headerLength)
 	binary.LittleEndian.PutUint32(encoded[payloadLengthOffset:], p.payloadLength)
@@ -105,7 +105,8 @@
 	binary.LittleEndian.PutUint64(encoded[streamOffset:], p.stream)
 }
 
-// validate checks what can be known of a received frame before its header and payload are read.
+// validate checks the type, reserved bytes and lengths of a received frame before its header and payload are
+// read.
 func (p prefix) validate(limits Limits) error {
 	switch {
 	case p.frameType == 0 || p.frameType > lastType:
@@ -116,13 +117,13 @@
 	return checkLengths(p.frameType, uint64(p.headerLength), uint64(p.payloadLength), limits)
 }
 
-// checkLengths checks the bytes of a header and of a payload against the limits.
+// checkLengths checks the lengths in bytes of a header and of a payload against the limits.
 func checkLengths(frameType Type, header, payload uint64, limits Limits) error {
 	switch {
 	case header > uint64(limits.MaxHeader):
-		return fmt.Errorf("%v: %w: %d bytes of %d", frameType, ErrHeaderTooLong, header, limits.MaxHeader)
+		return fmt.Errorf("%v: %w: %d > %d bytes", frameType, ErrHeaderTooLong, header, limits.MaxHeader)
 	case payload > uint64(limits.MaxPayload):
-		return fmt.Errorf("%v: %w: %d bytes of %d", frameType, ErrPayloadTooLong, payload, limits.MaxPayload)
+		return fmt.Errorf("%v: %w: %d > %d bytes", frameType, ErrPayloadTooLong, payload, limits.MaxPayload)
 	}
 	return nil
 }
--- a/internal/proto/frame_reader.go
+++ b/internal/proto/frame_reader.go
@@ -7,13 +7,13 @@
 	"io"
 )
 
-// Reader reads frames. It allocates each payload, never more than the limit, and reuses the bytes of
-// headers. It belongs to one goroutine.
+// Reader reads frames. It allocates a buffer for each payload, never over the limit, and reuses one buffer
+// for all headers. It must be used by one goroutine only.
 type Reader struct {
 	source io.Reader
 	limits Limits
 	prefix [prefixSize]byte
-	header []byte // capacity for all headers so far
+	header []byte // reused; grows to the longest header read
 }
 
 // NewReader returns a Reader of the frames from source, which should be buffered.
@@ -50,12 +50,12 @@
 func (r *Reader) readPrefix() error {
 	count, err := io.ReadFull(r.source, r.prefix[:])
 	if count > 0 && errors.Is(err, io.ErrUnexpectedEOF) {
-		return fmt.Errorf("%w: %d of %d bytes of its fixed part", ErrTruncated, count, prefixSize)
+		return fmt.Errorf("%w: %d of %d bytes of the prefix", ErrTruncated, count, prefixSize)
 	}
 	return err
 }
 
-// headerBuffer returns the bytes into which a header of a length is read.
+// headerBuffer returns the buffer into which a header of the given length is read.
 func (r *Reader) headerBuffer(length uint32) []byte {
 	if cap(r.header) < int(length) {
 		r.header = make([]byte, length)
--- a/internal/proto/frame_test.go
+++ b/internal/proto/frame_test.go
@@ -60,15 +60,15 @@
 	})
 }
 
-// The most members that an operation may have fit a header, with whatever numbers they carry.
-func TestAppendFrame_FitsTheMostMembersIntoAHeader(t *testing.T) {
-	const most = 1<<64 - 1
-	request := Request{Token: most, Class: 1<<16 - 1, Plan: 1<<16 - 1, Volume: most, Key: most,
+// The maximum number of members of an operation fits into one header, whatever their values are.
+func TestAppendFrame_FitsTheMaximumOfMembersIntoAHeader(t *testing.T) {
+	const maxUint64 = 1<<64 - 1
+	request := Request{Token: maxUint64, Class: 1<<16 - 1, Plan: 1<<16 - 1, Volume: maxUint64, Key: maxUint64,
 		Units: 1<<32 - 1, Cell: 1<<31 - 1, Timeout: 1<<63 - 1, ClientTry: 1<<16 - 1,
-		VolumeInstances: 1<<16 - 1, Write: true, Offset: most, Length: 1<<32 - 1, Client: 1<<32 - 1,
-		Ranged: true, DataVolumeID: most, Piece: 1<<16 - 1}
+		VolumeInstances: 1<<16 - 1, Write: true, Offset: maxUint64, Length: 1<<32 - 1, Client: 1<<32 - 1,
+		Ranged: true, DataVolumeID: maxUint64, Piece: 1<<16 - 1}
 	for range extent.MaxMembers {
-		request.Members = append(request.Members, Member{Token: most, Volume: most, Key: most,
+		request.Members = append(request.Members, Member{Token: maxUint64, Volume: maxUint64, Key: maxUint64,
 			Plan: 1<<16 - 1, Units: 1<<32 - 1, Offset: 1<<32 - 1, Length: 1<<32 - 1, Piece: 1<<16 - 1,
 			ClientTry: 1<<16 - 1, Client: 1<<32 - 1})
 	}
@@ -79,17 +79,17 @@
 	t.Logf("%d bytes of %d", buffer.Len()-prefixSize, DefaultLimits.MaxHeader)
 }
 
-// A frame that is cut anywhere, changed anywhere or over a limit is one clear error.
+// A frame that is truncated at any length, changed in any byte or over a limit is rejected with an error.
 func TestReader_RejectsMalformedFrames(t *testing.T) {
 	good := frameBytes(t, TypeRequest, 7, Request{Token: 1, Units: 2}, []byte("payload"))
 	read := func(data []byte, limits Limits) error {
 		_, err := NewReader(bytes.NewReader(data), limits).Next()
 		return err
 	}
-	t.Run("cut", func(t *testing.T) {
+	t.Run("truncated", func(t *testing.T) {
 		for length := 1; length < len(good); length++ {
 			if err := read(good[:length], DefaultLimits); !errors.Is(err, ErrTruncated) {
-				t.Fatalf("cut at %d: %v", length, err)
+				t.Fatalf("truncated at %d: %v", length, err)
 			}
 		}
 	})
@@ -98,7 +98,7 @@
 			changed := bytes.Clone(good)
 			changed[index] ^= 0x40
 			if read(changed, DefaultLimits) == nil {
-				t.Fatalf("byte %d changed and not noticed", index)
+				t.Fatalf("change of byte %d was not detected", index)
 			}
 		}
 	})
--- a/internal/proto/frame_writer.go
+++ b/internal/proto/frame_writer.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// appendFrame appends a frame to buffer, or nothing if it fails. A nil header is encoded as none.
+// appendFrame appends a frame to buffer, or nothing if it fails. A nil header is encoded as no bytes.
 func appendFrame(
 	buffer *bytes.Buffer, frameType Type, stream uint64, header any, payload []byte, limits Limits,
 ) error {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// appendHeader appends a zeroed prefix and a header, and returns the bytes of the header.
+// appendHeader appends a zeroed prefix and a header, and returns the length of the header in bytes.
 func appendHeader(buffer *bytes.Buffer, frameType Type, header any) (int, error) {
 	var zeroedPrefix [prefixSize]byte
 	buffer.Write(zeroedPrefix[:])
--- a/internal/proto/handshake.go
+++ b/internal/proto/handshake.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Dial connects to a TCP address and exchanges greetings.
+// Dial connects to a TCP address and performs the handshake.
 func Dial(ctx context.Context, addr string, cfg Config) (*Conn, error) {
 	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -18,8 +18,8 @@
 	return Greet(ctx, netConn, cfg)
 }
 
-// Greet exchanges greetings on a new connection, which either side may have opened. It takes netConn over,
-// and closes it if the exchange fails or ctx ends.
+// Greet performs the handshake on a new connection, which either side may have opened. It takes ownership of
+// netConn, and closes it if the handshake fails or ctx ends during it.
 func Greet(ctx context.Context, netConn net.Conn, cfg Config) (*Conn, error) {
 	conn := newConn(netConn, cfg.Defaults())
 	stop := context.AfterFunc(ctx, func() { netConn.Close() })
@@ -56,7 +56,7 @@
 		return err
 	}
 	if _, err := c.netConn.Write(buffer.Bytes()); err != nil {
-		return fmt.Errorf("greeting: %w", err)
+		return fmt.Errorf("handshake: %w", err)
 	}
 	return nil
 }
@@ -64,16 +64,16 @@
 func (c *Conn) receiveHello() error {
 	frame, err := NewReader(c.reader, Limits{MaxHeader: DefaultLimits.MaxHeader}).Next()
 	if err != nil {
-		return fmt.Errorf("greeting: %w", err)
+		return fmt.Errorf("handshake: %w", err)
 	}
 	if frame.Type != TypeHello {
-		return fmt.Errorf("greeting: found a frame of type %v; want %v", frame.Type, TypeHello)
+		return fmt.Errorf("handshake: found a frame of type %v; want %v", frame.Type, TypeHello)
 	}
 	if err := frame.Decode(&c.peerHello); err != nil {
 		return err
 	}
 	if c.peerHello.Version != Version {
-		return fmt.Errorf("%w: %d, not %d", ErrVersionMismatch, c.peerHello.Version, Version)
+		return fmt.Errorf("%w: found %d; want %d", ErrVersionMismatch, c.peerHello.Version, Version)
 	}
 	return nil
 }
--- a/internal/proto/header.go
+++ b/internal/proto/header.go
@@ -6,15 +6,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds on a header that is read.
+// Limits on the structure of a received header.
 const (
 	maxHeaderNesting = 8
 	maxArrayElements = 1 << 16
 	maxMapPairs      = 256
 )
 
-// Headers are CBOR (RFC 8949) with small whole numbers as keys. What is read is bounded, may not repeat a
-// key, and may contain keys that are not known, so that later versions can add some.
+// Headers are CBOR maps (RFC 8949) with small integers as keys. A received header must stay within the limits
+// and must not repeat a key. It may contain unknown keys, so that later versions can add keys.
 var (
 	headerEncoder = newHeaderEncoder()
 	headerDecoder = newHeaderDecoder()
@@ -41,7 +41,7 @@
 	return decoder
 }
 
-// Decode reads a frame's header into message, a pointer to one of the message types.
+// Decode decodes a frame's header into message, a pointer to one of the message types.
 func (f Frame) Decode(message any) error {
 	if err := headerDecoder.Unmarshal(f.Header, message); err != nil {
 		return fmt.Errorf("%v header: %w", f.Type, err)
--- a/internal/proto/helpers_test.go
+++ b/internal/proto/helpers_test.go
@@ -22,8 +22,8 @@
 	return buffer.Bytes()
 }
 
-// startServer serves a free port of the loopback interface until the test ends. handle takes the frames of
-// all connections; ended receives the result of each.
+// startServer serves a free port of the loopback interface until the test ends. handle receives the frames of
+// all connections; ended receives the result of each connection.
 func startServer(
 	t *testing.T, cfg Config, maxConns int, handle func(*Conn, Frame) error,
 ) (addr string, ended chan error) {
@@ -55,7 +55,7 @@
 	return conn
 }
 
-// connect returns the client's end of a connection to a server of its own.
+// connect returns the client's end of a connection to a dedicated server. ended receives the server's result.
 func connect(t *testing.T, cfg Config, handle func(*Conn, Frame) error) (client *Conn, ended chan error) {
 	t.Helper()
 	addr, ended := startServer(t, cfg, 4, handle)
--- a/internal/proto/serve.go
+++ b/internal/proto/serve.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Serve accepts connections until ctx ends, exchanges greetings and calls serve for each in a goroutine of
-// its own. At most maxConns connections are served at the same time; one more is closed at once. Serve
+// Serve accepts connections until ctx ends, performs the handshake and calls serve for each in a separate
+// goroutine. At most maxConns connections are served at the same time; further ones are closed at once. Serve
 // returns when all of them have ended; the listener is closed.
 func Serve(
 	ctx context.Context, listener net.Listener, cfg Config, maxConns int, serve func(context.Context, *Conn),
@@ -18,7 +18,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	slots := make(chan struct{}, maxConns)
+	openConns := make(chan struct{}, maxConns)
 	for {
 		netConn, err := listener.Accept()
 		if err != nil {
@@ -29,13 +29,13 @@
 			return fmt.Errorf("accepting: %w", err)
 		}
 		select {
-		case slots <- struct{}{}:
+		case openConns <- struct{}{}:
 		default:
-			netConn.Close() // all slots are in use
+			netConn.Close() // maxConns connections are open
 			continue
 		}
 		group.Go(func() error {
-			defer func() { <-slots }()
+			defer func() { <-openConns }()
 			if conn, err := Greet(ctx, netConn, cfg); err == nil {
 				serve(ctx, conn)
 			}
--- a/internal/proto/serve_test.go
+++ b/internal/proto/serve_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// What goes wrong on one connection ends that one, with its cause, and no other.
-func TestServe_EndsABadConnectionAlone(t *testing.T) {
+// An error on one connection ends that connection with its cause, and no other connection.
+func TestServe_EndsOnlyTheBadConnection(t *testing.T) {
 	cfg := Config{HandshakeTimeout: 300 * time.Millisecond}
 	addr, ended := startServer(t, cfg, 8, func(conn *Conn, frame Frame) error {
 		return conn.Send(TypeAnswer, frame.Stream, Answer{Code: OK}, nil)
@@ -22,7 +22,7 @@
 		want error
 	}{
 		{"garbage", []byte(strings.Repeat("garbage ", 10)), ErrUnknownType},
-		{"cut", frameBytes(t, TypeRequest, 1, Request{}, []byte("abc"))[:30], ErrTruncated},
+		{"truncated", frameBytes(t, TypeRequest, 1, Request{}, []byte("abc"))[:30], ErrTruncated},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			bad := dial(t, addr, Config{})
@@ -33,7 +33,7 @@
 			}
 		})
 	}
-	silent, err := net.Dial("tcp4", addr) // never sends a greeting
+	silent, err := net.Dial("tcp4", addr) // never sends a Hello
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proto/streams.go
+++ b/internal/proto/streams.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Streams returns how many requests may be in flight.
+// Streams returns the maximum number of requests in flight.
 func (c *Conn) Streams() int { return c.peerLimits.MaxStreams }
 
-// InFlight returns how many streams are open.
+// InFlight returns the number of open streams.
 func (c *Conn) InFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.openStreams)
 }
 
-// OpenStream notes that a stream is in flight. Both sides count: the one that sends requests never exceeds
-// what was agreed, and the other closes the connection on an error, which is ErrStreamInUse or
-// ErrTooManyStreams.
+// OpenStream records that a stream is in flight. Both sides count: the one that sends requests never exceeds
+// the limit agreed in the handshake, and the other closes the connection on an error, which wraps
+// ErrStreamInUse or ErrTooManyStreams.
 func (c *Conn) OpenStream(stream uint64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// CloseStream notes that a stream is no longer in flight, and reports whether it was.
+// CloseStream records that a stream is no longer in flight, and reports whether it was.
 func (c *Conn) CloseStream(stream uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
