--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -130,7 +130,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum returns the CRC-32C of a frame; prefix is the encoded one.
+// checksum returns the CRC-32C of a frame; prefix is the encoded prefix.
 func checksum(prefix, header, payload []byte) uint32 {
 	sum := crc32.Checksum(prefix[:checksumOffset], castagnoli)
 	sum = crc32.Update(sum, castagnoli, header)
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -86,7 +86,7 @@
 }
 
 // SetDown sets whether the registry is down. Going down closes the connections of all watches; while it is
-// down, all calls fail.
+// down, new calls fail.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
