--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// ReadBody reads a body of a length in bytes that a head stated. One over Limits.MaxBody is an *Error and is
-// not read.
+// ReadBody reads a body of the length in bytes that its head stated. It returns an *Error without reading if
+// length exceeds Limits.MaxBody.
 func (r *Reader) ReadBody(length int64) ([]byte, error) {
 	if length > int64(r.limits.MaxBody) {
 		return nil, errBodyTooLong
@@ -24,7 +24,7 @@
 	return body, nil
 }
 
-// readToEnd reads a body that ends with the connection.
+// readToEnd reads a body that is terminated by the end of the connection.
 func (r *Reader) readToEnd() ([]byte, error) {
 	var body []byte
 	for {
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// readChunks reads a chunked body. Chunk extensions and trailers are dropped.
+// readChunks reads a chunked body. Chunk extensions and trailers are discarded.
 func (r *Reader) readChunks() ([]byte, error) {
 	var body []byte
 	for {
-		budget := maxChunkLine // of the size line and the line end behind the chunk
+		budget := maxChunkLine // for the size line and the line end after the chunk
 		size, err := r.readChunkSize(&budget)
 		if err != nil {
 			return nil, err
@@ -31,7 +31,7 @@
 	}
 }
 
-// readChunkSize reads the line that states the bytes of the next chunk; 0 ends the body.
+// readChunkSize reads the line that states the size of the next chunk in bytes. Size 0 ends the body.
 func (r *Reader) readChunkSize(budget *int) (int64, error) {
 	line, err := r.readLine(budget)
 	if err != nil {
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -6,20 +6,19 @@
 	"net/http"
 )
 
-// Error reports a message that is not accepted. Its text is Reason, which clients see in the body of the
-// answer.
+// Error reports a rejected message. Its text is Reason, which clients receive in the body of the response.
 type Error struct {
-	Status int    // of the answer that tells a client
-	Reason string // what is wrong with the message
+	Status int    // of the response that reports the error to a client
+	Reason string // why the message was rejected
 }
 
 // Error returns the reason.
 func (e *Error) Error() string { return e.Reason }
 
-// ErrBufferFull is the error of Reader.ReadAhead if as many bytes are buffered as are allowed.
-var ErrBufferFull = errors.New("as many bytes are buffered as may be")
+// ErrBufferFull is returned by Reader.ReadAhead if the number of buffered bytes has reached its limit.
+var ErrBufferFull = errors.New("buffer limit reached")
 
-// Errors whose texts are fixed. They are shared and must not be changed.
+// Errors with fixed reasons. The values are shared and must not be modified.
 var (
 	errHeadTooLong    = newError(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
 	errTooManyFields  = newError(http.StatusRequestHeaderFieldsTooLarge, "too many header fields")
@@ -32,10 +31,11 @@
 
 func newError(status int, reason string) *Error { return &Error{Status: status, Reason: reason} }
 
-// malformed returns the error of a message that breaks the syntax or the framing rules of HTTP/1.1.
+// malformed returns the error for a message that violates the syntax or the framing rules of HTTP/1.1.
 func malformed(reason string) error { return newError(http.StatusBadRequest, reason) }
 
-// unexpectedEOF returns the error of a source that failed inside a message: its end is io.ErrUnexpectedEOF.
+// unexpectedEOF returns the error for a source that failed inside a message: io.EOF becomes
+// io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -21,14 +21,14 @@
 				return
 			}
 			if _, hosts := request.Header.Get("Host"); hosts == 0 {
-				return // of HTTP/1.0, which is written again as 1.1
+				return // HTTP/1.0 without Host: it would be written as HTTP/1.1, which requires one
 			}
 			checkRoundTrip(t, request, body)
 		}
 	})
 }
 
-// checkRoundTrip verifies that an accepted request, written again, is read as the same request.
+// checkRoundTrip verifies that an accepted request is read back as the same request after it is written.
 func checkRoundTrip(t *testing.T, request *Request, body []byte) {
 	t.Helper()
 	var header Header
@@ -38,10 +38,10 @@
 		}
 	}
 	written := string(AppendRequest(nil, request.Method, request.Target, header, body))
-	again, err := NewReader(strings.NewReader(written), Limits{MaxHead: 4096, MaxBody: 4096}).ReadRequest()
-	if err != nil || again.Method != request.Method || again.Target != request.Target ||
-		again.Length != request.Length {
-		t.Fatalf("%+v became %+v, %v", request, again, err)
+	reread, err := NewReader(strings.NewReader(written), Limits{MaxHead: 4096, MaxBody: 4096}).ReadRequest()
+	if err != nil || reread.Method != request.Method || reread.Target != request.Target ||
+		reread.Length != request.Length {
+		t.Fatalf("%+v was read back as %+v, %v", request, reread, err)
 	}
 }
 
@@ -54,11 +54,11 @@
 			return
 		}
 		if len(response.Body) > testLimits.MaxBody || response.Status < 200 {
-			t.Fatalf("status %d with %d bytes", response.Status, len(response.Body))
+			t.Fatalf("accepted status %d with a body of %d bytes", response.Status, len(response.Body))
 		}
-		again, err := readerOf(string(AppendResponse(nil, 200, "OK", nil, response.Body))).ReadResponse()
-		if err != nil || string(again.Body) != string(response.Body) {
-			t.Fatalf("a body of %d bytes became %v, %v", len(response.Body), again, err)
+		reread, err := readerOf(string(AppendResponse(nil, 200, "OK", nil, response.Body))).ReadResponse()
+		if err != nil || string(reread.Body) != string(response.Body) {
+			t.Fatalf("a body of %d bytes was read back as %v, %v", len(response.Body), reread, err)
 		}
 	})
 }
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -8,11 +8,11 @@
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// Header is the fields of a head in their order.
+// Header holds the fields of a head in their original order.
 type Header []Field
 
-// Get returns the value of the first field with a name, and how many fields have it. Names are compared
-// without regard to case.
+// Get returns the value of the first field with a name, and the number of fields with that name. Names are
+// compared case-insensitively.
 func (h Header) Get(name string) (value string, count int) {
 	for _, field := range h {
 		if strings.EqualFold(field.Name, name) {
@@ -25,7 +25,8 @@
 	return value, count
 }
 
-// lists reports whether a comma-separated field with a name contains an element.
+// lists reports whether a comma-separated field with a name contains an element. Both are compared
+// case-insensitively.
 func (h Header) lists(name, element string) bool {
 	for _, field := range h {
 		if !strings.EqualFold(field.Name, name) {
@@ -40,22 +41,22 @@
 	return false
 }
 
-// closesConnection reports whether a message of a version ends its connection.
+// closesConnection reports whether the connection ends after a message with this header and version.
 func (h Header) closesConnection(version string) bool {
 	return version == version10 || h.lists("Connection", "close")
 }
 
-// lengthUnstated is the length of a body whose head states none.
+// lengthUnstated is the length of a body whose head does not state a length.
 const lengthUnstated = -1
 
-// framing is how the end of a body is found.
+// framing describes how the end of a body is determined.
 type framing struct {
 	chunked bool
-	length  int64 // bytes, or lengthUnstated; 0 where chunked
+	length  int64 // bytes, or lengthUnstated; 0 if chunked
 }
 
-// framing reads the framing that a head states. Two statements are an error, as two readers could find
-// different ends of the message.
+// framing returns the framing that a head states. More than one framing field is an error, because two
+// parsers could find different ends of the message.
 func (h Header) framing() (framing, error) {
 	lengthText, lengths := h.Get("Content-Length")
 	coding, codings := h.Get("Transfer-Encoding")
@@ -78,7 +79,7 @@
 	return framing{length: length}, err
 }
 
-// parseContentLength takes digits only: strconv would accept a sign.
+// parseContentLength accepts digits only: strconv would accept a sign.
 func parseContentLength(text string) (int64, error) {
 	if text == "" || strings.Trim(text, "0123456789") != "" {
 		return 0, malformed("Content-Length is no number")
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -2,13 +2,13 @@
 
 import "io"
 
-// Reader reads messages from one connection. Its buffer holds heads, and bodies only as far as they came
-// with the bytes of a head.
+// Reader reads messages from one connection. Its buffer holds heads, and of a body only the bytes that were
+// read together with a head.
 type Reader struct {
 	source     io.Reader
 	limits     Limits
 	buffer     []byte
-	start, end int // of the bytes in buffer that were read and not taken
+	start, end int // bounds of the bytes in buffer that were read but not consumed
 	readCount  int
 }
 
@@ -17,19 +17,19 @@
 	return &Reader{source: source, limits: limits}
 }
 
-// Buffered returns how many bytes have been read and belong to no message yet.
+// Buffered returns the number of bytes that were read but not yet consumed as part of a message.
 func (r *Reader) Buffered() int { return r.end - r.start }
 
 // BufferSize returns the size of the buffer in bytes.
 func (r *Reader) BufferSize() int { return len(r.buffer) }
 
-// ReadCount returns how often the source was read: a message that was taken without a read was buffered
-// completely before.
+// ReadCount returns how many times the source was read. If it does not change while a message is read, the
+// whole message was already buffered.
 func (r *Reader) ReadCount() int { return r.readCount }
 
-// ReadAhead blocks until more bytes have come than are buffered. Up to maxBuffered bytes are buffered, or a
-// head's limit if that is more; beyond it the error is ErrBufferFull. An error of the source is returned
-// while messages that came before it are still in the buffer.
+// ReadAhead blocks until it has read more bytes into the buffer. It buffers up to maxBuffered bytes, or
+// Limits.MaxHead if that is more; at this limit it returns ErrBufferFull. An error of the source is returned
+// even while messages that were received before it are still in the buffer.
 func (r *Reader) ReadAhead(maxBuffered int) error {
 	return r.fill(max(maxBuffered, r.limits.MaxHead), ErrBufferFull)
 }
@@ -42,14 +42,15 @@
 	return r.fillHead()
 }
 
-// Shrink releases the buffer if it is empty, as an idle connection needs none.
+// Shrink releases the buffer if it holds no unconsumed bytes: an idle connection needs no buffer.
 func (r *Reader) Shrink() {
 	if r.start == r.end {
 		r.buffer, r.start, r.end = nil, 0, 0
 	}
 }
 
-// Discard reads and drops what still comes until the source ends, or maxBytes were read.
+// Discard discards the buffered bytes, and then all input until the source returns an error or maxBytes
+// bytes were read.
 func (r *Reader) Discard(maxBytes int64) {
 	r.start, r.end = 0, 0
 	if len(r.buffer) == 0 {
@@ -64,11 +65,11 @@
 	}
 }
 
-// fillHead reads more of a head.
+// fillHead reads more bytes into the buffer, up to Limits.MaxHead bytes in total.
 func (r *Reader) fillHead() error { return r.fill(r.limits.MaxHead, errHeadTooLong) }
 
-// fill reads more. The buffer grows up to maxBuffered bytes; errFull is the error if it is that large and
-// full.
+// fill reads more bytes into the buffer, which grows up to maxBuffered bytes. It returns errFull if the
+// buffer is full at that size.
 func (r *Reader) fill(maxBuffered int, errFull error) error {
 	if err := r.makeRoom(maxBuffered, errFull); err != nil {
 		return err
@@ -77,7 +78,7 @@
 	r.readCount++
 	r.end += count
 	if count > 0 {
-		return nil // an error that came with bytes comes again at the next read
+		return nil // an error returned together with bytes is returned again by the next read
 	}
 	if err == nil {
 		return io.ErrNoProgress
@@ -85,7 +86,7 @@
 	return err
 }
 
-// makeRoom ensures that the buffer has free bytes at its end.
+// makeRoom ensures that the buffer has free space at its end.
 func (r *Reader) makeRoom(maxBuffered int, errFull error) error {
 	if r.start == r.end {
 		r.start, r.end = 0, 0
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// readLine takes one line from the source, without the CR LF that ends it. All lines of a head share a
-// budget of bytes, which is counted down.
+// readLine reads one line and returns it without the CR LF at its end. All lines of a head share a budget of
+// bytes, from which the length of each line is subtracted.
 func (r *Reader) readLine(budget *int) (string, error) {
 	scanned := 0
 	for {
@@ -128,7 +129,8 @@
 	}
 }
 
-// takeLine takes the line whose LF was found at an index of what is buffered.
+// takeLine consumes the line whose LF is at index lineFeed of the buffered bytes, and returns it without the
+// CR LF.
 func (r *Reader) takeLine(lineFeed int, budget *int) (string, error) {
 	line := string(r.buffer[r.start : r.start+lineFeed-1])
 	length := lineFeed + 1
@@ -140,9 +142,9 @@
 	return line, nil
 }
 
-// findLineFeed returns the index of the LF that ends the first line of text, or -1 if it has not come. The
-// first scanned bytes were looked at before. A line must end in CR LF and contain no other control character
-// than a tab.
+// findLineFeed returns the index of the LF that ends the first line of text, or -1 if it has not been
+// received. The first scanned bytes were checked by an earlier call. A line must end in CR LF and contain no
+// control character other than a tab.
 func findLineFeed(text []byte, scanned int) (int, error) {
 	for i := scanned; i < len(text); i++ {
 		char, afterCR := text[i], i > 0 && text[i-1] == '\r'
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// Pipelined requests are buffered within a bound of their own, over that of a head, and the end of the source
-// is reported while messages are still in the buffer.
-func TestReader_ReadsAheadWithinItsBound(t *testing.T) {
+// ReadAhead buffers pipelined requests up to its own limit, which may exceed the limit of a head, and reports
+// the end of the source while messages are still in the buffer.
+func TestReader_ReadAheadIsBounded(t *testing.T) {
 	const requests = 300
 	text := strings.Repeat("GET /a HTTP/1.1\r\nHost: a\r\n\r\n", requests) // 8,100 bytes
 	reader := readerOf(text)
 	if err := reader.ReadAhead(100); err != nil || reader.Buffered() == 0 {
-		t.Fatalf("%d bytes, %v", reader.Buffered(), err)
+		t.Fatalf("%d bytes buffered, %v", reader.Buffered(), err)
 	}
 	for reader.Buffered() < len(text) {
 		if err := reader.ReadAhead(len(text)); err != nil {
@@ -23,10 +23,10 @@
 		}
 	}
 	if err := reader.ReadAhead(len(text)); !errors.Is(err, ErrBufferFull) {
-		t.Fatalf("beyond the bound: %v", err)
+		t.Fatalf("beyond the limit: %v", err)
 	}
 	if err := reader.ReadAhead(2 * len(text)); !errors.Is(err, io.EOF) || reader.Buffered() != len(text) {
-		t.Fatalf("at the end: %v with %d bytes", err, reader.Buffered())
+		t.Fatalf("at the end: %v with %d bytes buffered", err, reader.Buffered())
 	}
 	reads := reader.ReadCount()
 	for number := range requests {
@@ -35,15 +35,15 @@
 		}
 	}
 	if reader.ReadCount() != reads {
-		t.Errorf("%d reads for requests that were buffered", reader.ReadCount()-reads)
+		t.Errorf("%d reads of the source for buffered requests", reader.ReadCount()-reads)
 	}
 	reader.Shrink()
 	if reader.BufferSize() != 0 {
-		t.Errorf("the buffer keeps %d bytes", reader.BufferSize())
+		t.Errorf("buffer size is %d bytes after Shrink", reader.BufferSize())
 	}
 }
 
-func TestReader_RejectsALongHeadThatWasReadAhead(t *testing.T) {
+func TestReader_RejectsLongHeadAfterReadAhead(t *testing.T) {
 	reader := readerOf(strings.Repeat("a", 2*testLimits.MaxHead))
 	for reader.ReadAhead(2*testLimits.MaxHead) == nil {
 	}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Versions that are read. Only version11 is written.
+// Versions that are accepted. Only version11 is written.
 const (
 	version10 = "HTTP/1.0"
 	version11 = "HTTP/1.1"
@@ -16,12 +16,12 @@
 type Request struct {
 	Method, Target string
 	Header         Header
-	Length         int64 // bytes of the body, as stated
+	Length         int64 // length of the body in bytes, as stated
 	Close          bool  // the client sends no more requests on this connection
 }
 
-// ReadRequest reads the head of a request. Its body, of Length bytes, is read by Body next. io.EOF means that
-// the connection ended before a request began; a request that is not accepted is an *Error.
+// ReadRequest reads the head of a request. The caller must then read its body of Length bytes with ReadBody.
+// io.EOF means that the connection ended before a request began; a rejected request is reported as an *Error.
 func (r *Reader) ReadRequest() (*Request, error) {
 	if err := r.WaitReadable(); err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// requestLength returns the length of a request's body in bytes; none is stated for an empty one.
+// requestLength returns the length of a request's body in bytes; 0 if the header does not state one.
 func requestLength(method string, header Header, limits Limits) (int64, error) {
 	stated, err := header.framing()
 	switch {
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -23,23 +23,23 @@
 				t.Fatalf("%+v, %v", request, err)
 			}
 			if id, count := request.Header.Get("x-call-id"); id != "1" || count != 1 {
-				t.Fatalf("id %q, %d times", id, count)
+				t.Fatalf("X-Call-Id %q in %d fields", id, count)
 			}
 			if body, err := reader.ReadBody(request.Length); err != nil || string(body) != "abc" {
 				t.Fatalf("body %q, %v", body, err)
 			}
 			if request, err = reader.ReadRequest(); err != nil || request.Method != "GET" || !request.Close {
-				t.Fatalf("second: %+v, %v", request, err)
+				t.Fatalf("second request: %+v, %v", request, err)
 			}
 			if _, err = reader.ReadRequest(); !errors.Is(err, io.EOF) {
-				t.Fatalf("end: %v", err)
+				t.Fatalf("end of input: %v", err)
 			}
 		})
 	}
 }
 
-// Each of these must end in an error of the status, not in a request: what one side takes for the end of a
-// request another may take for the middle of it.
+// Each of these must be rejected with the status: where two parsers disagree on the end of a request, one of
+// them may take a part of its body for another request.
 func TestReader_RejectsMalformedRequests(t *testing.T) {
 	for name, test := range map[string]struct {
 		text   string
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -11,11 +11,11 @@
 	Status int
 	Header Header
 	Body   []byte
-	Close  bool // the connection cannot be used again
+	Close  bool // the connection cannot be reused
 }
 
-// ReadResponse reads a complete response to a request other than HEAD. Interim responses (status 1xx) ahead
-// of it are skipped. A response that is not accepted is an *Error.
+// ReadResponse reads a complete response to a request other than HEAD. Interim responses (status 1xx) before
+// it are skipped. A rejected response is reported as an *Error.
 func (r *Reader) ReadResponse() (*Response, error) {
 	for range maxInterimResponses + 1 {
 		response, err := r.readResponse()
@@ -59,7 +59,8 @@
 	return response, nil
 }
 
-// expectPrefix fails as soon as what has come cannot begin a response: noise need not end in a line.
+// expectPrefix returns an error as soon as the received bytes cannot begin a response, without waiting for a
+// line end, which invalid input may not contain.
 func (r *Reader) expectPrefix(prefix string) error {
 	for {
 		count := min(len(prefix), r.Buffered())
@@ -95,8 +96,8 @@
 	return statusLine{version: version, status: status}, nil
 }
 
-// readResponseBody reads the body in the framing that the response's head states. Without any it ends with
-// the connection.
+// readResponseBody reads the body with the framing that the response's head states. If it states none, the
+// body ends with the connection.
 func (r *Reader) readResponseBody(response *Response) error {
 	stated, err := response.Header.framing()
 	switch {
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -12,21 +12,21 @@
 		text, body string
 		status     int
 		closes     bool
-		buffered   int // bytes that belong to no response
+		buffered   int // bytes left in the buffer after the response
 	}{
 		"plain": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "hi", 200, false, 0},
 		"interim": {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 x\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\n" +
 			"Content-Length: 1\r\n\r\nh", "h", 200, false, 0},
 		"chunked": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nhi\r\n1\r\n!\r\n" +
 			"0\r\nA: b\r\n\r\n", "hi!", 200, false, 0},
-		"to the end": {"HTTP/1.1 200 OK\r\n\r\nhi", "hi", 200, true, 0},
+		"until close": {"HTTP/1.1 200 OK\r\n\r\nhi", "hi", 200, true, 0},
 		"close": {"HTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "", 500, true,
 			0},
-		"no reason": {"HTTP/1.1 204\r\n\r\n", "", 204, false, 0},
-		"more behind": {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nhHTTP/1.1 200 OK\r\n", "h", 200,
+		"no reason phrase": {"HTTP/1.1 204\r\n\r\n", "", 204, false, 0},
+		"bytes after the body": {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nhHTTP/1.1 200 OK\r\n", "h", 200,
 			false, 17},
-		"older":        {"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\nh", "h", 200, true, 0},
-		"empty length": {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "", 200, false, 0},
+		"older version": {"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\nh", "h", 200, true, 0},
+		"empty length":  {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "", 200, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := readerOf(test.text)
@@ -39,7 +39,7 @@
 	}
 }
 
-// endlessSource never ends, as a response that is said to have gigabytes does: reading it must be bounded.
+// endlessSource never ends, like a response of gigabytes: the number of bytes that are read must be bounded.
 type endlessSource struct{ count int }
 
 func (s *endlessSource) Read(buffer []byte) (int, error) {
@@ -52,20 +52,20 @@
 
 func TestReader_RejectsMalformedResponses(t *testing.T) {
 	for name, text := range map[string]string{
-		"noise":          "\x16\x03\x01 not an answer",
-		"noise, no line": strings.Repeat("z", 100),
-		"status":         "HTTP/1.1 20x OK\r\n\r\n",
-		"switching":      "HTTP/1.1 101 x\r\n\r\n",
+		"noise":              "\x16\x03\x01 not an answer",
+		"noise, no line end": strings.Repeat("z", 100),
+		"status":             "HTTP/1.1 20x OK\r\n\r\n",
+		"switching":          "HTTP/1.1 101 x\r\n\r\n",
 		"both framings": "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"1\r\na\r\n0\r\n\r\n",
-		"two lengths":      "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\naa",
-		"huge":             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
-		"huge chunk":       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n",
-		"bad chunk":        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-		"chunk too long":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n",
-		"to the end, huge": "HTTP/1.1 200 OK\r\n\r\n",
-		"head without end": "HTTP/1.1 200 OK\r\nA: ",
-		"interims":         strings.Repeat("HTTP/1.1 100 x\r\n\r\n", 20),
+		"two lengths":       "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\naa",
+		"huge":              "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+		"huge chunk":        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n",
+		"bad chunk":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+		"chunk too long":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n",
+		"until close, huge": "HTTP/1.1 200 OK\r\n\r\n",
+		"head without end":  "HTTP/1.1 200 OK\r\nA: ",
+		"interims":          strings.Repeat("HTTP/1.1 100 x\r\n\r\n", 20),
 	} {
 		t.Run(name, func(t *testing.T) {
 			tail := &endlessSource{}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -8,7 +8,7 @@
 const lineEnd = "\r\n"
 
 // AppendRequest appends a request with its body to buffer and returns the extended buffer. The header must
-// not state the framing: Content-Length is added, except to a GET without body.
+// not state the framing: Content-Length is added, except to a GET without a body.
 func AppendRequest(buffer []byte, method, target string, header Header, body []byte) []byte {
 	buffer = append(buffer, method...)
 	buffer = append(buffer, ' ')
