--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -27,22 +27,22 @@
 
 const (
 	replyHeaderSize = 4              // length of the frame
-	maxTextLength   = math.MaxUint16 // bytes; a longer text is cut
+	maxTextLength   = math.MaxUint16 // bytes; a longer text is truncated
 )
 
-// Reply gathers the actions of one batch into a frame.
+// Reply collects the encoded actions that answer one batch in a frame.
 type Reply struct{ frame []byte }
 
 // NewReply returns an empty reply.
 func NewReply() *Reply { return &Reply{frame: make([]byte, replyHeaderSize)} }
 
-// Bytes completes the frame and returns it. The slice is valid until the reply is added to.
+// Bytes completes the frame and returns it. The slice is valid until the next call of Add or AddFault.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.frame, uint32(len(r.frame)))
 	return r.frame
 }
 
-// Add appends an instance's action. It fails for an action that the protocol does not have.
+// Add appends an instance's action. It returns an error for an action that the protocol does not define.
 func (r *Reply) Add(instance uint16, action scheduler.Action) error {
 	body := binary.LittleEndian.AppendUint16(nil, instance)
 	switch action := action.(type) {
@@ -70,12 +70,12 @@
 	case scheduler.FetchEndpoints:
 		r.addRecord(codeFetchEndpoints, body)
 	default:
-		return fmt.Errorf("action %T has no wire form", action)
+		return fmt.Errorf("action %T is not defined in the protocol", action)
 	}
 	return nil
 }
 
-// AddFault appends the report that an instance's scheduler has failed.
+// AddFault appends a report that an instance's scheduler has failed.
 func (r *Reply) AddFault(instance uint16, text string) {
 	body := binary.LittleEndian.AppendUint16(nil, instance)
 	r.addRecord(codeFault, appendText(body, []byte(text)))
@@ -106,7 +106,7 @@
 	return binary.LittleEndian.AppendUint64(body, uint64(max(duration, 0)))
 }
 
-// appendText appends a text with its length.
+// appendText appends a text preceded by its length in bytes.
 func appendText(body, text []byte) []byte {
 	text = text[:min(len(text), maxTextLength)]
 	return append(binary.LittleEndian.AppendUint16(body, uint16(len(text))), text...)
--- a/internal/wire/actions_test.go
+++ b/internal/wire/actions_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestReply_WritesTheProtocolPagesActions(t *testing.T) {
+func TestReply_EncodesDocumentedActions(t *testing.T) {
 	for _, test := range []struct {
 		action scheduler.Action
 		want   string
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -23,7 +23,7 @@
 	clockOffset       = 8
 )
 
-// InstanceStart starts an instance anew.
+// InstanceStart starts an instance with new state; one that is running is replaced.
 type InstanceStart struct {
 	Seed     uint64
 	Settings scheduler.Settings
@@ -33,18 +33,18 @@
 type Record struct {
 	Instance uint16
 	Start    *InstanceStart  // nil: not a start
-	Stop     bool            // the instance ends
+	Stop     bool            // the instance stops
 	Event    scheduler.Event // nil: a start or a stop
 }
 
-// Batch is all that came in at one time of the clock.
+// Batch holds the records received at one clock value.
 type Batch struct {
 	Now     time.Duration
 	Records []Record
 }
 
-// ReadBatch reads one frame. It returns io.EOF if the input ended before a frame began; any other error means
-// that the input cannot be read on.
+// ReadBatch reads and decodes one frame. It returns io.EOF if the input ended before a frame began; after any
+// other error the input cannot be read any further.
 func ReadBatch(r io.Reader) (Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -55,7 +55,7 @@
 	}
 	size := binary.LittleEndian.Uint32(header[frameLengthOffset:])
 	if size < batchHeaderSize || size > maxFrameSize {
-		return Batch{}, fmt.Errorf("bad frame length %d", size)
+		return Batch{}, fmt.Errorf("invalid frame length %d", size)
 	}
 	frame := make([]byte, size)
 	copy(frame, header[:])
@@ -65,11 +65,11 @@
 	return DecodeBatch(frame)
 }
 
-// DecodeBatch decodes one whole frame.
+// DecodeBatch decodes one complete frame.
 func DecodeBatch(frame []byte) (Batch, error) {
 	if len(frame) < batchHeaderSize ||
 		int(binary.LittleEndian.Uint32(frame[frameLengthOffset:])) != len(frame) {
-		return Batch{}, errors.New("bad frame length")
+		return Batch{}, errors.New("invalid frame length")
 	}
 	count := binary.LittleEndian.Uint32(frame)
 	d := &decoder{rest: frame[clockOffset:]}
@@ -90,7 +90,7 @@
 		batch.Records = append(batch.Records, record)
 	}
 	if len(d.rest) > 0 || d.err != nil {
-		return Batch{}, fmt.Errorf("frame has %d bytes past its last record", len(d.rest))
+		return Batch{}, fmt.Errorf("frame has %d bytes after its last record", len(d.rest))
 	}
 	return batch, nil
 }
--- a/internal/wire/batch_test.go
+++ b/internal/wire/batch_test.go
@@ -11,14 +11,14 @@
 	"landingpaddle/scheduler"
 )
 
-func TestDecodeBatch_ReadsAnEmptyBatch(t *testing.T) {
+func TestDecodeBatch_DecodesEmptyBatch(t *testing.T) {
 	batch, err := DecodeBatch(unhex(t, "00000000 10000000 "+pageClock))
 	if err != nil || len(batch.Records) != 0 || batch.Now != 0x1f568bf90 {
 		t.Fatalf("got %+v, %v", batch, err)
 	}
 }
 
-func TestDecodeBatch_ReadsTheProtocolPagesBatch(t *testing.T) {
+func TestDecodeBatch_DecodesDocumentedBatch(t *testing.T) {
 	batch, err := DecodeBatch(unhex(t, `03000000 5b000000 90bf68f501000000
 		12 30000000 0300 c4913a5d 00 00000000 01 00004040 00000000 640ad2557c3bf091 90dbb60302000000
 		107cf3d901648e2b 00000040
@@ -42,16 +42,16 @@
 	for name, frame := range map[string][]byte{
 		"length too small":   unhex(t, "00000000 0f000000 "+pageClock),
 		"length too large":   unhex(t, "00000000 ffffffff "+pageClock),
-		"header cut":         unhex(t, "00000000 1000"),
-		"frame cut":          unhex(t, "00000000 18000000 "+pageClock+"0000"),
-		"more records":       unhex(t, "02000000 10000000 "+pageClock),
+		"header truncated":   unhex(t, "00000000 1000"),
+		"frame truncated":    unhex(t, "00000000 18000000 "+pageClock+"0000"),
+		"too few records":    unhex(t, "02000000 10000000 "+pageClock),
 		"unknown code":       frameOf(t, "01000000", "63 02000000 0300"),
 		"record past frame":  frameOf(t, "01000000", "15 ff000000 0300"),
 		"record too short":   frameOf(t, "01000000", "15 04000000 0500 192b"),
 		"record too long":    frameOf(t, "01000000", "16 07000000 0300 4d000000 00"),
-		"bytes behind":       frameOf(t, "01000000", "19 02000000 0300 00"),
-		"too many entries":   frameOf(t, "01000000", "11 0f000000 0300 2900000000000000 01 ffffffff"),
-		"list form":          frameOf(t, "01000000", "11 0f000000 0300 2900000000000000 09 00000000"),
+		"trailing bytes":     frameOf(t, "01000000", "19 02000000 0300 00"),
+		"too many endpoints": frameOf(t, "01000000", "11 0f000000 0300 2900000000000000 01 ffffffff"),
+		"update kind":        frameOf(t, "01000000", "11 0f000000 0300 2900000000000000 09 00000000"),
 		"settings without =": frameOf(t, "01000000", "10 10000000 0300 0000000000000000 02000000 6d65"),
 		"clock out of range": unhex(t, "00000000 10000000 ffffffffffffffff"),
 		"number not a number": frameOf(t, "01000000",
@@ -76,7 +76,7 @@
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		batch, err := DecodeBatch(frame)
 		if err == nil && len(frame) < batchHeaderSize+recordHeaderSize*len(batch.Records) {
-			t.Errorf("%d records out of %d bytes", len(batch.Records), len(frame))
+			t.Errorf("%d records decoded from %d bytes", len(batch.Records), len(frame))
 		}
 	})
 }
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// decoder takes values off the front of a buffer. After the first error it returns zeros and keeps the error.
+// decoder reads values from the front of a buffer. After the first error its methods return zero
+// values.
 type decoder struct {
-	rest []byte
-	err  error
+	rest []byte // not read yet
+	err  error  // the first error
 }
 
-// fail records an error unless there is one.
+// fail records an error unless one has been recorded before.
 func (d *decoder) fail(err error) {
 	if d.err == nil {
 		d.err = err
@@ -22,7 +23,7 @@
 
 func (d *decoder) take(size int64) []byte {
 	if size > int64(len(d.rest)) {
-		d.fail(fmt.Errorf("%d bytes wanted, %d left", size, len(d.rest)))
+		d.fail(fmt.Errorf("%d bytes required, %d left", size, len(d.rest)))
 	}
 	if d.err != nil {
 		return nil
@@ -44,7 +45,7 @@
 func (d *decoder) uint32() uint32 { return uint32(d.uint(4)) }
 func (d *decoder) uint64() uint64 { return d.uint(8) }
 
-// duration takes a time in nanoseconds.
+// duration reads a time in nanoseconds.
 func (d *decoder) duration() time.Duration {
 	value := d.uint64()
 	if value > math.MaxInt64 {
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's binary protocol: it reads batches of events, parses an instance's
-// settings and writes replies of actions. It decides nothing.
+// Package wire implements the simulator's binary protocol: it decodes batches of events, parses an instance's
+// settings and encodes replies of actions. It makes no scheduling decisions.
 //
-// All integers are little-endian; times are nanoseconds in 64 bits, fractions 32-bit floats. Settings come as
-// path=value lines in the protocol and as nested JSON elsewhere; both go through one mapping.
+// All integers are little-endian; times are nanoseconds in 64 bits, fractions 32-bit floats. Settings are
+// path=value lines in the protocol and nested JSON in the platform's configuration; both use one mapping.
 package wire
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -45,12 +45,12 @@
 		}
 	}
 	if len(d.rest) > 0 {
-		d.fail(fmt.Errorf("bad length: %d bytes too many", len(d.rest)))
+		d.fail(fmt.Errorf("record is %d bytes too long", len(d.rest)))
 	}
 	return record, d.err
 }
 
-// event takes the event of a code; nil for an unknown code.
+// event decodes the event with a code; nil if the code is unknown.
 func (d *decoder) event(code uint8) scheduler.Event {
 	switch code {
 	case codeEndpointUpdate:
@@ -85,11 +85,11 @@
 func (d *decoder) endpointUpdate() scheduler.EndpointUpdate {
 	update := scheduler.EndpointUpdate{Version: d.uint64(), Kind: scheduler.UpdateKind(d.uint8())}
 	if update.Kind > scheduler.UpdateFailed {
-		d.fail(fmt.Errorf("unknown list form %d", update.Kind))
+		d.fail(fmt.Errorf("unknown endpoint update kind %d", update.Kind))
 	}
 	count := int64(d.uint32())
 	if count*endpointSize > int64(len(d.rest)) {
-		d.fail(fmt.Errorf("%d entries cannot fit in %d bytes", count, len(d.rest)))
+		d.fail(fmt.Errorf("%d endpoints cannot fit in %d bytes", count, len(d.rest)))
 	}
 	for range count {
 		if d.err != nil {
@@ -168,7 +168,7 @@
 	return server
 }
 
-// load takes a load report; nil if it has no values.
+// load decodes a load report; nil if it has no values.
 func (d *decoder) load() []float64 {
 	count := int(d.uint8())
 	if count == 0 || d.err != nil {
--- a/internal/wire/events_test.go
+++ b/internal/wire/events_test.go
@@ -8,7 +8,7 @@
 	"landingpaddle/scheduler"
 )
 
-func TestDecodeBatch_ReadsTheProtocolPagesEvents(t *testing.T) {
+func TestDecodeBatch_DecodesDocumentedEvents(t *testing.T) {
 	for name, test := range map[string]struct {
 		body string
 		want Record
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -8,7 +8,8 @@
 	"landingpaddle/scheduler"
 )
 
-// unhex returns the bytes of a frame in the protocol page's notation: hex digits with white space.
+// unhex returns the bytes of a frame in the notation of the protocol's documentation: hex digits with white
+// space.
 func unhex(t testing.TB, text string) []byte {
 	t.Helper()
 	decoded, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -18,10 +19,10 @@
 	return decoded
 }
 
-// pageClock is the clock of the protocol page's batches.
+// pageClock is the encoded clock of the batches in the protocol's documentation.
 const pageClock = "90bf68f501000000"
 
-// frameOf returns a batch of records at pageClock.
+// frameOf returns the frame of a batch at pageClock; count and body are hex digits, body the records.
 func frameOf(t testing.TB, count, body string) []byte {
 	t.Helper()
 	frame := unhex(t, count+"00000000"+pageClock+body)
@@ -29,7 +30,7 @@
 	return frame
 }
 
-// Servers of the protocol page.
+// Servers of the examples in the protocol's documentation.
 var (
 	serverA = scheduler.Server{Addr: [4]byte{0x0a, 0x12, 0x4a, 0x07}, Port: 5003}
 	serverB = scheduler.Server{Addr: [4]byte{0x0a, 0x90, 0x11, 0xf2}, Port: 5044}
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -12,11 +12,11 @@
 	"strings"
 )
 
-// maxNesting bounds how deep nested settings may go.
+// maxNesting bounds the nesting depth of settings.
 const maxNesting = 16
 
-// ParseNested reads the settings of a first message in their nested JSON form. They are flattened to the
-// path=value form and read by the same mapping.
+// ParseNested parses settings in nested JSON form. They are flattened to the path=value form and converted by
+// the same mapping as those of ParseSettings.
 func ParseNested(doc []byte) (Site, error) {
 	settings, err := decodeObject(doc)
 	if err != nil {
@@ -32,7 +32,7 @@
 // decodeObject decodes a document that holds exactly one JSON object.
 func decodeObject(doc []byte) (map[string]any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(doc))
-	decoder.UseNumber() // so that a number's text stays as it was written
+	decoder.UseNumber() // keeps the text of a number as it was written
 	var object map[string]any
 	if err := decoder.Decode(&object); err != nil {
 		return nil, err
@@ -43,11 +43,11 @@
 	return object, nil
 }
 
-// flatten writes a value under its path: plain values as they are, lists of them joined by commas, lists of
-// objects under .count and .0, .1 and so on. A null is left out.
+// flatten stores a value under its path: plain values as they are, lists of them joined by commas, lists of
+// objects under .count and .0, .1 and so on. A null is omitted.
 func flatten(values map[string]string, path string, value any, depth int) error {
 	if depth > maxNesting {
-		return fmt.Errorf("%s: nested too deep", path)
+		return fmt.Errorf("%s: nested too deeply", path)
 	}
 	switch value := value.(type) {
 	case map[string]any:
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// flattenObject goes by sorted keys, so that of several errors always the same is reported.
+// flattenObject visits keys in sorted order, so that the same one of several errors is always reported.
 func flattenObject(values map[string]string, path string, object map[string]any, depth int) error {
 	for _, key := range slices.Sorted(maps.Keys(object)) {
 		keyPath := strings.TrimPrefix(path+"."+key, ".")
@@ -77,7 +77,7 @@
 }
 
 func flattenList(values map[string]string, path string, list []any, depth int) error {
-	var words []string
+	var plainValues []string
 	objects := 0
 	for i, element := range list {
 		if _, ok := element.(map[string]any); ok {
@@ -91,12 +91,12 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
-		words = append(words, listWord(text))
+		plainValues = append(plainValues, listWord(text))
 	}
 	switch {
 	case objects == 0:
-		values[path] = strings.Join(words, ",")
-	case len(words) > 0:
+		values[path] = strings.Join(plainValues, ",")
+	case len(plainValues) > 0:
 		return fmt.Errorf("%s: objects and plain values in one list", path)
 	default:
 		values[path+".count"] = strconv.Itoa(objects)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// plainText returns a plain value as the path=value form has it.
+// plainText returns a plain value (a string, number or boolean) as text of the path=value form.
 func plainText(value any) (string, error) {
 	switch value := value.(type) {
 	case string:
@@ -114,8 +114,9 @@
 	case bool:
 		return strconv.FormatBool(value), nil
 	}
-	return "", fmt.Errorf("%T is no plain value", value)
+	return "", fmt.Errorf("%T is not a plain value", value)
 }
 
-// listWord returns a text as it stands in a list of plain values, where commas and spaces separate.
+// listWord returns a text as an element of a list of plain values: it replaces commas and spaces, which
+// separate elements.
 func listWord(text string) string { return strings.NewReplacer(",", "_", " ", "_").Replace(text) }
--- a/internal/wire/nested_test.go
+++ b/internal/wire/nested_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// flatSettings and nestedSettings are the same settings in the two forms.
+// flatSettings and nestedSettings are the same settings in both forms.
 const flatSettings = `callers.marks_retry=true
 classes.count=2
 classes.0.deadline_ns=2500000000
@@ -71,7 +71,7 @@
 "rules":{"answer_slack_ns":8000000,"extra_floor":3,"further_ratio":0.1,"look_back_ns":1e9},
 "zone":1,"new":{"deep":[{"er":null}]}}`
 
-// Both forms of one object must give the scheduler the same settings: a second mapping would drift.
+// Both forms must result in the same scheduler settings. The test guards against two mappings that diverge.
 func TestParseNested_EqualsTheFlatForm(t *testing.T) {
 	want, err := ParseSettings(flatSettings)
 	if err != nil {
@@ -87,7 +87,7 @@
 	if got.Classes[1] != "field-write" || got.Plans[0] != "standard" || got.Zone("hall b") != 1 ||
 		got.Zone("hall-z") != 255 || got.Shards != 9 || got.MaxOpenRequests != 333 ||
 		got.IdleTimeout.Seconds() != 15 || got.AnswerSlack.Milliseconds() != 8 {
-		t.Fatalf("beside the scheduler's: %+v", got)
+		t.Fatalf("fields other than Settings: %+v", got)
 	}
 }
 
@@ -106,7 +106,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseNested([]byte(test.doc))
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%.40s: %v; want %q in it", test.doc, err, test.want)
+				t.Errorf("%.40s: got %v; want an error with %q", test.doc, err, test.want)
 			}
 		})
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,17 +7,18 @@
 	"landingpaddle/scheduler"
 )
 
-// Names in settings, by value.
+// Names of enumerated values in the settings. The index of a name is its value.
 var (
 	discoveryNames   = []string{"push", "ask"}
 	idempotencyNames = []string{"read_like", "idempotency_key", "non_idempotent"}
 	dedupScopeNames  = []string{"all", "zone", "cell"}
 )
 
-// discoveryPolled is the index among discoveryNames of an endpoint list that comes only when asked for.
+// discoveryPolled is the index in discoveryNames of the mode in which the endpoint list is sent only on
+// request.
 const discoveryPolled = 1
 
-// ParseSettings reads the path=value lines of a first message. Paths that it does not know are skipped.
+// ParseSettings parses the path=value lines of an instance's start record. Unknown paths are ignored.
 func ParseSettings(info string) (scheduler.Settings, error) {
 	reader := &valueReader{values: map[string]string{}}
 	for line := range strings.Lines(info) {
@@ -35,8 +36,8 @@
 	return settings, reader.err
 }
 
-// settings maps all values to the scheduler's settings. Of several bad values the first in this order is
-// reported.
+// settings maps all values to the scheduler's settings. Of several invalid values it reports the first in the
+// order of this mapping.
 func (r *valueReader) settings() scheduler.Settings {
 	settings := scheduler.Settings{
 		InstanceIndex: r.integer("me"),
@@ -76,7 +77,8 @@
 	settings.ReportsElsewhere = r.bool("domain.tells_elsewhere")
 }
 
-// readRules reads the rules' figures. A retry budget is in force if its window is given, whatever it is.
+// readRules reads the values under rules. The retry budget is enabled if its window is given, whatever its
+// value.
 func (r *valueReader) readRules(settings *scheduler.Settings) {
 	settings.PollTimeout = r.duration("rules.ask_within_ns")
 	settings.ColdFraction = r.number("rules.cold_share")
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -24,13 +24,13 @@
 	class := settings.Classes[1]
 	if class.Idempotency != scheduler.IdempotentByKey || class.DedupScope != scheduler.DedupCell ||
 		!class.OrderedByKey || !class.Writes {
-		t.Errorf("class 1 is %+v", class)
+		t.Errorf("class 1: got %+v", class)
 	}
 	if settings.Classes[0].Deadline != 2500*time.Millisecond || settings.Plans[0].Limit != 35 {
 		t.Errorf("got %+v", settings)
 	}
 	if _, err := ParseSettings(""); err != nil {
-		t.Errorf("no settings: %v", err)
+		t.Errorf("empty settings: %v", err)
 	}
 }
 
--- a/internal/wire/site.go
+++ b/internal/wire/site.go
@@ -9,11 +9,11 @@
 	"landingpaddle/scheduler"
 )
 
-// unknownNumber is the number of a zone or a machine type that the settings do not name.
+// unknownNumber is the number of a zone or a machine type that the settings do not list.
 const unknownNumber = 255
 
-// Site is an instance's settings with what a running program needs of them beside the scheduler's: names as
-// clients and the registry use them, and the figures of connections.
+// Site holds an instance's settings: those of the scheduler, and those that only the program around it needs,
+// such as the names that clients and the registry use, and the limits and timeouts of connections.
 type Site struct {
 	Settings            scheduler.Settings
 	Classes, Plans      []string // names, by number
@@ -24,7 +24,7 @@
 	AnswerSlack         time.Duration
 }
 
-// site reads what ParseSettings reads, and the rest of Site.
+// site returns the scheduler's settings, as ParseSettings does, and the other fields of Site.
 func (r *valueReader) site() (Site, error) {
 	site := Site{
 		Settings:        r.settings(),
@@ -42,16 +42,15 @@
 		site.Plans = append(site.Plans, r.values[fmt.Sprintf("contracts.%d.name", i)])
 	}
 	if r.err == nil && len(site.Classes) == 0 {
-		r.err = errors.New("settings name no classes")
+		r.err = errors.New("settings define no classes")
 	}
 	return site, r.err
 }
 
-// Zone returns the number of a zone by the name that the registry uses, or 255 for one that the settings do
-// not name.
+// Zone returns the number of the zone with a name of the registry, or 255 if the settings do not list it.
 func (s *Site) Zone(name string) uint8 { return numberOf(s.Zones, name) }
 
-// MachineType returns the number of a machine type by its name, or 255 for one that the settings do not name.
+// MachineType returns the number of the machine type with a name, or 255 if the settings do not list it.
 func (s *Site) MachineType(name string) uint8 { return numberOf(s.MachineTypes, name) }
 
 func numberOf(names []string, name string) uint8 {
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -9,20 +9,19 @@
 	"time"
 )
 
-// maxListLength bounds a list in the settings: a class's or a plan's number must fit in a byte or so on the
-// wire.
+// maxListLength bounds the length of a list in the settings: the number of a class or a plan must fit in
+// about one byte on the wire.
 const maxListLength = 4096
 
-// valueReader looks up the values of settings by their paths and converts them. A missing value is zero. The
-// error of the first value that cannot be converted is kept.
+// valueReader looks up settings by their paths and converts their values. A missing value is zero.
 type valueReader struct {
-	values map[string]string
-	err    error
+	values map[string]string // texts by path
+	err    error             // of the first value that could not be converted
 }
 
 func (r *valueReader) fail(path string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("bad settings value %s=%q", path, r.values[path])
+		r.err = fmt.Errorf("invalid settings value %s=%q", path, r.values[path])
 	}
 }
 
@@ -80,7 +79,7 @@
 	return false
 }
 
-// enum returns the index of a value among names; a missing value is the first.
+// enum returns the index of a value in names; 0 if the value is missing.
 func (r *valueReader) enum(path string, names ...string) int {
 	text, ok := r.values[path]
 	if !ok {
@@ -94,7 +93,7 @@
 	return index
 }
 
-// list reads the elements of a list of plain values; nil if it is missing or empty.
+// list returns the elements of a list of plain values; nil if it is missing or empty.
 func (r *valueReader) list(path string) []string {
 	if r.values[path] == "" {
 		return nil
