--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter hosts instances of the scheduler and speaks the simulator's wire protocol on
-// standard input and output. Instances share nothing.
+// Command simulator-adapter runs instances of the scheduler and exchanges messages of the simulator's wire
+// protocol on standard input and output. Instances share no state.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"landingpaddle/scheduler"
 )
 
-// inputBufferSize is in bytes.
+// inputBufferSize is the size of the buffer for standard input, in bytes.
 const inputBufferSize = 1 << 20
 
 func main() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// instances are the schedulers that run, by their instances' numbers.
+// instances maps the numbers of the running instances to their schedulers.
 type instances map[uint16]*scheduler.Scheduler
 
 // run answers each batch with one reply until the input ends.
@@ -48,19 +48,19 @@
 	}
 }
 
-// handleBatch hands a batch's events to their instances and returns what these ask for, in the order in
-// which the batch names them first.
+// handleBatch passes a batch's records to their instances and returns a reply with the instances' actions, in
+// the order of each instance's first record in the batch.
 func (s instances) handleBatch(batch wire.Batch) ([]byte, error) {
-	var touched []uint16
+	var inOrder []uint16
 	seen := map[uint16]bool{}
 	for _, record := range batch.Records {
 		if !seen[record.Instance] {
-			seen[record.Instance], touched = true, append(touched, record.Instance)
+			seen[record.Instance], inOrder = true, append(inOrder, record.Instance)
 		}
 		s.handleRecord(batch.Now, record)
 	}
 	reply := wire.NewReply()
-	for _, instance := range touched {
+	for _, instance := range inOrder {
 		if s[instance] == nil {
 			continue
 		}
@@ -73,8 +73,8 @@
 	return reply.Bytes(), nil
 }
 
-// handleRecord starts or stops an instance, or hands it an event; one for an instance that does not run is
-// dropped.
+// handleRecord starts or stops an instance, or passes it an event. An event for an instance that is not
+// running is ignored.
 func (s instances) handleRecord(now time.Duration, record wire.Record) {
 	switch {
 	case record.Stop:
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -10,17 +10,17 @@
 	"landingpaddle/scheduler"
 )
 
-// watchEndpointsTag begins a reply's action that opens a watch of the endpoint list.
+// watchEndpointsTag is the code of the action that opens a watch of the endpoint list.
 const watchEndpointsTag = 90
 
-func TestRun_EndOfInputIsNoError(t *testing.T) {
+func TestRun_EndOfInputIsNotAnError(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(strings.NewReader(""), &out); err != nil || out.Len() != 0 {
 		t.Fatalf("got %v and %d bytes", err, out.Len())
 	}
 }
 
-func TestRun_MalformedInputEndsWithoutAReply(t *testing.T) {
+func TestRun_MalformedInputFailsWithoutReply(t *testing.T) {
 	var out bytes.Buffer
 	malformed := append(binary.LittleEndian.AppendUint32([]byte{9, 0, 0, 0}, 16), make([]byte, 8)...)
 	if err := run(bytes.NewReader(malformed), &out); err == nil || out.Len() != 0 {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestInstances_KillAndFreshStartInOneBatch(t *testing.T) {
+func TestInstances_RestartInOneBatch(t *testing.T) {
 	running := instances{}
 	settings := scheduler.Settings{PollEndpoints: true}
 	start := []wire.Record{
@@ -46,18 +46,18 @@
 	if _, err := running.handleBatch(wire.Batch{Records: start}); err != nil {
 		t.Fatal(err)
 	}
-	killed := running[1]
+	stopped := running[1]
 	restart := append([]wire.Record{{Instance: 1, Stop: true}}, start...)
 	reply, err := running.handleBatch(wire.Batch{Now: 1, Records: restart})
-	if err != nil || running[1] == killed {
-		t.Fatalf("the killed instance runs on: %v", err)
+	if err != nil || running[1] == stopped {
+		t.Fatalf("the stopped instance is still running: %v", err)
 	}
 	if reply[4] != watchEndpointsTag {
-		t.Errorf("a fresh instance opens its watch; got % x", reply)
+		t.Errorf("restarted instance must open a watch of the endpoint list; got % x", reply)
 	}
 }
 
-func TestInstances_DropEventsForAStoppedOne(t *testing.T) {
+func TestInstances_IgnoreEventsForStoppedInstance(t *testing.T) {
 	running := instances{}
 	batch := wire.Batch{Records: []wire.Record{
 		{Instance: 4, Event: scheduler.TimerFired{Token: 1}},
