--- a/cmd/storage-gateway/audit.go
+++ b/cmd/storage-gateway/audit.go
@@ -11,7 +11,7 @@
 	JSON bool   `help:"Print the verdicts as JSON."`
 }
 
-// Run checks the rules from logs; a broken rule is an error.
+// Run checks the invariants against recorded logs; a violated invariant is an error.
 func (c *auditCommand) Run(out io.Writer) error {
 	site, events, err := testbed.ReadLogFolder(c.Dir)
 	if err != nil {
--- a/cmd/storage-gateway/call.go
+++ b/cmd/storage-gateway/call.go
@@ -13,23 +13,23 @@
 const maxCallCount = 100_000
 
 // errCallBounds is returned for flags of call that are out of bounds.
-var errCallBounds = errors.New("count is 1 to 100000; rate, cells and volumes are over 0")
+var errCallBounds = errors.New("count must be 1 to 100000; rate, cells and volumes must be over 0")
 
 type callCommand struct {
 	To      []string      `required:"" help:"Addresses of instances, in the order of their numbers."`
-	Count   int           `default:"100" help:"Requests to send; 100000 at most."`
-	Rate    float64       `default:"100" help:"Requests a second."`
+	Count   int           `default:"100" help:"Number of requests to send; at most 100000."`
+	Rate    float64       `default:"100" help:"Requests per second."`
 	Class   uint16        `default:"0" help:"Number of the class."`
 	Plan    uint16        `default:"0" help:"Number of the plan."`
-	Cells   int32         `default:"1" help:"The data lies on cells 0 to this less one."`
+	Cells   int32         `default:"1" help:"Number of cells that hold the data, from cell 0 on."`
 	Units   uint32        `default:"1" help:"Units of each request."`
-	Volumes uint64        `default:"4" help:"Volumes in turn."`
-	Wait    time.Duration `default:"2s" help:"How long the client waits."`
-	Write   bool          `help:"Requests write."`
-	Log     string        `help:"Write the client's own log here, for audit."`
+	Volumes uint64        `default:"4" help:"Number of volumes that the requests use in turn."`
+	Wait    time.Duration `default:"2s" help:"How long the client waits for each request."`
+	Write   bool          `help:"Send writes instead of reads."`
+	Log     string        `help:"Write the client's log to this file, for audit."`
 }
 
-// Run sends requests at a rate and prints how they ended.
+// Run sends requests at a constant rate and prints the number of requests by outcome.
 func (c *callCommand) Run(out io.Writer) error {
 	if c.Count < 1 || c.Count > maxCallCount || c.Rate <= 0 || c.Cells < 1 || c.Volumes < 1 {
 		return errCallBounds
--- a/cmd/storage-gateway/check.go
+++ b/cmd/storage-gateway/check.go
@@ -9,17 +9,17 @@
 )
 
 type checkCommand struct {
-	File string `arg:"" type:"existingfile" help:"Settings file: an instance, node, list, day or site."`
+	File string `arg:"" type:"existingfile" help:"Settings file of an instance, node, list, day or site."`
 }
 
-// Run prints the settings in force, defaults included.
+// Run prints the effective settings, including defaults.
 func (c *checkCommand) Run(out io.Writer) error {
 	forms, err := sexpr.ReadTree(c.File)
 	if err != nil {
 		return err
 	}
 	if len(forms) == 0 {
-		return sexpr.Errorf(sexpr.Pos{File: c.File, Line: 1, Col: 1}, "nothing here")
+		return sexpr.Errorf(sexpr.Pos{File: c.File, Line: 1, Col: 1}, "file contains no settings")
 	}
 	head := forms[0].Head()
 	settings := defaultSettings(head)
@@ -33,7 +33,7 @@
 	return err
 }
 
-// defaultSettings returns a pointer to what a file with that head changes; nil if there is none.
+// defaultSettings returns a pointer to the default settings of a form with a head; nil if the head is unknown.
 func defaultSettings(head string) any {
 	switch head {
 	case "instance":
--- a/cmd/storage-gateway/expect.go
+++ b/cmd/storage-gateway/expect.go
@@ -13,13 +13,13 @@
 var errNothingExpected = errors.New("nothing is expected: there is no (expect …)")
 
 type expectCommand struct {
-	File           string `arg:"" type:"existingfile" help:"Fleet file with its (expect …) forms."`
-	Against        string `type:"existingfile" help:"The fleet as it was: tell what the change changes."`
+	File           string `arg:"" type:"existingfile" help:"Fleet file with (expect …) forms."`
+	Against        string `type:"existingfile" help:"Previous fleet file: also print which verdicts changed."`
 	JSON           bool   `help:"Print the findings as JSON."`
-	AllowUndecided bool   `help:"What can't be decided does not block."`
+	AllowUndecided bool   `help:"Undecided expectations are not an error."`
 }
 
-// Run checks a fleet's expectations; one that is broken, or not decided, is an error.
+// Run checks a fleet's expectations; one that is broken, or undecided unless that is allowed, is an error.
 func (c *expectCommand) Run(out io.Writer) error {
 	fleet, model, expectations, err := config.LoadFleet(c.File)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return c.blocked(findings)
 }
 
-// blocked is an error if an expectation is broken, or not decided unless that is allowed.
+// blocked returns an error if an expectation is broken, or undecided unless that is allowed.
 func (c *expectCommand) blocked(findings []expect.Finding) error {
 	count := map[expect.Verdict]int{}
 	for _, finding := range findings {
@@ -66,8 +66,9 @@
 	return nil
 }
 
-// printChanges prints which of these expectations stood otherwise with the fleet as it was before.
-func (c *expectCommand) printChanges(out io.Writer, now []expect.Finding) error {
+// printChanges prints the expectations that are new or dropped, or whose verdict differs from that of the
+// previous fleet file.
+func (c *expectCommand) printChanges(out io.Writer, findings []expect.Finding) error {
 	_, model, expectations, err := config.LoadFleet(c.Against)
 	if err != nil {
 		return err
@@ -77,16 +78,16 @@
 	for _, finding := range before {
 		unmatched[finding.Expectation.Name] = finding
 	}
-	for _, finding := range now {
+	for _, finding := range findings {
 		name := finding.Expectation.Name
-		old, known := unmatched[name]
+		previous, found := unmatched[name]
 		delete(unmatched, name)
 		switch {
-		case !known:
+		case !found:
 			fmt.Fprintf(out, "  new        %s: %s\n", name, finding.Verdict)
-		case old.Verdict != finding.Verdict:
-			fmt.Fprintf(out, "  changed    %s: %s (%.3g) before, %s (%.3g) now\n", name, old.Verdict,
-				old.Value, finding.Verdict, finding.Value)
+		case previous.Verdict != finding.Verdict:
+			fmt.Fprintf(out, "  changed    %s: %s (%.3g) before, %s (%.3g) now\n", name, previous.Verdict,
+				previous.Value, finding.Verdict, finding.Value)
 		}
 	}
 	for _, finding := range before {
--- a/cmd/storage-gateway/forms_test.go
+++ b/cmd/storage-gateway/forms_test.go
@@ -12,8 +12,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// Sub-commands, arguments and flags with their defaults are interfaces.
-func TestForms_OfCommandsAndFlagsStay(t *testing.T) {
+// Sub-commands, arguments, flags and their defaults are interfaces that must not change unnoticed.
+func TestForms_CommandsAndFlagsMatchFile(t *testing.T) {
 	parser, err := kong.New(&commands{})
 	if err != nil {
 		t.Fatal(err)
@@ -33,28 +33,28 @@
 	compareWithFile(t, "testdata/forms/commands.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// What check prints of the shipped files: every form of the settings with its default.
-func TestForms_OfSettingsStay(t *testing.T) {
+// The output of check for the shipped examples contains every form of the settings with its default.
+func TestForms_SettingsMatchFile(t *testing.T) {
 	examples, err := filepath.Abs("../../examples")
 	if err != nil {
 		t.Fatal(err)
 	}
 	files, err := filepath.Glob(filepath.Join(examples, "*.lisp"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no examples: %v", err)
+		t.Fatalf("no examples found: %v", err)
 	}
-	var all bytes.Buffer
+	var output bytes.Buffer
 	for _, file := range files {
-		var out, errs bytes.Buffer
-		code := run([]string{"check", file}, &out, &errs)
-		_, cause, _ := strings.Cut(errs.String(), ": ")
-		fmt.Fprintf(&all, "== %s exit %d\n%s%s", filepath.Base(file), code, out.String(),
+		var stdout, stderr bytes.Buffer
+		code := run([]string{"check", file}, &stdout, &stderr)
+		_, cause, _ := strings.Cut(stderr.String(), ": ")
+		fmt.Fprintf(&output, "== %s exit %d\n%s%s", filepath.Base(file), code, stdout.String(),
 			strings.ReplaceAll(cause, examples+"/", ""))
 	}
-	compareWithFile(t, "testdata/forms/settings.txt", all.String())
+	compareWithFile(t, "testdata/forms/settings.txt", output.String())
 }
 
-// The exit code is 0 when all is well, 1 for a failure, 2 for bad use.
+// The exit code is 0 for success, 1 for a failure and 2 for invalid usage.
 func TestRun_ExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		args []string
@@ -74,7 +74,7 @@
 	}
 }
 
-// compareWithFile checks a text against that of a file.
+// compareWithFile compares a text with the contents of a file.
 func compareWithFile(t *testing.T, path, got string) {
 	t.Helper()
 	want, err := os.ReadFile(path)
--- a/cmd/storage-gateway/list.go
+++ b/cmd/storage-gateway/list.go
@@ -11,16 +11,16 @@
 	"landingpaddle/internal/testbed"
 )
 
-// unknownNode is the node of an event whose Reason has the node's address instead.
+// unknownNode is the Node of an event that identifies the node by its address, in Reason.
 const unknownNode = -1
 
-// listCommand is the sub-command of the stand-in registry.
+// listCommand is the sub-command that runs the stand-in registry.
 type listCommand struct {
 	Config string `arg:"" type:"existingfile" help:"Settings file (list …)."`
-	Log    string `help:"Write what instances were notified of here when it ends, for audit."`
+	Log    string `help:"At exit, write the updates that instances acknowledged to this file, for audit."`
 }
 
-// Run serves as a stand-in registry until a signal.
+// Run runs a stand-in registry until the first signal.
 func (c *listCommand) Run() error {
 	settings := config.DefaultRegistry()
 	if err := config.Load(c.Config, "list", &settings); err != nil {
--- a/cmd/storage-gateway/logging.go
+++ b/cmd/storage-gateway/logging.go
@@ -6,11 +6,11 @@
 	"os"
 )
 
-// newLogger writes structured logs to standard error, from that level on.
+// newLogger returns a logger that writes structured records at or above a level to standard error.
 func newLogger(levelName string, asJSON bool) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(levelName)); err != nil {
-		return nil, fmt.Errorf("log level %q: want debug, info, warn or error", levelName)
+		return nil, fmt.Errorf("log level %q: must be debug, info, warn or error", levelName)
 	}
 	options := &slog.HandlerOptions{Level: level}
 	if asJSON {
--- a/cmd/storage-gateway/main_test.go
+++ b/cmd/storage-gateway/main_test.go
@@ -24,15 +24,15 @@
 const (
 	examplesGlob   = "../../examples/*.lisp"
 	exampleDataDir = "/tmp/landingpaddle"
-	instanceAddr   = "127.0.0.1:7120" // of the example's first instance
+	instanceAddr   = "127.0.0.1:7120" // of the first instance in the examples
 )
 
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){programName: main})
 }
 
-// The scripts run the shipped examples as a user would, on ports that are free here.
-func TestScripts_OfTheExamples(t *testing.T) {
+// The scripts run the shipped examples as a user would, on free ports of this machine.
+func TestScripts_RunExamples(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:      "testdata",
 		Deadline: time.Now().Add(90 * time.Second),
@@ -41,7 +41,7 @@
 	})
 }
 
-// copyExamples copies the examples into a script's folder, with addresses and a folder of its own.
+// copyExamples copies the examples into a script's folder, with free ports and a separate data folder.
 func copyExamples(env *testscript.Env) error {
 	files, err := filepath.Glob(examplesGlob)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// freePorts stand in for the addresses of the examples. They are held until all are known, so that none is
-// given twice.
+// freePorts replaces the addresses of the examples by those of free ports. The listeners stay open until all
+// ports are chosen, so that none is assigned twice.
 type freePorts struct {
 	byExample map[string]string
 	held      []net.Listener
@@ -99,11 +99,11 @@
 	}
 }
 
-// listenBelowEphemeralPorts listens on a free port that the system gives to no outgoing connection: one that
-// it gives away may be taken by a test that runs beside this before the script's own process listens on it.
+// listenBelowEphemeralPorts listens on a free port that the system does not assign to outgoing connections:
+// an ephemeral port could be taken by a test that runs in parallel before the script's process listens on it.
 func listenBelowEphemeralPorts() (listener net.Listener, err error) {
-	const first, last, tries = 10_000, 30_000, 100
-	for range tries {
+	const first, last, maxAttempts = 10_000, 30_000, 100
+	for range maxAttempts {
 		port := first + rand.IntN(last-first)
 		if listener, err = net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", port)); err == nil {
 			return listener, nil
@@ -112,7 +112,7 @@
 	return nil, err
 }
 
-// waitUntilReached waits until something listens at an address.
+// waitUntilReached waits until an address accepts connections.
 func waitUntilReached(script *testscript.TestScript, _ bool, args []string) {
 	for range 200 {
 		if conn, err := net.Dial("tcp4", args[0]); err == nil {
@@ -121,5 +121,5 @@
 		}
 		script.Check(script.Exec("sleep", "0.05"))
 	}
-	script.Fatalf("nobody listens at %s", args[0])
+	script.Fatalf("no listener at %s", args[0])
 }
--- a/cmd/storage-gateway/node.go
+++ b/cmd/storage-gateway/node.go
@@ -10,12 +10,13 @@
 
 type nodeCommand struct {
 	Config string `arg:"" type:"existingfile" help:"Settings file (node …)."`
-	Log    string `help:"Write the node's own log here when it ends, for audit."`
+	Log    string `help:"At exit, write the node's log to this file, for audit."`
 
-	Linger time.Duration `default:"2s" help:"It ends so long after the first signal drained it."`
+	Linger time.Duration `default:"2s" help:"Time between the start of the drain (first signal) and exit."`
 }
 
-// Run serves as a stand-in node: the first signal drains it, a second ends it at once.
+// Run runs a stand-in node. The first signal drains it, and stops it after Linger; a second one stops it
+// immediately.
 func (c *nodeCommand) Run() error {
 	settings := config.DefaultNode()
 	if err := config.Load(c.Config, "node", &settings); err != nil {
--- a/cmd/storage-gateway/output.go
+++ b/cmd/storage-gateway/output.go
@@ -13,7 +13,7 @@
 	return encoder.Encode(value)
 }
 
-// printReport prints a report; a broken rule is an error.
+// printReport prints a report; a violated invariant is an error.
 func printReport(out io.Writer, report *testbed.Report, asJSON bool) error {
 	if asJSON {
 		if err := printJSON(out, report); err != nil {
@@ -25,7 +25,7 @@
 	return report.Err()
 }
 
-// writeLog writes a stand-in's own log when it has ended well; without a path nothing is written.
+// writeLog writes a stand-in's log to path if the stand-in ended without an error; an empty path writes none.
 func writeLog(err error, events *testbed.Log, path string) error {
 	if err == nil && path != "" {
 		return events.WriteFile(path)
--- a/cmd/storage-gateway/platform.go
+++ b/cmd/storage-gateway/platform.go
@@ -12,13 +12,13 @@
 )
 
 type platformCommand struct {
-	LogLevel string `default:"info" help:"Least level that is logged: debug, info, warn or error."`
+	LogLevel string `default:"info" help:"Minimum log level: debug, info, warn or error."`
 }
 
-// Run serves on the platform until SIGTERM has been carried out. SIGHUP reads the configuration again; one
-// that cannot be read is logged and changes nothing.
+// Run serves on the platform until the graceful shutdown that SIGTERM or SIGINT starts is complete. SIGHUP
+// reloads the configuration; if that fails, the error is logged and the current configuration is kept.
 func (c *platformCommand) Run() error {
-	// Caught before anything else, as SIGHUP must not end a scheduler that has only begun.
+	// Signals are caught before anything else: SIGHUP must not terminate a scheduler that is starting.
 	received := make(chan os.Signal, 8)
 	signal.Notify(received, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
 	log, err := newLogger(c.LogLevel, false)
--- a/cmd/storage-gateway/scenario.go
+++ b/cmd/storage-gateway/scenario.go
@@ -9,18 +9,18 @@
 	"landingpaddle/internal/testbed"
 )
 
-// dayCommand is the sub-command day, or scenario.
+// dayCommand is the sub-command day, with the alias scenario.
 type dayCommand struct {
-	File     string `arg:"" optional:"" type:"existingfile" help:"Scenario file; default: an embedded one."`
+	File     string `arg:"" optional:"" type:"existingfile" help:"Scenario file; default: the embedded one."`
 	Seed     uint64 `default:"1" help:"Seed of traffic, nodes and instances."`
-	LogDir   string `help:"Write the logs here, for audit."`
+	LogDir   string `help:"Write the logs to this folder, for audit."`
 	JSON     bool   `help:"Print the verdicts as JSON."`
-	Baseline bool   `help:"Run it again with everything sent at once, and compare what was served."`
-	Unmerged bool   `help:"Run it again with nothing merged, and compare what was served."`
+	Baseline bool   `help:"Run it again with each request sent at once (greedy), and compare the results."`
+	Unmerged bool   `help:"Run it again without merging, and compare the results."`
 	Verbose  bool   `help:"Show the instances' logs."`
 }
 
-// Run runs the scenario and the runs that it is compared with; a broken rule is an error.
+// Run runs the scenario and the runs for comparison; an invariant violated in the scenario is an error.
 func (c *dayCommand) Run(out io.Writer) error {
 	scenario, err := c.scenario()
 	if err != nil {
@@ -62,21 +62,22 @@
 	return scenario, err
 }
 
-// checkMerges is an error where a scenario's site merges nothing, so that there is nothing to compare.
+// checkMerges returns an error if a scenario's site does not merge requests, so that there is nothing to
+// compare.
 func checkMerges(scenario *testbed.Scenario) error {
 	if scenario.Site.Extents == nil {
-		return fmt.Errorf("%s: the site has no (extents …), nothing is merged", scenario.Name)
+		return fmt.Errorf("%s: the site has no (extents …) form: requests are not merged", scenario.Name)
 	}
 	return nil
 }
 
-// scenarioRun is how a command runs scenarios.
+// scenarioRun holds the options with which a command runs scenarios.
 type scenarioRun struct {
 	seed    uint64
 	verbose bool // show the instances' logs
 }
 
-// record runs a scenario until it ends or the second signal comes.
+// record runs a scenario until it ends or a second signal is received.
 func (r scenarioRun) record(scenario *testbed.Scenario, hooks daemon.Hooks) (*testbed.Recording, error) {
 	dir, err := os.MkdirTemp("", "landingpaddle-day-*")
 	if err != nil {
@@ -94,7 +95,7 @@
 	return testbed.RunScenario(ctx, scenario, options)
 }
 
-// summarize runs a scenario for a comparison.
+// summarize runs a scenario and returns its summary, for a comparison.
 func (r scenarioRun) summarize(scenario *testbed.Scenario, hooks daemon.Hooks) (*testbed.Summary, error) {
 	recording, err := r.record(scenario, hooks)
 	if err != nil {
--- a/cmd/storage-gateway/serve.go
+++ b/cmd/storage-gateway/serve.go
@@ -13,8 +13,8 @@
 	Config string `arg:"" type:"existingfile" help:"Settings file (instance …)."`
 }
 
-// Run serves until the first signal, then answers the requests in flight and ends; a second signal ends it
-// at once.
+// Run serves until the first signal, then answers the requests in flight and returns; a second signal stops
+// it immediately.
 func (c *serveCommand) Run() error {
 	settings := config.DefaultInstance()
 	if err := config.Load(c.Config, "instance", &settings); err != nil {
--- a/cmd/storage-gateway/signals.go
+++ b/cmd/storage-gateway/signals.go
@@ -7,7 +7,8 @@
 	"syscall"
 )
 
-// handleSignals calls onFirst at the first SIGINT or SIGTERM and returns a context that ends at the second.
+// handleSignals calls onFirst at the first SIGINT or SIGTERM and returns a context that is cancelled at the
+// second.
 func handleSignals(onFirst func()) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	received := make(chan os.Signal, 2)
--- a/cmd/storage-gateway/sweep.go
+++ b/cmd/storage-gateway/sweep.go
@@ -14,26 +14,26 @@
 type sweepCommand struct {
 	File    string   `arg:"" type:"existingfile" help:"Scenario file whose site has (extents …)."`
 	Bound   string   `enum:"members,largest,window" default:"members" help:"members, largest or window."`
-	Values  []string `required:"" help:"Its values, as 1,4,16 or 64KiB,1MiB or 0s,5ms."`
+	Values  []string `required:"" help:"Values of the bound, such as 1,4,16 or 64KiB,1MiB or 0s,5ms."`
 	Seed    uint64   `default:"1" help:"Seed of traffic, nodes and instances, the same for each value."`
-	SVG     string   `help:"Write a plot here."`
+	SVG     string   `help:"Write a plot to this file."`
 	Verbose bool     `help:"Show the instances' logs."`
 }
 
-// The bounds on merging that can be swept.
+// The bounds on merging: the values of sweepCommand.Bound.
 const (
 	boundMembers = "members"
 	boundLargest = "largest"
 	boundWindow  = "window"
 )
 
-// sweepPoint is what a scenario came to with one value of a bound.
+// sweepPoint is the result of a scenario with one value of a bound.
 type sweepPoint struct {
 	value   string
 	summary testbed.Summary
 }
 
-// Run runs the scenario once for each value of one bound on merging; a broken rule is an error.
+// Run runs the scenario once for each value of one bound on merging; a violated invariant is an error.
 func (c *sweepCommand) Run(out io.Writer) error {
 	var points []sweepPoint
 	name := ""
@@ -74,14 +74,14 @@
 	}
 	for _, verdict := range testbed.CheckInvariants(&scenario.Site, recording.Events) {
 		if !verdict.Holds {
-			return testbed.Summary{}, fmt.Errorf("%s %s: %s broken: %s", c.Bound, value, verdict.Rule,
-				verdict.FirstViolation)
+			return testbed.Summary{}, fmt.Errorf("%s %s: invariant %s violated: %s", c.Bound, value,
+				verdict.Rule, verdict.FirstViolation)
 		}
 	}
 	return testbed.Summarize(&scenario.Site, recording), nil
 }
 
-// setBound puts a value of a bound into the settings and checks them.
+// setBound sets a bound in the settings to a value and checks the settings.
 func setBound(extents *config.Extents, bound, value string) (err error) {
 	switch bound {
 	case boundMembers:
--- a/cmd/storage-gateway/sweep_plot.go
+++ b/cmd/storage-gateway/sweep_plot.go
@@ -15,11 +15,11 @@
 	plotMaxY   = 1.2
 )
 
-// plotSweep draws the share that was earned, and operations for each request served, by the bound's values,
-// into a file.
+// plotSweep writes a plot to a file: the earned share of the requested priority weight, and the operations
+// per served request, by value of the bound.
 func plotSweep(path, name, bound string, points []sweepPoint) error {
 	p := plot.New()
-	p.Title.Text = "What " + bound + " of an operation may be: " + name
+	p.Title.Text = "Bound on merging, " + bound + ": " + name
 	p.X.Label.Text = bound
 	p.Y.Min, p.Y.Max = 0, plotMaxY
 	p.Legend.Top = true
@@ -30,8 +30,8 @@
 		earned[i] = plotter.XY{X: float64(i), Y: point.summary.EarnedShare}
 		operations[i] = plotter.XY{X: float64(i), Y: point.summary.OperationsPerServed()}
 	}
-	if err := plotutil.AddLinePoints(p, "worth served, of what was asked", earned,
-		"operations for each request served", operations); err != nil {
+	if err := plotutil.AddLinePoints(p, "earned share of the requested weight", earned,
+		"operations per served request", operations); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
 	p.NominalX(values...)
