--- a/internal/sexpr/decode.go
+++ b/internal/sexpr/decode.go
@@ -6,36 +6,38 @@
 	"strings"
 )
 
-// Checker is implemented by structs whose fields depend on one another; its error gets the form's place.
+// Checker is implemented by structs whose fields depend on one another. Decode calls Check when the struct is
+// filled, and adds the form's position to its error.
 type Checker interface{ Check() error }
 
-// Decode fills the struct that out points to from a list, whose head the caller has checked. Fields say by
-// their tag how they are written:
+// Decode fills the struct that out points to from a list, whose head the caller has checked. A field's
+// tag specifies how the field is written:
 //
 //	`s:"name"`           (name value), a bool also as (name); slices of scalars as (name a b c);
 //	                     structs as (name fields…), slices of structs as that form repeated
 //	`s:"name,required"`  missing is an error
 //	`s:",arg"`           the next plain value after the head, required
-//	`s:",rest"`          a []string or []*Node of all that is left
-//	`s:",pos"`           a Pos: where the form stands
-//	`min:"…" max:"…"`    bounds, in the field's own notation
+//	`s:",rest"`          a []string or []*Node of the remaining nodes
+//	`s:",pos"`           a Pos, set to the position of the form
+//	`min:"…" max:"…"`    inclusive bounds, in the notation of the field's values
 //
-// Unknown and doubled forms are errors. What is not written keeps the value that is there: the default.
-// Errors name a place: they are of type *Error, or wrap one that a Checker returned.
+// Unknown forms are errors, as are duplicates of forms that may not be repeated. A field that is not written
+// keeps its value, the default. Errors have a position: they are of type *Error, or wrap one that a Checker
+// returned.
 func Decode(form *Node, out any) error {
 	return decodeStruct(form, reflect.ValueOf(out).Elem())
 }
 
-// DecodeOne decodes the nodes of a file that must hold exactly one form, with the given head.
+// DecodeOne decodes the nodes of a file that must contain exactly one form, with the given head.
 func DecodeOne(nodes []*Node, name, head string, out any) error {
 	if len(nodes) == 0 {
-		return Errorf(startOf(name), "nothing here; want one (%s …)", head)
+		return Errorf(startOf(name), "found no form; want one (%s …)", head)
 	}
 	if nodes[0].Head() != head {
 		return Errorf(nodes[0].Pos, "found %s; want (%s …)", brief(nodes[0]), head)
 	}
 	if len(nodes) > 1 {
-		return Errorf(nodes[1].Pos, "found %s after the one (%s …)", brief(nodes[1]), head)
+		return Errorf(nodes[1].Pos, "found %s after (%s …); want one form", brief(nodes[1]), head)
 	}
 	return Decode(nodes[0], out)
 }
@@ -71,10 +73,10 @@
 	form   *Node
 	value  reflect.Value
 	fields []fieldSpec
-	seen   map[string]bool // names of fields that the form has given
+	seen   map[string]bool // names of the fields found so far
 }
 
-// decodePositional decodes the fields without a name and returns the nodes that they leave.
+// decodePositional decodes the fields without a name and returns the remaining nodes.
 func (d *structDecoder) decodePositional(rest []*Node) ([]*Node, error) {
 	for _, field := range d.fields {
 		value := d.value.Field(field.index)
@@ -84,7 +86,7 @@
 		case optionArg:
 			if len(rest) == 0 || rest[0].IsList() {
 				name := d.value.Type().Field(field.index).Name
-				return nil, Errorf(d.form.Pos, "(%s …) lacks its %s", d.form.Head(), name)
+				return nil, Errorf(d.form.Pos, "(%s …) is missing its %s", d.form.Head(), name)
 			}
 			if err := decodeScalar(rest[0], value, field); err != nil {
 				return nil, err
@@ -107,14 +109,14 @@
 			return field.name != "" && field.name == node.Head()
 		})
 		if index < 0 {
-			return Errorf(node.Pos, "(%s …) has no %s; it knows %s",
+			return Errorf(node.Pos, "(%s …) has no %s; it accepts %s",
 				d.form.Head(), brief(node), d.knownNames())
 		}
 		field := d.fields[index]
 		value := d.value.Field(field.index)
 		isRepeated := isRepeatedForm(value.Type())
 		if d.seen[field.name] && !isRepeated {
-			return Errorf(node.Pos, "(%s …) stands twice in (%s …)", field.name, d.form.Head())
+			return Errorf(node.Pos, "duplicate (%s …) in (%s …)", field.name, d.form.Head())
 		}
 		if isRepeated && !d.seen[field.name] {
 			value.SetZero() // the written forms replace those of the default
@@ -140,7 +142,7 @@
 func (d *structDecoder) checkRequired() error {
 	for _, field := range d.fields {
 		if field.option == optionRequired && !d.seen[field.name] {
-			return Errorf(d.form.Pos, "(%s …) lacks its (%s …)", d.form.Head(), field.name)
+			return Errorf(d.form.Pos, "(%s …) is missing (%s …)", d.form.Head(), field.name)
 		}
 	}
 	return nil
@@ -170,7 +172,7 @@
 	return decodeScalar(node.List[1], value, field)
 }
 
-// decodeForm decodes a form into a struct, or into a new one that a pointer is set to.
+// decodeForm decodes a form into a struct, or into a newly allocated one if the value is a pointer.
 func decodeForm(node *Node, value reflect.Value) error {
 	if value.Kind() != reflect.Pointer {
 		return decodeStruct(node, value)
@@ -179,7 +181,7 @@
 	return decodeStruct(node, value.Elem())
 }
 
-// decodeScalars replaces a slice by plain values, one for each node.
+// decodeScalars replaces the contents of a slice with the plain values of the nodes.
 func decodeScalars(nodes []*Node, slice reflect.Value, field fieldSpec) error {
 	slice.SetZero()
 	for _, node := range nodes {
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// decodeRest decodes the nodes that are left into a field with the option rest.
+// decodeRest decodes the remaining nodes into a field with the option rest.
 func decodeRest(nodes []*Node, slice reflect.Value) error {
 	if slice.Type() == reflect.TypeFor[[]*Node]() {
 		slice.Set(reflect.ValueOf(nodes))
--- a/internal/sexpr/decode_test.go
+++ b/internal/sexpr/decode_test.go
@@ -11,7 +11,7 @@
 	Wait time.Duration `s:"wait" min:"1ms" max:"1h"`
 }
 
-// testForm has a field of each kind that Decode reads.
+// testForm has a field of each kind that Decode supports.
 type testForm struct {
 	Count int       `s:"count,required" min:"1" max:"10"`
 	Ratio float64   `s:"ratio"`
@@ -22,7 +22,7 @@
 	One   *testRow  `s:"one"`
 }
 
-// decodeText decodes a text that holds one (outer …).
+// decodeText decodes a text that must contain one (outer …).
 func decodeText(text string) (testForm, error) {
 	var decoded testForm
 	nodes, err := Parse("x.lisp", []byte(text))
@@ -48,29 +48,29 @@
 	printed := Print("outer", decoded)
 	again, err := decodeText(printed)
 	if err != nil || Print("outer", again) != printed {
-		t.Errorf("what is printed does not read back: %v\n%s", err, printed)
+		t.Errorf("the printed form does not decode to the same value: %v\n%s", err, printed)
 	}
 }
 
-// An error has the place of the fault and says what is valid there.
-func TestDecode_ErrorsNameThePlace(t *testing.T) {
+// An error has the position of the mistake and states what is valid there.
+func TestDecode_ErrorsHaveAPosition(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
-		{"empty file", ``, "x.lisp:1:1: nothing here"},
+		{"empty file", ``, "x.lisp:1:1: found no form; want one (outer …)"},
 		{"list not closed", "(outer\n  (count 1)", "x.lisp:1:1: this ( is never closed"},
-		{"parenthesis not opened", "(outer (count 1)))", "x.lisp:1:18: a ) without its ("},
+		{"parenthesis not opened", "(outer (count 1)))", "x.lisp:1:18: unmatched )"},
 		{"other head", "(other)", "x.lisp:1:1: found (other …); want (outer …)"},
 		{"second form", "(outer (count 1))\n(outer (count 1))",
-			"x.lisp:2:1: found (outer …) after the one"},
-		{"field twice", "(outer (count 1) (count 2))", "x.lisp:1:18: (count …) stands twice"},
+			"x.lisp:2:1: found (outer …) after (outer …); want one form"},
+		{"field twice", "(outer (count 1) (count 2))", "x.lisp:1:18: duplicate (count …) in (outer …)"},
 		{"unknown field", "(outer (count 1)\n (cuont 2))",
-			"x.lisp:2:2: (outer …) has no (cuont …); it knows count"},
-		{"required field missing", "(outer)", "x.lisp:1:1: (outer …) lacks its (count …)"},
-		{"not a number", "(outer (count x))", `x.lisp:1:15: "x" is no whole number`},
+			"x.lisp:2:2: (outer …) has no (cuont …); it accepts count"},
+		{"required field missing", "(outer)", "x.lisp:1:1: (outer …) is missing (count …)"},
+		{"not a number", "(outer (count x))", `x.lisp:1:15: "x" is not a 64-bit integer`},
 		{"number out of range", "(outer (count 11))", "x.lisp:1:15: found 11; want 1 to 10"},
 		{"not a boolean", "(outer (count 1) (on maybe))", `x.lisp:1:22: found "maybe"; want yes or no`},
-		{"size without unit", "(outer (count 1) (room 5))", `x.lisp:1:24: "5" is no size`},
-		{"argument missing", "(outer (count 1) (row))", "x.lisp:1:18: (row …) lacks its Name"},
-		{"duration without unit", "(outer (count 1) (row a (wait 5)))", `x.lisp:1:31: "5" is no time`},
+		{"size without unit", "(outer (count 1) (room 5))", `x.lisp:1:24: "5" is not a size`},
+		{"argument missing", "(outer (count 1) (row))", "x.lisp:1:18: (row …) is missing its Name"},
+		{"duration without unit", "(outer (count 1) (row a (wait 5)))", `x.lisp:1:31: "5" is not a duration`},
 		{"duration out of range", "(outer (count 1) (row a (wait 2h)))",
 			"x.lisp:1:31: found 2h; want 1ms to 1h"},
 		{"string not closed", `(outer "unfinished`, "x.lisp:1:8:"},
--- a/internal/sexpr/doc.go
+++ b/internal/sexpr/doc.go
@@ -1,7 +1,7 @@
-// Package sexpr reads, decodes and prints S-expressions, the form of settings files, scenarios, expectations
-// and extent problems.
+// Package sexpr reads, decodes and prints S-expressions, the format of settings files, scenarios,
+// expectations and extent problems.
 //
-// Parse and ReadFile turn text into nodes, ReadTree also resolves includes, Decode fills a struct by its
-// fields' tags, and Print writes a struct in the form that Decode reads. Errors in a text are of type *Error:
-// they name file, line and column, what was found and what is valid there.
+// Parse and ReadFile parse text into nodes, ReadTree also resolves includes, Decode fills a struct according
+// to its fields' tags, and Print writes a struct in the form that Decode reads. Errors in a text are of type
+// *Error: they state file, line and column, what was found and what is valid there.
 package sexpr
--- a/internal/sexpr/errors.go
+++ b/internal/sexpr/errors.go
@@ -5,24 +5,25 @@
 	"fmt"
 )
 
-// Error is an error at a place of the input.
+// Error is an error at a position in the input.
 type Error struct {
 	Pos     Pos
 	Message string
 }
 
-// Error returns the place and the text.
+// Error returns the position and the message.
 func (e *Error) Error() string { return e.Pos.String() + ": " + e.Message }
 
-// Errorf returns an *Error at a place.
+// Errorf returns an *Error at a position.
 func Errorf(pos Pos, format string, args ...any) error {
 	return &Error{Pos: pos, Message: fmt.Sprintf(format, args...)}
 }
 
-// WrapError gives an error a place unless it is nil or has one. The result keeps the text only.
+// WrapError returns an *Error with the position and the text of err, which it does not wrap. It returns err
+// itself if that is nil or already has a position.
 func WrapError(pos Pos, err error) error {
-	var placed *Error
-	if err == nil || errors.As(err, &placed) {
+	var positioned *Error
+	if err == nil || errors.As(err, &positioned) {
 		return err
 	}
 	return &Error{Pos: pos, Message: err.Error()}
--- a/internal/sexpr/field.go
+++ b/internal/sexpr/field.go
@@ -13,15 +13,15 @@
 	optionRequired = "required"
 )
 
-// fieldSpec is what the tags of a struct's field say.
+// fieldSpec describes a struct's field by its tags.
 type fieldSpec struct {
-	index    int    // of the field in its struct
+	index    int    // of the field in the struct
 	name     string // of the form; "" for a positional field
 	option   string
 	min, max string // bounds; "" for none
 }
 
-// fieldsOf returns the fields of a struct that are part of its form.
+// fieldsOf returns the fields of a struct that have an s tag, in their order.
 func fieldsOf(structType reflect.Type) []fieldSpec {
 	var fields []fieldSpec
 	for i := range structType.NumField() {
@@ -37,12 +37,12 @@
 	return fields
 }
 
-// isPositional reports whether the field is not written as a form with its name.
+// isPositional reports whether the field is written without a form of its name.
 func (f fieldSpec) isPositional() bool {
 	return f.option == optionPos || f.option == optionArg || f.option == optionRest
 }
 
-// rangeText returns the field's bounds as errors show them.
+// rangeText formats the field's bounds for error messages.
 func (f fieldSpec) rangeText() string {
 	switch {
 	case f.min == "":
@@ -53,8 +53,8 @@
 	return f.min + " to " + f.max
 }
 
-// isForm reports whether a value of the type is written as a form of its own: it is a struct, or a pointer to
-// one, that is not written as a text.
+// isForm reports whether a value of the type is written as a separate form: it is a struct, or a pointer to
+// one, that does not implement encoding.TextUnmarshaler.
 func isForm(valueType reflect.Type) bool {
 	if valueType.Kind() == reflect.Pointer {
 		valueType = valueType.Elem()
--- a/internal/sexpr/include.go
+++ b/internal/sexpr/include.go
@@ -8,28 +8,29 @@
 	"strings"
 )
 
-// Bounds of inclusion: without them, a few files that include one another many times would take for ever to
-// read.
+// Limits on includes: without them, a few small files that include one another repeatedly could expand to an
+// unlimited number of files.
 const (
-	MaxIncludeDepth = 16  // files within one another
-	MaxIncludeFiles = 256 // read in all, each time counted
+	MaxIncludeDepth = 16  // nested files, the outermost counted
+	MaxIncludeFiles = 256 // files read in total, a file counted each time that it is read
 )
 
-// includeHead is the head of the form that a file's expressions replace.
+// includeHead is the head of the form that is replaced with the expressions of a file.
 const includeHead = "include"
 
-// ReadTree parses a file and replaces each (include "path") by the expressions of that file. A path is
-// relative to the file that names it. An error in an included file has its place there; a file that is
-// missing or that includes itself, directly or through others, is an error at the place of the include.
+// ReadTree parses a file and replaces each (include "path") with the expressions of that file. A path is
+// relative to the file that names it. An error in an included file has its position in that file; a file that
+// is missing or that includes itself, directly or through others, is an error at the position of the include.
 func ReadTree(path string) ([]*Node, error) {
 	reader := &treeReader{}
 	return reader.read(path, nil)
 }
 
-// treeReader reads a file with all that it includes.
+// treeReader reads a file and all files that it includes; files is the number of files read so far.
 type treeReader struct{ files int }
 
-// read parses a file that was reached through the files of a chain, the outermost first.
+// read parses a file and replaces its includes. The chain contains the files that lead to it, the outermost
+// first.
 func (r *treeReader) read(path string, chain []string) ([]*Node, error) {
 	r.files++
 	nodes, err := ReadFile(path)
@@ -39,8 +40,8 @@
 	return r.splice(nodes, append(slices.Clip(chain), filepath.Clean(path)))
 }
 
-// splice returns the nodes with the includes among them and below them replaced. The chain ends with the file
-// of the nodes.
+// splice replaces the includes among the nodes and their descendants, and returns the nodes. The last file of
+// the chain is the one that contains the nodes.
 func (r *treeReader) splice(nodes []*Node, chain []string) ([]*Node, error) {
 	var spliced []*Node
 	for _, node := range nodes {
@@ -67,23 +68,23 @@
 	return spliced, nil
 }
 
-// include reads the file that an (include "path") names.
+// include reads the file that an (include "path") specifies.
 func (r *treeReader) include(node *Node, chain []string) ([]*Node, error) {
 	if len(node.List) != 2 || node.List[1].IsList() || node.List[1].Text == "" {
-		return nil, Errorf(node.Pos, `(include …) wants one path, as (include "site.lisp")`)
+		return nil, Errorf(node.Pos, `(include …) requires one path, such as (include "site.lisp")`)
 	}
 	path := resolvePath(node.List[1].Text, chain[len(chain)-1])
 	if err := r.checkBounds(node, path, chain); err != nil {
 		return nil, err
 	}
 	included, err := r.read(path, chain)
-	if missing := (*fs.PathError)(nil); errors.As(err, &missing) {
+	if pathError := (*fs.PathError)(nil); errors.As(err, &pathError) {
 		return nil, Errorf(node.Pos, "%v", err)
 	}
 	return included, err
 }
 
-// resolvePath returns a path that is relative to the folder of a file.
+// resolvePath resolves a path relative to the folder of a file.
 func resolvePath(path, file string) string {
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(filepath.Dir(file), path)
@@ -91,14 +92,14 @@
 	return filepath.Clean(path)
 }
 
-// checkBounds reports an include that would not end or that exceeds the bounds.
+// checkBounds returns an error for an include that is part of a cycle or exceeds the limits.
 func (r *treeReader) checkBounds(node *Node, path string, chain []string) error {
 	switch first := slices.Index(chain, path); {
 	case first >= 0:
 		cycle := append(slices.Clone(chain[first:]), path)
 		return Errorf(node.Pos, "%s includes itself: %s", path, strings.Join(cycle, " -> "))
 	case len(chain) >= MaxIncludeDepth:
-		return Errorf(node.Pos, "files are included more than %d deep", MaxIncludeDepth)
+		return Errorf(node.Pos, "includes are nested more than %d deep", MaxIncludeDepth)
 	case r.files >= MaxIncludeFiles:
 		return Errorf(node.Pos, "more than %d files are included", MaxIncludeFiles)
 	}
--- a/internal/sexpr/include_test.go
+++ b/internal/sexpr/include_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// writeFiles writes files, by their paths, and returns their folder.
+// writeFiles writes files, keyed by relative path, to a temporary folder and returns its path.
 func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -46,12 +46,12 @@
 		t.Errorf("got %s, want %s", got, want)
 	}
 	if pos := nodes[0].List[2].Pos; filepath.Base(pos.File) != "b.lisp" || pos.Line != 1 || pos.Col != 1 {
-		t.Errorf("x stands at %v", pos)
+		t.Errorf("x is at %v, want b.lisp:1:1", pos)
 	}
 }
 
-// chainsOfIncludes returns files that break the bounds: bomb-0.lisp reads a file 4096 times over 12 levels,
-// deep-0.lisp includes 20 files within one another.
+// chainsOfIncludes returns files that exceed the limits: bomb-0.lisp includes bomb-12.lisp 4096 times
+// through 12 levels, deep-0.lisp nests 20 includes.
 func chainsOfIncludes() map[string]string {
 	files := map[string]string{"bomb-12.lisp": "x"}
 	for i := range 12 {
@@ -64,15 +64,15 @@
 	return files
 }
 
-// Errors have the place that must be changed.
+// Errors have the position of the form that must be corrected.
 func TestReadTree_RejectsInvalidIncludes(t *testing.T) {
 	for name, test := range map[string]struct{ text, want string }{
 		"itself":     {`(a (include "a.lisp"))`, "a.lisp:1:4: "},
 		"cycle":      {"\n (include \"b.lisp\")", "c.lisp:1:1: "},
 		"missing":    {`(include "nowhere.lisp")`, "a.lisp:1:1: "},
-		"no path":    {`(include)`, "a.lisp:1:1: (include …) wants one path"},
-		"list":       {`(include (b))`, "a.lisp:1:1: (include …) wants one path"},
-		"two paths":  {`(include "b.lisp" "c.lisp")`, "a.lisp:1:1: (include …) wants one path"},
+		"no path":    {`(include)`, "a.lisp:1:1: (include …) requires one path"},
+		"list":       {`(include (b))`, "a.lisp:1:1: (include …) requires one path"},
+		"two paths":  {`(include "b.lisp" "c.lisp")`, "a.lisp:1:1: (include …) requires one path"},
 		"bad file":   {`(include "bad.lisp")`, "bad.lisp:2:2: "},
 		"many files": {`(include "bomb-0.lisp")`, "more than 256 files"},
 		"too deep":   {`(include "deep-0.lisp")`, "more than 16 deep"},
@@ -86,7 +86,7 @@
 			dir := writeFiles(t, files)
 			_, err := ReadTree(filepath.Join(dir, "a.lisp"))
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%v; want %q", err, test.want)
+				t.Errorf("got %v, want %q", err, test.want)
 			}
 		})
 	}
--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -12,19 +12,19 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Bounds of what is read from outside.
+// Limits on the input.
 const (
 	MaxBytes = 4 << 20 // of one file
-	MaxDepth = 64      // of lists within lists
+	MaxDepth = 64      // of nested lists
 )
 
-// Tokens that checkNesting follows.
+// Names of the tokens that checkNesting counts.
 const (
 	tokenOpen  = "Open"
 	tokenClose = "Close"
 )
 
-// The grammar. A file is a sequence of terms; a comment runs from ; to the line's end.
+// The grammar. A file is a sequence of terms; a comment extends from ; to the end of the line.
 var (
 	symbols = lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Comment", Pattern: `;[^\n]*`},
@@ -56,8 +56,8 @@
 	Close string        `parser:"@Close"`
 }
 
-// ReadFile parses a file. A file that cannot be opened gives an *fs.PathError, an error in its text an
-// *Error.
+// ReadFile parses a file. The error is an *fs.PathError if the file cannot be opened, and an *Error if its
+// text is invalid.
 func ReadFile(path string) ([]*Node, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -71,10 +71,10 @@
 	return Parse(path, data)
 }
 
-// Parse reads all expressions of a text; name stands for the file in places. Its errors are of type *Error.
+// Parse parses all expressions of a text; name is the file name in positions. Its errors are of type *Error.
 func Parse(name string, data []byte) ([]*Node, error) {
 	if len(data) > MaxBytes {
-		return nil, Errorf(startOf(name), "more than %d bytes", MaxBytes)
+		return nil, Errorf(startOf(name), "the file is larger than %d bytes", MaxBytes)
 	}
 	if err := checkNesting(name, data); err != nil {
 		return nil, err
@@ -88,20 +88,20 @@
 
 // syntaxError converts an error of the lexer or the parser.
 func syntaxError(name string, err error) error {
-	var placed participle.Error
-	if errors.As(err, &placed) {
-		return Errorf(posOf(name, placed.Position()), "%s", placed.Message())
+	var positioned participle.Error
+	if errors.As(err, &positioned) {
+		return Errorf(posOf(name, positioned.Position()), "%s", positioned.Message())
 	}
 	return WrapError(startOf(name), err)
 }
 
-// posOf converts a place; the lexer leaves it zero where it knows none.
+// posOf converts a position; the lexer leaves line and column zero where it has none.
 func posOf(name string, position lexer.Position) Pos {
 	return Pos{File: name, Line: max(position.Line, 1), Col: max(position.Column, 1)}
 }
 
-// checkNesting bounds the nesting before the parser recurses, and finds parentheses without a partner, whose
-// place the parser would not report.
+// checkNesting limits the nesting depth before the parser recurses, and finds unmatched parentheses, whose
+// position the parser would not report.
 func checkNesting(name string, data []byte) error {
 	tokens, err := symbols.LexString(name, string(data))
 	if err != nil {
@@ -127,7 +127,7 @@
 			}
 		case types[tokenClose]:
 			if len(open) == 0 {
-				return Errorf(posOf(name, token.Pos), "a ) without its (")
+				return Errorf(posOf(name, token.Pos), "unmatched )")
 			}
 			open = open[:len(open)-1]
 		}
@@ -157,7 +157,7 @@
 	case strings.HasPrefix(*term.Atom, `"`):
 		node.Text, err = strconv.Unquote(*term.Atom)
 		if err != nil {
-			return nil, Errorf(node.Pos, "bad string %s", *term.Atom)
+			return nil, Errorf(node.Pos, "invalid string %s", *term.Atom)
 		}
 		node.Quoted = true
 	default:
--- a/internal/sexpr/parse_test.go
+++ b/internal/sexpr/parse_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawNode draws a tree of nodes of at most this depth.
+// drawNode draws a tree of nodes of at most the given depth.
 func drawNode(t *rapid.T, depth int) *Node {
 	if depth == 0 || !rapid.Bool().Draw(t, "list") {
 		return &Node{Text: rapid.String().Draw(t, "text")}
@@ -19,7 +19,7 @@
 	return list
 }
 
-func TestNode_ReadsBackAsPrinted(t *testing.T) {
+func TestNode_ParsesAsPrinted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawNode(t, 4).String()
 		parsed, err := Parse("x", []byte(text))
@@ -27,7 +27,7 @@
 			t.Fatalf("%q: %v", text, err)
 		}
 		if len(parsed) != 1 || parsed[0].String() != text {
-			t.Fatalf("%q reads as %v", text, parsed)
+			t.Fatalf("%q parses as %v", text, parsed)
 		}
 	})
 }
@@ -40,7 +40,7 @@
 		nodes, err := Parse("f", data)
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "f:") {
-				t.Fatalf("no place in %v", err)
+				t.Fatalf("no position in %v", err)
 			}
 			return
 		}
@@ -48,7 +48,7 @@
 		_ = DecodeOne(nodes, "f", "outer", &decoded) // must not panic
 		for _, node := range nodes {
 			if _, err := Parse("f", []byte(node.String())); err != nil {
-				t.Fatalf("%q does not read back: %v", node.String(), err)
+				t.Fatalf("%q does not parse again: %v", node.String(), err)
 			}
 		}
 	})
--- a/internal/sexpr/print.go
+++ b/internal/sexpr/print.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Print returns a struct in the form that Decode reads: all fields in force, defaults included.
+// Print formats a struct in the form that Decode reads, with the values of all fields, defaults included.
 func Print(head string, settings any) string {
 	p := &printer{}
 	p.printStruct(head, reflect.Indirect(reflect.ValueOf(settings)), 0)
@@ -64,8 +64,8 @@
 	}
 }
 
-// isUnset reports whether a value cannot have been written: a zero that is out of bounds, or a value of a
-// type of its own that has no text.
+// isUnset reports whether a value cannot have been decoded from a text: a zero below the field's minimum, or
+// a value whose MarshalText returns an empty text.
 func isUnset(value reflect.Value, field fieldSpec) bool {
 	if marshaler, ok := value.Interface().(encoding.TextMarshaler); ok {
 		text, err := marshaler.MarshalText()
--- a/internal/sexpr/scalar.go
+++ b/internal/sexpr/scalar.go
@@ -14,13 +14,13 @@
 	durationType        = reflect.TypeFor[time.Duration]()
 )
 
-// Texts of booleans.
+// Texts of bool values.
 const (
 	textTrue  = "yes"
 	textFalse = "no"
 )
 
-// Sides of a bound, as compareNumbers tells them.
+// Sides of a bound, as compareNumbers returns them.
 const (
 	below = -1
 	above = 1
@@ -40,7 +40,7 @@
 	}{{field.min, below}, {field.max, above}} {
 		outOfRange, err := isBeyond(value, bound.text, bound.side)
 		if err != nil {
-			return Errorf(node.Pos, "bad bound in the program: %v", err)
+			return Errorf(node.Pos, "invalid bound in the field's tag: %v", err)
 		}
 		if outOfRange {
 			return Errorf(node.Pos, "found %s; want %s", node.Text, field.rangeText())
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// isBeyond reports whether a value lies on the given side of a bound. An empty bound is none.
+// isBeyond reports whether a value is on the given side of a bound; an empty text means no bound.
 func isBeyond(value reflect.Value, bound string, side int) (bool, error) {
 	if bound == "" {
 		return false, nil
@@ -61,7 +61,7 @@
 	return compareNumbers(value, limit) == side, nil
 }
 
-// setScalar sets a value to what a text says, by the value's type.
+// setScalar parses a text according to the value's type and sets the value.
 func setScalar(text string, value reflect.Value) error {
 	if unmarshaler, ok := value.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		return unmarshaler.UnmarshalText([]byte(text))
@@ -82,13 +82,13 @@
 	case reflect.Float64:
 		return setFloat(text, value)
 	}
-	return fmt.Errorf("a %s cannot be read", value.Type())
+	return fmt.Errorf("values of type %s are not supported", value.Type())
 }
 
 func setDuration(text string, value reflect.Value) error {
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		return fmt.Errorf("%q is no time; write a number with a unit, as 250ms or 2s", text)
+		return fmt.Errorf("%q is not a duration; write a number with a unit, such as 250ms or 2s", text)
 	}
 	value.SetInt(int64(duration))
 	return nil
@@ -110,7 +110,7 @@
 	bits := value.Type().Bits()
 	number, err := strconv.ParseInt(text, 10, bits)
 	if err != nil {
-		return fmt.Errorf("%q is no whole number of %d bits", text, bits)
+		return fmt.Errorf("%q is not a %d-bit integer", text, bits)
 	}
 	value.SetInt(number)
 	return nil
@@ -120,7 +120,7 @@
 	bits := value.Type().Bits()
 	number, err := strconv.ParseUint(text, 10, bits)
 	if err != nil {
-		return fmt.Errorf("%q is no whole number of %d bits from 0 on", text, bits)
+		return fmt.Errorf("%q is not a non-negative %d-bit integer", text, bits)
 	}
 	value.SetUint(number)
 	return nil
@@ -129,13 +129,13 @@
 func setFloat(text string, value reflect.Value) error {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		return fmt.Errorf("%q is no number", text)
+		return fmt.Errorf("%q is not a finite number", text)
 	}
 	value.SetFloat(number)
 	return nil
 }
 
-// compareNumbers returns below, above or 0; values that are no numbers are equal.
+// compareNumbers returns below if a < b, above if a > b and 0 otherwise; non-numeric values are equal.
 func compareNumbers(a, b reflect.Value) int {
 	x, y := numberOf(a), numberOf(b)
 	switch {
@@ -159,7 +159,7 @@
 	return 0
 }
 
-// scalarText returns a value as setScalar reads it.
+// scalarText formats a value in the notation that setScalar parses.
 func scalarText(value reflect.Value) string {
 	if node, ok := value.Interface().(*Node); ok {
 		return node.String()
--- a/internal/sexpr/size.go
+++ b/internal/sexpr/size.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// Size is a number of bytes; it is written with a unit, as 4MiB.
+// Size is a number of bytes; it is written with a unit, such as 4MiB.
 type Size int64
 
-// sizeUnits are the units of sizes, the largest first: B, which ends the others' names, is tried last.
+// sizeUnits are the units of sizes, the largest first: B must be tried last, as the other names end with it.
 var sizeUnits = []struct {
 	name  string
 	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// UnmarshalText reads a size such as 64KiB.
+// UnmarshalText parses a size such as 64KiB.
 func (s *Size) UnmarshalText(text []byte) error {
 	for _, unit := range sizeUnits {
 		number, ok := strings.CutSuffix(string(text), unit.name)
@@ -30,7 +30,7 @@
 		*s = Size(value * float64(unit.bytes))
 		return nil
 	}
-	return fmt.Errorf("%q is no size; write a number with B, KiB, MiB or GiB", text)
+	return fmt.Errorf("%q is not a size; write a number with the unit B, KiB, MiB or GiB", text)
 }
 
 // String returns the size in the largest unit of which it is a whole number.
