--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -8,25 +8,25 @@
 	"landingpaddle/scheduler"
 )
 
-// Idempotency is a scheduler.Idempotency, which settings write as safe, keyed or unsafe.
+// Idempotency is a scheduler.Idempotency, written in settings as safe, keyed or unsafe.
 type Idempotency scheduler.Idempotency
 
-// idempotencyNames are the names in settings, by value.
+// idempotencyNames are the names in settings, indexed by value.
 var idempotencyNames = []string{"safe", "keyed", "unsafe"}
 
-// UnmarshalText reads safe, keyed or unsafe.
+// UnmarshalText parses safe, keyed or unsafe.
 func (i *Idempotency) UnmarshalText(text []byte) error { return parseName(i, text, idempotencyNames) }
 
 // String returns the name in settings.
 func (i Idempotency) String() string { return idempotencyNames[i] }
 
-// DedupScope is a scheduler.DedupScope, which settings write as all, zone or cell.
+// DedupScope is a scheduler.DedupScope, written in settings as all, zone or cell.
 type DedupScope scheduler.DedupScope
 
-// dedupScopeNames are the names in settings, by value.
+// dedupScopeNames are the names in settings, indexed by value.
 var dedupScopeNames = []string{"all", "zone", "cell"}
 
-// UnmarshalText reads all, zone or cell.
+// UnmarshalText parses all, zone or cell.
 func (d *DedupScope) UnmarshalText(text []byte) error { return parseName(d, text, dedupScopeNames) }
 
 // String returns the name in settings.
@@ -61,16 +61,16 @@
 	isKeyed := scheduler.Idempotency(c.Idempotency) == scheduler.IdempotentByKey
 	switch {
 	case c.LatencyObjective > c.Deadline:
-		return fmt.Errorf("class %s: aim %v is after its deadline %v", c.Name, c.LatencyObjective, c.Deadline)
+		return fmt.Errorf("class %s: aim %v exceeds deadline %v", c.Name, c.LatencyObjective, c.Deadline)
 	case isKeyed && c.DedupWindow == 0:
-		return fmt.Errorf("class %s is keyed; want (window …), in which its group drops repeats", c.Name)
+		return fmt.Errorf("class %s is keyed; want (window …), how long its group deduplicates", c.Name)
 	case !isKeyed && c.DedupWindow > 0:
 		return fmt.Errorf("class %s is %v; only a keyed class has a (window …)", c.Name, c.Idempotency)
 	}
 	return nil
 }
 
-// schedulerClass converts the class into the scheduler's form.
+// schedulerClass converts the class into a scheduler.Class.
 func (c *Class) schedulerClass() scheduler.Class {
 	return scheduler.Class{
 		LatencyObjective: c.LatencyObjective,
--- a/internal/config/expectation.go
+++ b/internal/config/expectation.go
@@ -20,7 +20,7 @@
 	claimNever   = "never"
 )
 
-// parseExpectations reads the (expect …) forms of a fleet.
+// parseExpectations parses the (expect …) forms of a fleet.
 func parseExpectations(model *expect.Model, forms []*sexpr.Node) ([]expect.Expectation, error) {
 	var expectations []expect.Expectation
 	firstPos := map[string]sexpr.Pos{}
@@ -30,7 +30,8 @@
 			return nil, err
 		}
 		if first, found := firstPos[expectation.Name]; found {
-			return nil, sexpr.Errorf(form.Pos, "expectation %q stands at %v already", expectation.Name, first)
+			return nil, sexpr.Errorf(form.Pos, "duplicate expectation %q; first at %v",
+				expectation.Name, first)
 		}
 		firstPos[expectation.Name] = form.Pos
 		expectations = append(expectations, expectation)
@@ -38,7 +39,7 @@
 	return expectations, nil
 }
 
-// parseExpectation reads (expect "name" CLAIM) or (expect "name" CLAIM (with …)).
+// parseExpectation parses (expect "name" CLAIM) or (expect "name" CLAIM (with …)).
 func parseExpectation(model *expect.Model, form *sexpr.Node) (expectation expect.Expectation, err error) {
 	if len(form.List) < 3 || len(form.List) > 4 || form.List[1].IsList() || form.List[1].Text == "" {
 		return expectation, sexpr.Errorf(form.Pos, "%s", expectationUsage)
@@ -57,7 +58,7 @@
 	return expectation, err
 }
 
-// parseClaim reads the bound of a claim and returns the form that it bounds.
+// parseClaim parses the bound of a claim and returns the form of the bounded measure.
 func parseClaim(claim *sexpr.Node, expectation *expect.Expectation) (measured *sexpr.Node, err error) {
 	switch head := claim.Head(); {
 	case (head == claimAtMost || head == claimAtLeast) && len(claim.List) == 3:
@@ -76,14 +77,14 @@
 
 func parseBound(node *sexpr.Node) (float64, error) {
 	bound, err := strconv.ParseFloat(node.Text, 64)
-	if err != nil || !(bound >= 0) { // not a number as well
+	if err != nil || !(bound >= 0) { // also rejects NaN
 		return 0, sexpr.Errorf(node.Pos, "found %v; want a part, 1 being all, as 0.8", node)
 	}
 	return bound, nil
 }
 
-// requireMeasure reports a claim without a bound, such as (always …), about any other measure than the one
-// that it takes.
+// requireMeasure returns an error if a claim without a bound, such as (always …), is about another measure
+// than the one that it accepts.
 func requireMeasure(claim *sexpr.Node, want expect.Measure) error {
 	measured := claim.List[1]
 	if measured.Head() != string(want) {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// parseMeasured reads the measure and the selector of (MEASURE OF).
+// parseMeasured parses the measure and the selector of (MEASURE OF).
 func parseMeasured(model *expect.Model, measured *sexpr.Node, expectation *expect.Expectation) (err error) {
 	expectation.Measure = expect.Measure(measured.Head())
 	kinds := expect.Takes[expectation.Measure]
@@ -104,7 +105,7 @@
 	return err
 }
 
-// parseMissing reads (with 1 (node *) gone).
+// parseMissing parses (with 1 (node *) gone).
 func parseMissing(model *expect.Model, with *sexpr.Node) (*expect.Missing, error) {
 	if with.Head() != "with" || len(with.List) != 4 || with.List[3].Text != "gone" {
 		return nil, sexpr.Errorf(with.Pos, "found %v; want (with 1 (node *) gone)", with)
@@ -120,7 +121,7 @@
 	return &expect.Missing{Count: count, Of: of}, nil
 }
 
-// parseSelector reads a selector of one of the kinds, which must pick something.
+// parseSelector parses a selector of one of the given kinds, which must match something.
 func parseSelector(model *expect.Model, node *sexpr.Node, kinds []expect.Kind) (expect.Selector, error) {
 	if len(node.List) != 2 || node.List[1].IsList() || !slices.Contains(kinds, expect.Kind(node.Head())) {
 		return expect.Selector{}, sexpr.Errorf(node.Pos, "found %v; want one of %v with a name, as (%s *)",
@@ -128,7 +129,7 @@
 	}
 	selector := expect.Selector{Kind: expect.Kind(node.Head()), Name: node.List[1].Text}
 	if _, err := path.Match(selector.Name, ""); err != nil {
-		return expect.Selector{}, sexpr.Errorf(node.List[1].Pos, "%q is no pattern: %v", selector.Name, err)
+		return expect.Selector{}, sexpr.Errorf(node.List[1].Pos, "invalid pattern %q: %v", selector.Name, err)
 	}
 	if model.Empty(selector) {
 		return expect.Selector{}, sexpr.Errorf(node.Pos, "%v matches nothing", selector)
--- a/internal/config/extents.go
+++ b/internal/config/extents.go
@@ -7,14 +7,14 @@
 	"landingpaddle/internal/sexpr"
 )
 
-// Values that Extents takes where none are given.
+// Defaults of the fields of Extents.
 const (
 	defaultMaxMembers = 16
 	defaultMaxPieces  = 64
 )
 
-// Extents say how the bytes of volumes lie on nodes, and which requests may be merged into one operation:
-// (extents …).
+// Extents specify how the bytes of volumes are distributed over nodes, and which requests may be merged into
+// one operation: (extents …).
 type Extents struct {
 	Size            sexpr.Size    `s:"size,required" min:"1B" max:"1GiB"`
 	MaxOperation    sexpr.Size    `s:"largest" min:"0B" max:"1GiB"` // 0: Size
@@ -25,7 +25,7 @@
 	MergingDisabled bool          `s:"alone"`
 }
 
-// Check fills in the values that were not given and reports settings that the planner rejects.
+// Check sets the defaults of fields that are 0 and reports settings that the planner rejects.
 func (e *Extents) Check() error {
 	if e.MaxOperation == 0 {
 		e.MaxOperation = e.Size
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,7 +7,7 @@
 	"landingpaddle/internal/sexpr"
 )
 
-// FleetNode is a storage node as planned: (node …) in a fleet.
+// FleetNode is a planned storage node: (node …) in a fleet.
 type FleetNode struct {
 	Name     string    `s:",arg"`
 	Pos      sexpr.Pos `s:",pos"`
@@ -16,14 +16,14 @@
 	Capacity float64   `s:"capacity,required" min:"0"` // units per second
 }
 
-// FleetVolume is a volume as planned, or several alike: (volume …).
+// FleetVolume is a planned volume, or several identical ones: (volume …).
 type FleetVolume struct {
 	Name    string    `s:",arg"`
 	Pos     sexpr.Pos `s:",pos"`
 	Plan    string    `s:"plan,required"`
-	Count   int       `s:"count" min:"0" max:"1000000"` // volumes alike; 0: one
+	Count   int       `s:"count" min:"0" max:"1000000"` // identical volumes; 0: one
 	Writers int       `s:"writers" min:"0" max:"65535"` // instances that its requests state; 0: one
-	Paths   int       `s:"paths" min:"0" max:"65535"`   // instances that it may come through; 0: Writers
+	Paths   int       `s:"paths" min:"0" max:"65535"`   // instances its requests may arrive at; 0: Writers
 	Cells   []int     `s:"cells"`                       // empty: all
 }
 
@@ -36,8 +36,8 @@
 	Volumes   []FleetVolume `s:"volume"`
 }
 
-// LoadFleet reads a fleet and its expectations. Each (expect …) is checked against the fleet: a name that
-// matches nothing is an error with its place. Errors are those of Load.
+// LoadFleet loads a fleet and its expectations. Each (expect …) is checked against the fleet: a name that
+// matches nothing is an error at its position. Errors are of the same types as those of Load.
 func LoadFleet(file string) (Fleet, *expect.Model, []expect.Expectation, error) {
 	fleet := Fleet{Site: DefaultSite()}
 	nodes, err := sexpr.ReadTree(file)
@@ -59,8 +59,8 @@
 	return fleet, model, expectations, nil
 }
 
-// removeExpectations takes the (expect …) forms out of a lone (fleet …) form and returns them: they can
-// be read only when the fleet is known.
+// removeExpectations removes the (expect …) forms from a single (fleet …) form and returns them: they can
+// be parsed only after the fleet has been decoded.
 func removeExpectations(nodes []*sexpr.Node) (forms []*sexpr.Node) {
 	if len(nodes) != 1 || nodes[0].Head() != "fleet" {
 		return nil
--- a/internal/config/fleet_model.go
+++ b/internal/config/fleet_model.go
@@ -5,8 +5,8 @@
 	"landingpaddle/internal/sexpr"
 )
 
-// model converts the fleet into what expectations are checked against. It reports names that stand twice and
-// references to what the fleet does not have.
+// model converts the fleet into the model against which expectations are checked. It returns an error for
+// duplicate names and for zones, plans, cells and instances that the fleet does not have.
 func (f *Fleet) model() (*expect.Model, error) {
 	fleet := &expect.Fleet{
 		Instances: f.Instances,
@@ -31,9 +31,9 @@
 	for _, node := range f.Nodes {
 		switch {
 		case names[node.Name]:
-			return sexpr.Errorf(node.Pos, "node %s stands twice", node.Name)
+			return sexpr.Errorf(node.Pos, "duplicate node %s", node.Name)
 		case f.Site.Zone(node.Zone) < 0:
-			return sexpr.Errorf(node.Pos, "zone %q is none of %v", node.Zone, f.Site.Zones)
+			return sexpr.Errorf(node.Pos, "zone %q is not one of %v", node.Zone, f.Site.Zones)
 		}
 		names[node.Name] = true
 		fleet.Nodes = append(fleet.Nodes,
@@ -51,7 +51,7 @@
 	for i := range f.Volumes {
 		volume := &f.Volumes[i]
 		if names[volume.Name] {
-			return sexpr.Errorf(volume.Pos, "volume %s stands twice", volume.Name)
+			return sexpr.Errorf(volume.Pos, "duplicate volume %s", volume.Name)
 		}
 		names[volume.Name] = true
 		converted, err := f.modelVolume(volume, cells)
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// modelVolume converts one volume; cells are those that nodes hold.
+// modelVolume converts one volume; cells contains the cells of all nodes.
 func (f *Fleet) modelVolume(volume *FleetVolume, cells map[int]bool) (converted expect.Volume, err error) {
 	plan := f.Site.PlanNumber(volume.Plan)
 	if plan < 0 {
@@ -80,7 +80,7 @@
 		paths = writers
 	}
 	if paths > f.Instances {
-		return converted, sexpr.Errorf(volume.Pos, "volume %s comes through %d instances; there are %d",
+		return converted, sexpr.Errorf(volume.Pos, "volume %s uses %d instances; the fleet has %d",
 			volume.Name, paths, f.Instances)
 	}
 	return expect.Volume{
--- a/internal/config/instance.go
+++ b/internal/config/instance.go
@@ -30,7 +30,7 @@
 	Site            Site          `s:"site,required"`
 }
 
-// DefaultInstance returns an instance with the defaults, before its file is read.
+// DefaultInstance returns the default settings of an instance, into which its file is loaded.
 func DefaultInstance() Instance {
 	return Instance{
 		Instances:       1,
@@ -40,10 +40,10 @@
 	}
 }
 
-// Check reports fields that contradict one another and replaces an empty zone by the site's first.
+// Check reports fields that contradict one another and replaces an empty zone with the site's first.
 func (i *Instance) Check() error {
 	if i.Number >= i.Instances {
-		return fmt.Errorf("instance number %d of %d: numbers count from 0", i.Number, i.Instances)
+		return fmt.Errorf("instance number %d of %d: numbers start at 0", i.Number, i.Instances)
 	}
 	if err := i.Site.resolveZone(&i.Zone); err != nil {
 		return err
@@ -55,7 +55,7 @@
 		return fmt.Errorf("(learnt …) and (kept-list …) name the same file %s", i.StatisticsFile)
 	}
 	if number, found := firstRepeated(i.Peers, func(peer Peer) uint32 { return peer.Number }); found {
-		return fmt.Errorf("peer %d stands twice", number)
+		return fmt.Errorf("duplicate peer %d", number)
 	}
 	return nil
 }
--- a/internal/config/instance_test.go
+++ b/internal/config/instance_test.go
@@ -21,7 +21,7 @@
 	return instance, err
 }
 
-func TestInstance_ReadsBackAsPrinted(t *testing.T) {
+func TestInstance_LoadsAsPrinted(t *testing.T) {
 	instance, err := loadInstance(t,
 		"(instance (listen 127.0.0.1:1) (list 127.0.0.1:2) (learnt \"x\")\n"+siteForm+")")
 	if err != nil {
@@ -44,7 +44,7 @@
 		instance := DefaultInstance()
 		if err := sexpr.DecodeOne(nodes, "f", "instance", &instance); err != nil {
 			if !strings.HasPrefix(err.Error(), "f:") {
-				t.Fatalf("no place in %v", err)
+				t.Fatalf("no position in %v", err)
 			}
 			return
 		}
--- a/internal/config/invalid_test.go
+++ b/internal/config/invalid_test.go
@@ -7,32 +7,32 @@
 
 const validSite = "\n(site (class r (aim 1s) (deadline 2s)) (plan p (rate 1)))"
 
-// instanceWith returns an instance's settings with the required addresses and more forms.
+// instanceWith returns an instance's settings with the required addresses and the given forms.
 func instanceWith(forms string) string {
 	return "(instance (listen 127.0.0.1:1) (list 127.0.0.1:2)" + forms + ")"
 }
 
-// invalidSettings are instances that Load rejects, and what their errors must hold.
+// invalidSettings are instances that Load rejects, and the text that their errors must contain.
 var invalidSettings = []struct{ name, text, want string }{
-	{"required form missing", "(instance)", "i.lisp:1:1: (instance …) lacks its (listen …)"},
+	{"required form missing", "(instance)", "i.lisp:1:1: (instance …) is missing (listen …)"},
 	{"instance number out of range",
 		instanceWith(validSite + "(number 3)"),
 		"i.lisp:1:1: instance number 3 of 1"},
 	{"unknown zone",
 		instanceWith(validSite + "(zone x)"),
-		"i.lisp:1:1: zone x is none of [a]"},
+		"i.lisp:1:1: zone x is not one of [a]"},
 	{"peer twice",
 		instanceWith(validSite + "(peer 1 127.0.0.1:1) (peer 1 127.0.0.1:2)"),
-		"i.lisp:1:1: peer 1 stands twice"},
+		"i.lisp:1:1: duplicate peer 1"},
 	{"peer without a port",
 		instanceWith(validSite + "\n(peer 1 localhost)"),
-		"i.lisp:3:9: \"localhost\" is no IPv4 address"},
+		"i.lisp:3:9: \"localhost\" is not an IPv4 address"},
 	{"no class",
 		instanceWith("\n(site (plan p (rate 1)))"),
-		"i.lisp:2:1: a site has at least one (class …)"},
+		"i.lisp:2:1: a site must have at least one (class …)"},
 	{"aim after deadline",
 		instanceWith("\n(site (class r (aim 2s) (deadline 1s)) (plan p (rate 1)))"),
-		"i.lisp:2:7: class r: aim 2s is after"},
+		"i.lisp:2:7: class r: aim 2s exceeds"},
 	{"keyed without window",
 		instanceWith("\n(site (class r (aim 1s) (deadline 1s) (repeat keyed)) (plan p (rate 1)))"),
 		"i.lisp:2:7: class r is keyed"},
@@ -45,10 +45,10 @@
 	{"class twice",
 		instanceWith("\n(site (class r (aim 1s) (deadline 1s)) (class r (aim 1s) (deadline 1s))" +
 			" (plan p (rate 1)))"),
-		"i.lisp:2:1: class r stands twice"},
+		"i.lisp:2:1: duplicate class r"},
 	{"slow start incomplete",
 		instanceWith("\n(site (class r (aim 1s) (deadline 1s)) (plan p (rate 1)) (rules (ramp 5s)))"),
-		"i.lisp:2:1: nodes that start cold"},
+		"i.lisp:2:1: slow start (ramp 5s) requires"},
 	{"window without key",
 		instanceWith("\n(site (class r (aim 1s) (deadline 1s) (repeat unsafe) (window 1s))" +
 			" (plan p (rate 1)))"),
@@ -56,14 +56,14 @@
 	{"spare over share",
 		instanceWith("\n(site (class r (aim 1s) (deadline 1s)) (plan p (rate 1))\n" +
 			"(share-worth 0.3) (spare-worth 0.4))"),
-		"i.lisp:2:1: spare-worth 0.4 is over share-worth 0.3"},
+		"i.lisp:2:1: spare-worth 0.4 exceeds share-worth 0.3"},
 	{"share over its bound",
 		instanceWith("\n(site (share-worth 2) (class r (aim 1s) (deadline 1s)) (plan p (rate 1)))"),
 		"i.lisp:2:"},
-	{"budget of nothing",
+	{"budget without retries",
 		instanceWith("\n(site (class r (aim 1s) (deadline 1s)) (plan p (rate 1))" +
 			" (rules (budget (window 5s))))"),
-		"i.lisp:2:1: a budget of nothing"},
+		"i.lisp:2:1: a retry budget of 0"},
 	{"peers not allowed",
 		instanceWith(" (peer-listen 127.0.0.1:3)\n" +
 			"(site (class r (aim 1s) (deadline 1s)) (plan p (rate 1)) (limits (peers no)))"),
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -14,7 +14,7 @@
 	Cancellation      bool          `s:"cancel"`
 	HealthChecks      bool          `s:"probes"`
 	HedgedRequests    bool          `s:"second-copies"`
-	PeerMessages      bool          `s:"peers"` // instances may send to one another
+	PeerMessages      bool          `s:"peers"` // instances may send messages to one another
 	RetryAfter        bool          `s:"retry-after"`
 	MaxRetryAfter     time.Duration `s:"max-retry-after" min:"0s" max:"10m"`
 	ConnectTimeout    time.Duration `s:"connect-timeout" min:"1ms" max:"1m"`
@@ -49,8 +49,8 @@
 	}
 }
 
-// applyTo copies the limits that the scheduler keeps into its settings. Whether it sends peer messages
-// depends on the instance as well.
+// applyTo copies the limits that are also settings of the scheduler. PeerMessages is not copied, as it also
+// depends on the instance.
 func (l *Limits) applyTo(settings *scheduler.Settings) {
 	settings.MaxAttempts = l.MaxAttempts
 	settings.Cancellation = l.Cancellation
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -2,9 +2,9 @@
 
 import "landingpaddle/internal/sexpr"
 
-// Load reads a settings file that holds exactly one form with the given head into out, a pointer to a struct
-// that holds the defaults. A file that cannot be opened gives an *fs.PathError, an error in its text a
-// *sexpr.Error.
+// Load decodes a settings file that must contain exactly one form with the given head into out, a pointer to
+// a struct with the defaults. The error is an *fs.PathError if the file cannot be opened, and a *sexpr.Error
+// if its text is invalid.
 func Load(path, head string, out any) error {
 	nodes, err := sexpr.ReadTree(path)
 	if err != nil {
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -14,34 +14,34 @@
 	Site     Site      `s:"site,required"`
 }
 
-// DefaultNode returns a node with the defaults, before its file is read.
+// DefaultNode returns the default settings of a node, into which its file is loaded.
 func DefaultNode() Node { return Node{Model: DefaultNodeModel(), Site: DefaultSite()} }
 
-// Check replaces an empty zone by the site's first and reports a zone that the site does not have.
+// Check replaces an empty zone with the site's first and reports a zone that the site does not have.
 func (n *Node) Check() error { return n.Site.resolveZone(&n.Zone) }
 
-// NodeModel describes how a stand-in node works: (kind …).
+// NodeModel describes how a stand-in node executes operations: (kind …). Work is time on one core.
 type NodeModel struct {
 	Cores   int           `s:"cores" min:"1" max:"64"`
-	Queue   int           `s:"queue" min:"1" max:"100000"`  // requests that may wait
-	PerUnit time.Duration `s:"per-unit" min:"0s" max:"10s"` // work of a read, for each unit
-	// work of an operation of any size
+	Queue   int           `s:"queue" min:"1" max:"100000"`  // maximum number of queued requests
+	PerUnit time.Duration `s:"per-unit" min:"0s" max:"10s"` // work of a read, per unit
+	// work of an operation, independent of its size
 	PerOperation time.Duration `s:"per-operation" min:"0s" max:"10s"`
-	// work of a write, relative to a read
+	// factor on the work of a write
 	WriteFactor float64 `s:"write-times" min:"0" max:"10"`
-	Jitter      float64 `s:"jitter" min:"0" max:"1"` // fraction by which work varies
-	// fraction of a write's work put off
+	Jitter      float64 `s:"jitter" min:"0" max:"1"` // fraction by which work varies, up or down
+	// fraction of a write's work that is deferred to the next flush
 	Deferred           float64       `s:"deferred" min:"0" max:"1"`
-	FlushInterval      time.Duration `s:"flush" min:"0s" max:"1m"` // interval of doing deferred work
-	RepeatSaving       float64       `s:"again" min:"0" max:"1"`   // fraction saved for a recent key
-	RecentKeys         int           `s:"last" min:"0" max:"64"`   // keys that count as recent
+	FlushInterval      time.Duration `s:"flush" min:"0s" max:"1m"` // interval of deferred work
+	RepeatSaving       float64       `s:"again" min:"0" max:"1"`   // fraction of work saved for a recent key
+	RecentKeys         int           `s:"last" min:"0" max:"64"`   // number of keys that count as recent
 	MaxConnections     int           `s:"connections" min:"1" max:"65536"`
-	CancelDropsWaiting bool          `s:"cancel-drops"`    // a cancel removes work that waits
-	CancelStopsRunning bool          `s:"cancel-stops"`    // a cancel stops work that runs
-	DrainNotices       bool          `s:"drain-notices"`   // draining is announced on the connections
-	PauseLength        time.Duration `s:"pause" max:"10s"` // length of a pause in which nothing is done
+	CancelDropsWaiting bool          `s:"cancel-drops"`    // a cancel removes queued work
+	CancelStopsRunning bool          `s:"cancel-stops"`    // a cancel stops running work
+	DrainNotices       bool          `s:"drain-notices"`   // drain notices are sent on the connections
+	PauseLength        time.Duration `s:"pause" max:"10s"` // length of a pause, in which no work is done
 	PauseInterval      time.Duration `s:"every" max:"10m"` // interval of the pauses
-	BytesPerUnit       int           `s:"bytes" min:"0"`   // payload of a read's answer, for each unit
+	BytesPerUnit       int           `s:"bytes" min:"0"`   // payload of the response to a read, per unit
 }
 
 // DefaultNodeModel returns the model of a small node.
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -21,12 +21,12 @@
 // Check reports fields that contradict one another.
 func (p *Plan) Check() error {
 	if p.Limit > 0 && p.Burst <= 0 {
-		return fmt.Errorf("plan %s has a limit; want (burst …), the units that its store holds", p.Name)
+		return fmt.Errorf("plan %s has a limit; want (burst …), the units that its bucket holds", p.Name)
 	}
 	return nil
 }
 
-// schedulerPlan converts the plan into the scheduler's form.
+// schedulerPlan converts the plan into a scheduler.Plan.
 func (p *Plan) schedulerPlan() scheduler.Plan {
 	return scheduler.Plan{
 		Rate:           p.Rate,
--- a/internal/config/registry.go
+++ b/internal/config/registry.go
@@ -11,7 +11,7 @@
 	MaxWait  time.Duration `s:"max-wait" min:"0s" max:"1m"`
 }
 
-// DefaultRegistry returns a registry with the defaults, before its file is read.
+// DefaultRegistry returns the default settings of a registry, into which its file is loaded.
 func DefaultRegistry() Registry {
 	return Registry{
 		Delay:    500 * time.Millisecond,
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -15,7 +15,7 @@
 	Window time.Duration `s:"window,required" min:"1ms" max:"10m"`
 }
 
-// Rules are the figures of the seven rules: (rules …).
+// Rules are the parameters of the seven rules that a fleet must keep: (rules …).
 type Rules struct {
 	AnswerSlack     time.Duration `s:"answer-slack" min:"0s" max:"10s"`
 	DrainGrace      time.Duration `s:"drain-grace" min:"0s" max:"1m"`
@@ -42,24 +42,24 @@
 		return nil
 	}
 	if r.RetryBudget.Floor+r.RetryBudget.Ratio == 0 {
-		return errors.New("a budget of nothing allows no further attempt; want (attempts 1) as well")
+		return errors.New("a retry budget of 0 allows no retry; want (attempts 1) as well")
 	}
 	return nil
 }
 
-// checkSlowStart reports a slow start whose figures are incomplete.
+// checkSlowStart reports a slow start whose parameters are incomplete.
 func (r *Rules) checkSlowStart() error {
 	if r.SlowStartPeriod <= 0 {
 		return nil
 	}
 	if r.ColdCapacity <= 0 || r.OverloadWindow <= 0 || r.OverloadFactor <= 1 {
-		return fmt.Errorf("nodes that start cold (ramp %v) need cold-units, fall-window, fall-multiple",
+		return fmt.Errorf("slow start (ramp %v) requires cold-units, fall-window and fall-multiple above 1",
 			r.SlowStartPeriod)
 	}
 	return nil
 }
 
-// applyTo copies the rules that the scheduler keeps into its settings.
+// applyTo copies the rules that are also settings of the scheduler.
 func (r *Rules) applyTo(settings *scheduler.Settings) {
 	settings.ColdCapacity = r.ColdCapacity
 	settings.ColdFraction = r.ColdFraction
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -9,10 +9,10 @@
 	"landingpaddle/scheduler"
 )
 
-// maxZones is how many zones a byte can number beside the mark for an unknown one.
+// maxZones is the number of values of a byte, less the one reserved for an unknown zone.
 const maxZones = 255
 
-// Site is what all instances, nodes and clients of a fleet agree on: (site …).
+// Site contains the settings that all instances, nodes and clients of a fleet share: (site …).
 type Site struct {
 	Zones            []string      `s:"zones"`
 	PollEndpoints    bool          `s:"ask"`
@@ -28,10 +28,11 @@
 	Plans            []Plan        `s:"plan"`
 	Rules            Rules         `s:"rules"`
 	Limits           Limits        `s:"limits"`
-	Extents          *Extents      `s:"extents"` // nil: requests name no byte ranges
+	Extents          *Extents      `s:"extents"` // nil: requests have no byte ranges
 }
 
-// DefaultSite returns a site with the defaults, before its file is read. It has no classes and no plans.
+// DefaultSite returns the default settings of a site, into which its file is loaded. They contain no classes
+// and no plans.
 func DefaultSite() Site {
 	return Site{
 		Zones:       []string{"a"},
@@ -44,24 +45,24 @@
 	}
 }
 
-// Check reports fields that contradict one another and gives classes and plans without a weight the weight 1.
+// Check reports fields that contradict one another and replaces zero weights of classes and plans with 1.
 func (s *Site) Check() error {
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
-		return errors.New("a site has at least one (class …) and one (plan …)")
+		return errors.New("a site must have at least one (class …) and one (plan …)")
 	}
 	if len(s.Zones) == 0 || len(s.Zones) > maxZones {
-		return fmt.Errorf("a site has 1 to %d zones, not %d", maxZones, len(s.Zones))
+		return fmt.Errorf("a site must have 1 to %d zones, not %d", maxZones, len(s.Zones))
 	}
 	if err := s.checkNames(); err != nil {
 		return err
 	}
 	s.fillWeights()
 	if s.Extents != nil && s.Extents.MaxOperation > s.Limits.MaxPayload {
-		return fmt.Errorf("an operation of %d bytes is over the payload limit of %d", s.Extents.MaxOperation,
+		return fmt.Errorf("an operation of %d bytes exceeds the payload limit of %d", s.Extents.MaxOperation,
 			s.Limits.MaxPayload)
 	}
 	if s.SpareWeight > s.ShareWeight {
-		return fmt.Errorf("spare-worth %v is over share-worth %v: beyond a share no more is earned",
+		return fmt.Errorf("spare-worth %v exceeds share-worth %v: units beyond a share are worth no more",
 			s.SpareWeight, s.ShareWeight)
 	}
 	if err := s.Rules.checkRetryBudget(s.Limits.MaxAttempts); err != nil {
@@ -70,18 +71,18 @@
 	return s.Rules.checkSlowStart()
 }
 
-// checkNames reports two classes or two plans of one name.
+// checkNames reports two classes or two plans of the same name.
 func (s *Site) checkNames() error {
 	if name, found := firstRepeated(s.Classes, func(class Class) string { return class.Name }); found {
-		return fmt.Errorf("class %s stands twice", name)
+		return fmt.Errorf("duplicate class %s", name)
 	}
 	if name, found := firstRepeated(s.Plans, func(plan Plan) string { return plan.Name }); found {
-		return fmt.Errorf("plan %s stands twice", name)
+		return fmt.Errorf("duplicate plan %s", name)
 	}
 	return nil
 }
 
-// firstRepeated returns the key of the first item whose key an earlier item has.
+// firstRepeated returns the key of the first item that has the same key as an earlier one.
 func firstRepeated[Item any, Key comparable](items []Item, key func(Item) Key) (repeated Key, found bool) {
 	seen := make(map[Key]bool, len(items))
 	for _, item := range items {
@@ -109,32 +110,32 @@
 	}
 }
 
-// Zone returns the number of a zone by its name, or -1 if there is none of that name.
+// Zone returns the index of a zone by its name, or -1 if the site has no zone of that name.
 func (s *Site) Zone(name string) int { return slices.Index(s.Zones, name) }
 
-// resolveZone replaces an empty zone by the site's first, and reports a zone that the site does not have.
+// resolveZone replaces an empty zone with the site's first, and reports a zone that the site does not have.
 func (s *Site) resolveZone(zone *string) error {
 	if *zone == "" {
 		*zone = s.Zones[0]
 	}
 	if s.Zone(*zone) < 0 {
-		return fmt.Errorf("zone %s is none of %v", *zone, s.Zones)
+		return fmt.Errorf("zone %s is not one of %v", *zone, s.Zones)
 	}
 	return nil
 }
 
-// ClassNumber returns the number of a class by its name, or -1 if there is none of that name.
+// ClassNumber returns the index of a class by its name, or -1 if the site has no class of that name.
 func (s *Site) ClassNumber(name string) int {
 	return slices.IndexFunc(s.Classes, func(class Class) bool { return class.Name == name })
 }
 
-// PlanNumber returns the number of a plan by its name, or -1 if there is none of that name.
+// PlanNumber returns the index of a plan by its name, or -1 if the site has no plan of that name.
 func (s *Site) PlanNumber(name string) int {
 	return slices.IndexFunc(s.Plans, func(plan Plan) bool { return plan.Name == name })
 }
 
-// Scheduler returns the settings of one instance's scheduler. The index counts from 0; peerMessages says
-// whether this instance can send to its peers.
+// Scheduler returns the settings of one instance's scheduler. The index starts at 0; peerMessages
+// specifies whether this instance can send messages to its peers.
 func (s *Site) Scheduler(index, instances int, zone uint8, peerMessages bool) scheduler.Settings {
 	settings := scheduler.Settings{
 		InstanceIndex:    index,
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -7,7 +7,7 @@
 	"landingpaddle/scheduler"
 )
 
-// siteForm is a site that sets nearly everything.
+// siteForm is a site that sets most of its fields.
 const siteForm = `(site (zones a b) (ask) (mean-units 3) (most-units 9) (load lat_ms)
   (class r (aim 100ms) (deadline 1s))
   (class w (aim 200ms) (deadline 2s) (repeat keyed) (group zone) (window 5s) (in-order) (writes)
@@ -42,7 +42,7 @@
 		settings.ShareWeight != 0.35 || settings.SpareWeight != 0.1 ||
 		!settings.RetriesMarked || !settings.ReportsElsewhere ||
 		plan.PriorityWeight != 1.5 {
-		t.Errorf("settings of the newer build %+v", settings)
+		t.Errorf("site-wide settings %+v", settings)
 	}
 	class := settings.Classes[1]
 	if class.Idempotency != scheduler.IdempotentByKey || class.DedupScope != scheduler.DedupZone ||
@@ -57,8 +57,8 @@
 	}
 }
 
-// A site that sets no weights, no Retry-After and no peer messages keeps what the scheduler did before it had
-// these settings.
+// A site that does not set weights, Retry-After, a retry budget and peer messages gets the scheduler's
+// behaviour from before these settings existed.
 func TestSite_DefaultsKeepEarlierBehaviour(t *testing.T) {
 	instance, err := loadInstance(t, "(instance (listen 127.0.0.1:1) (list 127.0.0.1:2)\n"+
 		"(site (class r (aim 1s) (deadline 2s)) (class w (aim 1s) (deadline 2s))\n"+
