--- a/examples/day-copies.lisp
+++ b/examples/day-copies.lisp
@@ -1,5 +1,5 @@
-; The kind of deployment whose every request may be repeated, with second copies allowed: new objects go to any node,
-; a list that must be asked, crashes of instances, heavy requests and clients of little patience.
+; A deployment in which every request may be repeated and hedged requests are allowed: new objects go to any
+; node, the endpoint list is polled, instances crash, some requests are heavy, some clients time out early.
 (day
   (name "second copies and a list that must be asked")
   (length 10s)
--- a/examples/day-keyed.lisp
+++ b/examples/day-keyed.lisp
@@ -1,5 +1,5 @@
-; The kind of deployment with keyed, ordered writes and limits: a list that must be asked, no load reports, writes
-; whose repeats one hall drops, a rolling restart under a surge.
+; A deployment with keyed, ordered writes and limits: the endpoint list is polled, nodes send no load reports,
+; writes are deduplicated within a zone, instances restart one after the other during a surge.
 (day
   (name "keyed and ordered writes with limits")
   (length 10s)
--- a/examples/day-reports.lisp
+++ b/examples/day-reports.lisp
@@ -1,5 +1,5 @@
-; The kind of deployment with one attempt at a time, a list that is pushed and load reports in each answer: the list
-; falls behind, nodes drain and slow down, one plan asks for several times its usual traffic.
+; A deployment with one attempt at a time, a pushed endpoint list and load reports in each response: the list
+; becomes stale, nodes drain and slow down, one plan sends several times its usual traffic.
 (day
   (name "one attempt at a time, pushed list, load reports")
   (length 10s)
--- a/examples/day-run-end.lisp
+++ b/examples/day-run-end.lisp
@@ -1,5 +1,6 @@
-; A model run ends: every two seconds all product jobs read the slices of all fields at once, while charts read here and
-; there. Nodes pay for each operation, however large. (alone) in (extents …) turns merging off.
+; The end of a model run: every two seconds all product jobs read the slices of all fields at once, while
+; charts read at random places. Each operation has a fixed cost at a node, whatever its size. (alone) in
+; (extents …) turns merging off.
 (day
   (name "run end")
   (length 8s)
--- a/examples/day-scattered.lisp
+++ b/examples/day-scattered.lisp
@@ -1,5 +1,5 @@
-; A day without adjacency: small reads at random places of large fields. Merging has nothing to do here, and must cost
-; nothing.
+; A scenario without adjacent requests: small reads at random places of large fields. There is nothing to
+; merge, and merging must add no cost.
 (day
   (name "scattered reads")
   (length 6s)
--- a/examples/fleet-site.lisp
+++ b/examples/fleet-site.lisp
@@ -1,4 +1,4 @@
-; The site that the example instance and nodes agree on; their files include it.
+; The site settings that the example instance and nodes share; their files include them.
 (site
   (zones hall-a hall-b)
   (class read  (aim 400ms) (deadline 2s) (repeat safe) (late 0.15))
--- a/examples/fleet.lisp
+++ b/examples/fleet.lisp
@@ -1,4 +1,4 @@
-; A fleet as planned, and what is expected of it: storage-gateway expect examples/fleet.lisp
+; A planned fleet and its expectations: storage-gateway expect examples/fleet.lisp
 (fleet
   (name "two halls") (instances 4)
   (include "fleet-site.lisp")
--- a/examples/move-site.lisp
+++ b/examples/move-site.lisp
@@ -1,6 +1,6 @@
-; A site of the newer build, for the fleet of fleet-site.lisp to move to: instances send nothing to one another, refusals
-; do not say when to come back, a write never runs twice, further attempts are rationed, classes and plans earn
-; differently, nodes report their queue.
+; Site settings of a newer build, to which the fleet of fleet-site.lisp moves: instances send no messages to
+; one another, rejections have no Retry-After, a write is never executed twice, a budget limits retries,
+; classes and plans have different priority weights, nodes report their queue.
 (site
   (zones hall-a hall-b) (ask) (meter 1s) (elsewhere) (load q busy) (share-worth 0.35) (spare-worth 0.08) (retries-known)
   (class read  (aim 300ms) (deadline 1500ms) (repeat safe) (worth 3) (late 0.1))
