--- a/internal/platform/attempt_preconditions_test.go
+++ b/internal/platform/attempt_preconditions_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// A client goes while the connection to the disk server comes up: nothing is forwarded, and the connection
-// serves the next request. (Seen on zone+brink: requests forwarded 0.15 s and more after the close.)
-func TestAttempt_WithheldWhenClientGoneWhileConnecting(t *testing.T) {
+// A client disconnects while the connection to the disk server is being established: its request is not
+// forwarded, and the connection serves the next request. In the scenario zone+brink, requests were forwarded
+// 0.15 s and more after the client's close.
+func TestAttempt_WithheldWhenClientDisconnectsWhileConnecting(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	held := holdConnections(fixture)
@@ -20,36 +21,36 @@
 	held.release <- struct{}{}
 	fixture.awaitIdleConnections(1)
 	if n := len(diskServer.received()); n != 0 {
-		t.Errorf("%d requests were forwarded for a client that had gone", n)
+		t.Errorf("got %d requests forwarded for a disconnected client, want 0", n)
 	}
 	next := fixture.dial()
 	next.send(readText("a2"))
 	if status, _, _ := next.readAnswer(); status != 200 ||
 		fixture.gateway.upstream.counters.dialed.Load() != 1 {
-		t.Errorf("the next: %d, after %d connections", status,
+		t.Errorf("next request: got status %d after %d connections, want 200 after 1", status,
 			fixture.gateway.upstream.counters.dialed.Load())
 	}
 }
 
-// A disk server that begins to drain, is gone, or has restarted while a connection to it comes up is not sent
-// what was decided on before: the drain's grace may be over, and a new process is warming up.
+// A disk server begins to drain, is removed or restarts while a connection to it is being established: the
+// attempt is not sent, as the drain grace period may be over and a restarted disk server is cold.
 func TestAttempt_WithheldWhenNodeChangesWhileConnecting(t *testing.T) {
 	for name, change := range map[string]func(*ListedServer){
-		"drains":      func(l *ListedServer) { l.Lifecycle = "draining" },
-		"gone":        func(l *ListedServer) { l.Lifecycle = "gone" },
-		"started now": func(l *ListedServer) { l.StartedAtMS = float64(time.Now().UnixMilli()) },
+		"drains":    func(l *ListedServer) { l.Lifecycle = "draining" },
+		"removed":   func(l *ListedServer) { l.Lifecycle = "gone" },
+		"restarted": func(l *ListedServer) { l.StartedAtMS = float64(time.Now().UnixMilli()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			diskServer := newOKDiskServer(t)
-			isRestart := name == "started now"
+			isRestart := name == "restarted"
 			server := listedServer("s-0", diskServer, 0)
 			discovery := newFakeDiscovery(t,
 				List{Generation: 7, Reset: true, Instances: []ListedServer{server}})
 			fixture := startGatewayAt(t, discovery.address(), diskServer, func(config string) string {
-				// Long enough for a slow machine.
+				// Long enough on a slow machine.
 				config = replaceOnce(t, config, `"dial_timeout_ns":250000000`,
 					`"dial_timeout_ns":9000000000`)
-				if !isRestart { // else the request would be rejected before it is decided on again
+				if !isRestart { // a restart needs a longer objective, else the retry is rejected
 					return config
 				}
 				return strings.ReplaceAll(config, `"on_time_ns":500000000`, `"on_time_ns":1900000000`)
@@ -65,43 +66,44 @@
 			fixture.discovery.push(server)
 			fixture.awaitListVersion(8, time.Now().Add(eventualTimeout))
 			held.release <- struct{}{}
-			eventually(t, "the attempt has ended", func() bool {
+			eventually(t, "the attempt has ended as ConnectFailed", func() bool {
 				return fixture.gateway.loop.Stats.ConnectFailed.Load() == 1
 			})
 			status, _, _ := client.readAnswer()
 			received, attempts := len(diskServer.received()), fixture.gateway.loop.Stats.Attempts.Load()
 			if isRestart && status != 200 || !isRestart && (status != 503 || received != 0) {
-				t.Errorf("answered %d after %d sends", status, received)
+				t.Errorf("got status %d after %d sends; want 503 after 0, or 200 for a restart", status,
+					received)
 			}
-			if isRestart && attempts != 2 { // it was decided on again
-				t.Errorf("%d attempts were decided on", attempts)
+			if isRestart && attempts != 2 { // the withheld one and its retry
+				t.Errorf("got %d attempts, want 2", attempts)
 			}
 		})
 	}
 }
 
-// The client's time is over when the connection comes up: nothing is written.
-func TestAttempt_WithheldWhenTimeIsOverWhileConnecting(t *testing.T) {
+// The request's deadline passes while the connection is being established: nothing is written.
+func TestAttempt_WithheldWhenDeadlinePassesWhileConnecting(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	held := holdConnections(fixture)
 	client := fixture.dial()
-	short := payText("a1", "")
-	client.send(replaceOnce(t, short, "X-Budget: 1.500", "X-Budget: 0.100"))
+	text := payText("a1", "")
+	client.send(replaceOnce(t, text, "X-Budget: 1.500", "X-Budget: 0.100"))
 	<-held.requested
 	if status, _, _ := client.readAnswer(); status != 504 && status != 503 {
-		t.Errorf("answered %d", status)
+		t.Errorf("got status %d, want 503 or 504", status)
 	}
 	held.release <- struct{}{}
 	fixture.awaitNoAttempts()
 	if n := len(diskServer.received()); n != 0 {
-		t.Errorf("%d sends after the client's time", n)
+		t.Errorf("got %d sends after the request's deadline, want 0", n)
 	}
 }
 
-// The deduplication window is over when the connection for a retry comes up: it is not sent. (Seen on
-// zone+brink, seed 35: a retry outside its window.)
-func TestAttempt_WithheldWhenDedupWindowIsOver(t *testing.T) {
+// The deduplication window ends while the connection for a retry is being established: the retry is not sent.
+// In the scenario zone+brink, seed 35, a retry was sent outside its window.
+func TestAttempt_WithheldWhenDedupWindowEnds(t *testing.T) {
 	breakConnection := func(int, *receivedRequest) []byte { return nil } // after the whole request
 	diskServer := newFakeDiskServer(t, breakConnection)
 	discovery := newScriptedDiscovery(t, neverAnswer)
@@ -115,13 +117,13 @@
 	<-held.requested
 	sent := time.Now()
 	held.release <- struct{}{}
-	<-held.requested // the retry's
+	<-held.requested // for the retry
 	time.Sleep(time.Until(sent.Add(215 * time.Millisecond)))
 	held.release <- struct{}{}
 	if status, _, _ := client.readAnswer(); status != 502 {
-		t.Errorf("answered %d; it may have run and cannot be retried", status)
+		t.Errorf("got status %d, want 502: it may have run and cannot be retried", status)
 	}
 	if n := len(diskServer.received()); n != 1 {
-		t.Errorf("%d sends, the last one outside the window", n)
+		t.Errorf("got %d sends, want 1: the retry was sent outside the window", n)
 	}
 }
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -12,45 +12,46 @@
 	"landingpaddle/internal/http1"
 )
 
-// firstResponse is how a disk server answers the first attempt at a request, and what becomes of the request.
+// firstResponse is a disk server's response to the first attempt at a request, and the expected outcome.
 type firstResponse struct {
-	first  []byte // nil: the connection breaks after the whole request
+	first  []byte // nil: the connection is closed after the whole request was received
 	class  string
-	status int
-	sends  int
+	status int // of the answer to the client
+	sends  int // requests that the disk server receives
 }
 
-// firstResponses are responses to the first attempt, by class and response.
+// firstResponses returns the test cases by class and response. The class read is idempotent, write is
+// idempotent by key, and pay is not idempotent.
 func firstResponses() map[string]firstResponse {
 	return map[string]firstResponse{
-		"read rejected": {http1.AppendResponse(nil, 503, "x",
+		"read, rejected": {http1.AppendResponse(nil, 503, "x",
 			http1.Header{{Name: "X-Rejected", Value: "1"}}, nil), "read", 200, 2},
-		"pay rejected": {http1.AppendResponse(nil, 504, "x",
+		"pay, rejected": {http1.AppendResponse(nil, 504, "x",
 			http1.Header{{Name: "X-Rejected", Value: "1"}}, nil), "pay", 200, 2},
-		"503 without the mark":   {http1.AppendResponse(nil, 503, "x", nil, nil), "pay", 502, 1},
-		"read broken":            {nil, "read", 200, 2},
-		"keyed write broken":     {nil, "write", 200, 2},
-		"unsafe broken":          {nil, "pay", 502, 1},
-		"unsafe error":           {http1.AppendResponse(nil, 500, "x", nil, nil), "pay", 502, 1},
-		"read, invalid response": {[]byte("\x00\x01 noise"), "read", 200, 2},
-		"unsafe, invalid response": {[]byte("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" +
+		"pay, 503 without X-Rejected": {http1.AppendResponse(nil, 503, "x", nil, nil), "pay", 502, 1},
+		"read, connection closed":     {nil, "read", 200, 2},
+		"write, connection closed":    {nil, "write", 200, 2},
+		"pay, connection closed":      {nil, "pay", 502, 1},
+		"pay, error":                  {http1.AppendResponse(nil, 500, "x", nil, nil), "pay", 502, 1},
+		"read, invalid response":      {[]byte("\x00\x01 noise"), "read", 200, 2},
+		"pay, invalid response": {[]byte("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" +
 			strings.Repeat("a", 9000)), "pay", 502, 1},
-		"unsafe, two framings": {[]byte("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n" +
+		"pay, two Content-Lengths": {[]byte("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n" +
 			"\r\naa"), "pay", 502, 1},
-		"unreadable figures": {http1.AppendResponse(nil, 200, "x",
+		"pay, invalid usage fields": {http1.AppendResponse(nil, 200, "x",
 			http1.Header{{Name: "X-Meter", Value: "-7z"}, {Name: "X-Delta", Value: "1e99"}}, []byte("ok")),
 			"pay", 200, 1},
-		"interim answers ahead": {append([]byte("HTTP/1.1 102 x\r\n\r\n"), okResponse("ok")...),
+		"pay, interim response first": {append([]byte("HTTP/1.1 102 x\r\n\r\n"), okResponse("ok")...),
 			"pay", 200, 1},
-		"chunked, then unsafe": {[]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n" +
+		"pay, chunked response": {[]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n" +
 			"ok\r\n0\r\n\r\n"), "pay", 200, 1},
-		"not known, for nothing": {http1.AppendResponse(nil, 404, "x", nil, nil), "pay", 502, 1},
+		"pay, status 404": {http1.AppendResponse(nil, 404, "x", nil, nil), "pay", 502, 1},
 	}
 }
 
-// An attempt that provably never ran is retried; one that may have run is retried where its class allows
-// it, and a request that is not idempotent never.
-func TestAttempt_RetriesWhatItsClassAllows(t *testing.T) {
+// A rejected attempt never ran and is retried. One that may have run is retried if the class of its request
+// allows that; a request that is not idempotent is not retried then.
+func TestAttempt_RetriesIfClassAllows(t *testing.T) {
 	for name, test := range firstResponses() {
 		t.Run(name, func(t *testing.T) {
 			diskServer := newFakeDiskServer(t, func(n int, _ *receivedRequest) []byte {
@@ -71,14 +72,15 @@
 			status, _, body := client.readAnswer()
 			if status != test.status || (status == 200 && body != "ok") ||
 				len(diskServer.received()) != test.sends {
-				t.Errorf("%d %q after %d sends; want %d after %d", status, body,
+				t.Errorf("got %d %q after %d sends, want %d after %d", status, body,
 					len(diskServer.received()), test.status, test.sends)
 			}
 		})
 	}
 }
 
-// A response with bytes behind it is passed on, and the next request gets its own answer, not these bytes.
+// A response that is followed by unsolicited bytes is passed on, but its connection is not reused: the next
+// request gets its own answer, not these bytes.
 func TestAttempt_DropsConnectionWithUnsolicitedBytes(t *testing.T) {
 	diskServer := newFakeDiskServer(t, func(n int, request *receivedRequest) []byte {
 		id := request.field("X-Call-Id")
@@ -89,21 +91,20 @@
 		id := fmt.Sprintf("a%d", i)
 		client.send(readText(id))
 		if status, _, body := client.readAnswer(); status != 200 || body != id {
-			t.Fatalf("%s got %d %q", id, status, body)
+			t.Fatalf("request %s: got %d %q, want 200 with its id", id, status, body)
 		}
 		time.Sleep(15 * time.Millisecond)
 	}
 	for i, request := range diskServer.received() {
 		if request.connection != i {
-			t.Errorf("request %d came on connection %d, on which something came unasked", i,
+			t.Errorf("request %d: got connection %d, on which unsolicited bytes had arrived", i,
 				request.connection)
 		}
 	}
 }
 
-// An attempt at a disk server that cannot be reached counts as never run: the request is rejected, not
-// failed.
-func TestAttempt_RejectsWhatNeverRan(t *testing.T) {
+// An attempt that cannot connect to its disk server never ran: the request is rejected, not failed.
+func TestAttempt_RejectsIfServerUnreachable(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	diskServer.listener.Close()
@@ -111,43 +112,44 @@
 	client.send(payText("a1", ""))
 	status, header, _ := client.readAnswer()
 	if status != 503 || header.Get("X-Reason") == "" || len(diskServer.received()) != 0 {
-		t.Errorf("%d %v; refused with a reason is what is true of a request that never ran", status, header)
+		t.Errorf("got %d %v, want 503 with X-Reason: the request never ran", status, header)
 	}
 }
 
-// A connection that breaks before a request's last byte is written proves that it never ran: it is retried
-// even if it is not idempotent.
-func TestAttempt_RetriesWhatBrokeBeforeLastByte(t *testing.T) {
+// A request whose connection breaks before its last byte is written never ran: it is retried even if it is
+// not idempotent.
+func TestAttempt_RetriesAfterPartialWrite(t *testing.T) {
 	for class, headerLines := range map[string][]string{"pay": nil, "write": {"Idempotency-Key: k"}} {
 		diskServer := newOKDiskServer(t)
 		fixture := startGateway(t, 256, diskServer)
-		ours, theirs := net.Pipe()
+		local, remote := net.Pipe()
 		pool := fixture.gateway.upstream
 		pool.mu.Lock()
-		pool.idle[serverOf("s-0")] = []*upstreamConn{{conn: ours, idleSince: time.Now().Add(-time.Second),
-			reader: http1.NewReader(ours, http1.Limits{MaxHead: maxUpstreamHead, MaxBody: maxBody})}}
+		pool.idle[serverOf("s-0")] = []*upstreamConn{{conn: local, idleSince: time.Now().Add(-time.Second),
+			reader: http1.NewReader(local, http1.Limits{MaxHead: maxUpstreamHead, MaxBody: maxBody})}}
 		pool.connections++
 		pool.mu.Unlock()
 		var wg sync.WaitGroup
 		wg.Go(func() {
-			theirs.Read(make([]byte, 20))
-			theirs.Close()
+			remote.Read(make([]byte, 20))
+			remote.Close()
 		})
 		client := fixture.dial()
 		client.send(requestText("PUT", class, "a1", 0, "hello", headerLines...))
 		if status, _, body := client.readAnswer(); status != 200 || body != "ok" ||
 			len(diskServer.received()) != 1 {
-			t.Errorf("%s: %d %q after %d whole sends", class, status, body, len(diskServer.received()))
+			t.Errorf("%s: got %d %q after %d complete sends, want 200 after 1", class, status, body,
+				len(diskServer.received()))
 		}
 		wg.Wait()
 		if got := fixture.gateway.loop.Stats.ConnectFailed.Load(); got != 1 {
-			t.Errorf("%s: %d attempts counted as never made", class, got)
+			t.Errorf("%s: got %d attempts counted as ConnectFailed, want 1", class, got)
 		}
 	}
 }
 
-// A client that goes once the request is at the disk server: the attempt is not repeated.
-func TestAttempt_SentOnceWhenClientGoneAfterFirstByte(t *testing.T) {
+// A client disconnects after the disk server has received its request: the attempt is not repeated.
+func TestAttempt_SentOnceWhenClientDisconnectsAfterSend(t *testing.T) {
 	hold := make(chan struct{})
 	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { <-hold; return okResponse("ok") })
 	fixture := startGateway(t, 256, diskServer)
@@ -162,11 +164,11 @@
 	close(hold)
 	fixture.awaitIdleConnections(1)
 	if n := len(diskServer.received()); n != 1 {
-		t.Errorf("%d sends", n)
+		t.Errorf("got %d sends, want 1", n)
 	}
 }
 
-// An attempt states the time that is left when its first byte is written, not when it was decided on.
+// An attempt's X-Budget is the time left when its first byte is written, not when it was dispatched.
 func TestAttempt_StatesTimeLeftAtFirstByte(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
@@ -175,14 +177,14 @@
 	sent := time.Now()
 	client.send(payText("a1", ""))
 	<-held.requested
-	time.Sleep(100 * time.Millisecond) // of the 250 ms that a connection may take
+	time.Sleep(100 * time.Millisecond) // of the connect timeout of 250 ms
 	held.release <- struct{}{}
 	if status, _, _ := client.readAnswer(); status != 200 {
-		t.Fatal(status)
+		t.Fatal("want status 200, got", status)
 	}
 	text, _ := diskServer.received()[0].head.Header.Get("X-Budget")
 	left, err := strconv.ParseFloat(text, 64)
-	if most := 1.5 - 0.1; err != nil || left > most || left < 1.5-time.Since(sent).Seconds()-0.02 {
-		t.Errorf("stated %q, %v; at most %v are left", text, err, most)
+	if limit := 1.5 - 0.1; err != nil || left > limit || left < 1.5-time.Since(sent).Seconds()-0.02 {
+		t.Errorf("got X-Budget %q, error %v; want at most %v left", text, err, limit)
 	}
 }
