--- a/internal/platform/address_table_test.go
+++ b/internal/platform/address_table_test.go
@@ -13,8 +13,9 @@
 	return &parseTestConfig(t, "127.0.0.1:1").Site
 }
 
-// A disk server that is gone can be found for a while, and is then forgotten.
-func TestAddressTable_ForgetsGoneServers(t *testing.T) {
+// A disk server that was removed from the list can be found for the retention time, for attempts in transit,
+// and is then evicted. Invalid servers are rejected.
+func TestAddressTable_EvictsRemovedServers(t *testing.T) {
 	table, site := newAddressTable(), testSite(t)
 	listed := ListedServer{ID: "s-1", HostPort: "127.0.0.1:1", Zone: "a", MachineType: "m",
 		Lifecycle: "ready"}
@@ -25,14 +26,14 @@
 		t.Fatal(err)
 	}
 	server := serverOf("s-1")
-	entry, known := table.find(server)
-	if !known || !entry.isGone() {
-		t.Fatalf("%+v, %v: attempts on their way must still find it", entry, known)
+	entry, found := table.find(server)
+	if !found || !entry.isGone() {
+		t.Fatalf("got %+v, found %v; attempts in transit must still find it", entry, found)
 	}
 	entry.goneAt = entry.goneAt.Add(-2 * goneRetention)
 	table.entries[server] = entry
 	if _, err := table.applyList(List{Reset: true}, 0, site); err != nil || len(table.entries) != 0 {
-		t.Errorf("%d entries, %v", len(table.entries), err)
+		t.Errorf("got %d entries, error %v; want none", len(table.entries), err)
 	}
 	for _, invalid := range []ListedServer{
 		{},
@@ -42,21 +43,21 @@
 		{ID: "a", HostPort: "b", Lifecycle: "ready", StartedAtMS: -1},
 	} {
 		if _, err := table.applyList(List{Instances: []ListedServer{invalid}}, 0, site); err == nil {
-			t.Errorf("%+v was accepted", invalid)
+			t.Errorf("%+v: got no error, want one", invalid)
 		}
 	}
 	if serverOf("s-1") == serverOf("s-2") || serverOf("s-1") == (scheduler.Server{}) {
-		t.Error("ids are not told apart")
+		t.Error("got equal or zero hashes for different ids")
 	}
 }
 
-// Two ids of one hash are an error of the whole list.
+// A list with two ids of equal hash is rejected as a whole.
 func TestAddressTable_RejectsHashCollision(t *testing.T) {
 	table, site := newAddressTable(), testSite(t)
 	table.entries[serverOf("s-1")] = addressEntry{id: "other"}
 	listed := ListedServer{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "ready"}
 	_, err := table.applyList(List{Instances: []ListedServer{listed}}, 0, site)
 	if !errors.Is(err, errHashCollision) || table.entries[serverOf("s-1")].id != "other" {
-		t.Errorf("%v, %+v", err, table.entries)
+		t.Errorf("got error %v, entries %+v; want a hash collision and no change", err, table.entries)
 	}
 }
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -11,15 +11,16 @@
 	"time"
 )
 
-// notifiedWithin is how long after a watch misses something the scheduler counts as notified of it.
+// notifiedWithin is the time after a watch misses an update within which the scheduler must receive it: after
+// that it counts as notified of the update.
 const notifiedWithin = 6 * time.Second
 
-// silentWatch is the script of a discovery whose first call, a watch, falls silent; the second call fails, if
-// fail is given, and further ones bring version 9 of the list.
+// silentWatch is the script of a discovery service whose first call, a watch, falls silent. The second call
+// runs fail unless that is nil, and further calls return the list.
 type silentWatch struct {
-	said string // before the watch falls silent
+	said string // sent before the watch falls silent
 	fail discoveryScript
-	list string
+	list string // as JSON
 
 	mu          sync.Mutex
 	silentSince time.Time
@@ -41,7 +42,7 @@
 	}
 }
 
-// awaitSilence waits until the watch has fallen silent and returns when that was.
+// awaitSilence waits until the watch has fallen silent and returns the time at which it did.
 func (w *silentWatch) awaitSilence(t *testing.T) (since time.Time) {
 	t.Helper()
 	eventually(t, "the watch has fallen silent", func() bool {
@@ -53,42 +54,42 @@
 	return since
 }
 
-// A watch that falls silent, at whatever point of its answer, is opened again in time for what it misses to
-// be known before the scheduler counts as notified, also when the first call after it fails in whatever
-// way.
+// A watch that falls silent at any point of its response is reopened early enough that the scheduler receives
+// the updates missed before it counts as notified of them, also if the first call after the silence fails in
+// any way.
 func TestDiscovery_ReopensSilentWatch(t *testing.T) {
 	silences := map[string]string{
-		"before its head":    "",
-		"before its body":    chunkedHead,
-		"within a chunk":     chunkedHead + "40\r\n{\"generation\":8,",
-		"within a message":   chunkedHead + chunk(`{"generation":8,"reset":true,"instances":[`),
-		"behind a message":   chunkedHead + chunk(listDocument(7, true)+"\n"),
-		"behind a heartbeat": chunkedHead + chunk("\n"),
+		"before the head":   "",
+		"before the body":   chunkedHead,
+		"within a chunk":    chunkedHead + "40\r\n{\"generation\":8,",
+		"within a message":  chunkedHead + chunk(`{"generation":8,"reset":true,"instances":[`),
+		"after a message":   chunkedHead + chunk(listDocument(7, true)+"\n"),
+		"after a heartbeat": chunkedHead + chunk("\n"),
 	}
 	failures := map[string]discoveryScript{
-		"none":    nil,
-		"silent":  neverAnswer,
-		"refused": answerUnavailable,
-		"a reset": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
+		"none":        nil,
+		"silent":      neverAnswer,
+		"unavailable": answerUnavailable,
+		"connection reset": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
 			connection.(*net.TCPConn).SetLinger(0)
 		},
-		"nonsense": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
+		"invalid JSON": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
 			io.WriteString(connection, chunkedHead+chunk("{["))
 		},
-		"half a go": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
+		"incomplete JSON": func(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
 			io.WriteString(connection, chunkedHead+chunk("{"))
 		},
 	}
-	for where, said := range silences {
-		for how, fail := range failures {
-			if where != "behind a message" && how != "none" && how != "silent" {
-				continue // where the watch fell silent has no bearing on these
+	for silence, sent := range silences {
+		for failure, fail := range failures {
+			if silence != "after a message" && failure != "none" && failure != "silent" {
+				continue // these failures do not depend on where the watch fell silent
 			}
-			t.Run(where+", then "+how, func(t *testing.T) {
+			t.Run(silence+", then "+failure, func(t *testing.T) {
 				t.Parallel()
 				diskServer := newOKDiskServer(t)
 				list := listDocument(9, true, listedServer("s-0", diskServer, 0))
-				watch := &silentWatch{said: said, fail: fail, list: list}
+				watch := &silentWatch{said: sent, fail: fail, list: list}
 				discovery := newScriptedDiscovery(t, watch.script)
 				fixture := startGatewayAt(t, discovery.address(), diskServer, nil)
 				fixture.awaitListVersion(9, watch.awaitSilence(t).Add(notifiedWithin))
@@ -97,7 +98,7 @@
 	}
 }
 
-// indent is a JSON document as it might be written for a reader.
+// indent returns a JSON document with indentation and a final newline.
 func indent(t *testing.T, document string) string {
 	t.Helper()
 	var value any
@@ -108,22 +109,22 @@
 	return string(indented) + "\n"
 }
 
-// Lists come in every form that the protocol allows: full, as changes, indented, several in one piece, one in
-// many, twice, and out of order.
-func TestDiscovery_ReadsEveryFormOfList(t *testing.T) {
+// A watch accepts lists in every encoding that the protocol allows: full, as a change, indented, several in
+// one chunk, one in many chunks, duplicated, and out of order.
+func TestDiscovery_AcceptsEveryEncodingOfList(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	change := listDocument(9, false, drainingServer("s-0", diskServer, 0))
 	full := listDocument(9, true, drainingServer("s-0", diskServer, 0))
 	older := listDocument(8, true, listedServer("s-0", diskServer, 0))
 	for name, pieces := range map[string][]string{
-		"indented":             {indent(t, change)},
-		"in pieces":            strings.SplitAfter(indent(t, change), ","),
-		"byte by byte":         strings.Split(change+"\n", ""),
-		"several at once":      {listDocument(8, false) + "\n\n" + change + "\n"},
-		"again":                {change + "\n" + change + "\n"},
-		"an older one after":   {full + "\n" + older + "\n"},
-		"after heartbeats":     {"\n", "\r\n", " \n", change + "\n"},
-		"without its last end": {change},
+		"indented":                {indent(t, change)},
+		"in several chunks":       strings.SplitAfter(indent(t, change), ","),
+		"byte by byte":            strings.Split(change+"\n", ""),
+		"several in one chunk":    {listDocument(8, false) + "\n\n" + change + "\n"},
+		"duplicated":              {change + "\n" + change + "\n"},
+		"an older version last":   {full + "\n" + older + "\n"},
+		"after heartbeats":        {"\n", "\r\n", " \n", change + "\n"},
+		"without a final newline": {change},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -133,16 +134,16 @@
 			client := fixture.dial()
 			client.send(payText("a1", ""))
 			if status, _, _ := client.readAnswer(); status != 503 {
-				t.Errorf("%d from a shard whose one disk server drains", status)
+				t.Errorf("got status %d from a shard whose only disk server drains, want 503", status)
 			}
 			if n := discovery.calls(); n != 1 {
-				t.Errorf("%d calls", n)
+				t.Errorf("got %d calls, want 1", n)
 			}
 		})
 	}
 }
 
-// writePieces is the script of a watch that brings a text in pieces, a chunk for each, and then nothing more.
+// writePieces is the script of a watch that sends each piece as one chunk and then stays silent.
 func writePieces(pieces []string) discoveryScript {
 	return func(_ int, _ string, connection net.Conn, ended <-chan struct{}) {
 		io.WriteString(connection, chunkedHead)
@@ -153,12 +154,12 @@
 	}
 }
 
-// withoutInitialList removes the initial list from a configuration file.
+// withoutInitialList returns a function that removes the initial list from a configuration file.
 func withoutInitialList(t *testing.T) func(string) string {
 	return func(config string) string { return replaceOnce(t, config, `"known":{`, `"unknown":{`) }
 }
 
-// A change that builds on a list that the scheduler does not have is a gap: the full list is fetched.
+// A change whose base version the scheduler does not have is a gap: the scheduler fetches the full list.
 func TestDiscovery_FetchesFullListAfterGap(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	script := func(_ int, target string, connection net.Conn, ended <-chan struct{}) {
@@ -174,7 +175,7 @@
 	fixture.awaitListVersion(9, time.Now().Add(2*time.Second))
 }
 
-// A disk server that the watch reports as draining is sent nothing more.
+// A disk server that the watch reports as draining receives no more requests.
 func TestDiscovery_WatchReportsDraining(t *testing.T) {
 	old := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("old") })
 	next := newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("next") })
@@ -186,10 +187,10 @@
 	for i := range 10 {
 		client.send(readText(fmt.Sprintf("a%d", i)))
 		if status, _, body := client.readAnswer(); status != 200 || body != "next" {
-			t.Fatalf("%d %q", status, body)
+			t.Fatalf("got %d %q, want 200 from the ready disk server", status, body)
 		}
 	}
 	if n := len(old.received()); n != 0 {
-		t.Errorf("%d requests went to the draining disk server", n)
+		t.Errorf("got %d requests at the draining disk server, want 0", n)
 	}
 }
--- a/internal/platform/fake_discovery_test.go
+++ b/internal/platform/fake_discovery_test.go
@@ -19,7 +19,7 @@
 	unavailableHead = "HTTP/1.1 503 x\r\n\r\n"
 )
 
-// fakeDiscovery is a discovery service that keeps the protocol.
+// fakeDiscovery is a discovery service that follows the protocol.
 type fakeDiscovery struct {
 	server *httptest.Server
 
@@ -72,7 +72,7 @@
 	delete(d.watchers, messages)
 }
 
-// awaitWatches waits until as many watches stand.
+// awaitWatches waits until count watches are open.
 func (d *fakeDiscovery) awaitWatches(t *testing.T, count int) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%d watches", count), func() bool {
@@ -82,7 +82,7 @@
 	})
 }
 
-// push sends a change of the list, of the next version, on all watches.
+// push sends a change of the list, with the next version, on all watches.
 func (d *fakeDiscovery) push(servers ...ListedServer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,10 +95,11 @@
 
 func (d *fakeDiscovery) address() string { return strings.TrimPrefix(d.server.URL, "http://") }
 
-// discoveryScript answers the n-th call, from 0, by writing to its connection, which ends when it returns.
+// discoveryScript answers call n, counted from 0, by writing to its connection, which is closed when it
+// returns. ended is closed when the test ends.
 type discoveryScript func(n int, target string, connection net.Conn, ended <-chan struct{})
 
-// scriptedDiscovery is a discovery service that is written byte by byte.
+// scriptedDiscovery is a discovery service whose script writes the bytes of its responses.
 type scriptedDiscovery struct {
 	listener net.Listener
 	script   discoveryScript
@@ -154,10 +155,10 @@
 	return d.callCount
 }
 
-// neverAnswer is the script of a discovery that accepts calls and stays silent.
+// neverAnswer is the script of a discovery service that accepts calls and stays silent.
 func neverAnswer(_ int, _ string, _ net.Conn, ended <-chan struct{}) { <-ended }
 
-// answerUnavailable is the script of a discovery that is overloaded.
+// answerUnavailable is the script of a discovery service that is overloaded.
 func answerUnavailable(_ int, _ string, connection net.Conn, _ <-chan struct{}) {
 	io.WriteString(connection, unavailableHead)
 }
@@ -165,19 +166,19 @@
 // isWatch reports whether a call's target is that of a watch.
 func isWatch(target string) bool { return strings.Contains(target, "stream") }
 
-// writeMessage begins the answer to a watch with one message.
+// writeMessage writes the head of the response to a watch and one message.
 func writeMessage(connection net.Conn, message string) {
 	io.WriteString(connection, chunkedHead+chunk(message+"\n"))
 }
 
-// writeDocument answers a fetch.
+// writeDocument writes the response to a fetch.
 func writeDocument(connection net.Conn, document string) {
 	fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(document), document)
 }
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// listDocument is a list in discovery's form.
+// listDocument returns a list in discovery's encoding.
 func listDocument(generation uint64, isFull bool, servers ...ListedServer) string {
 	document, err := json.Marshal(List{Generation: generation, Reset: isFull, Instances: servers})
 	if err != nil {
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// notifiedAfterReload is how long after a reload the scheduler counts as notified of what the new discovery
-// has.
+// notifiedAfterReload is the time after a reload within which the scheduler must receive the list of the new
+// discovery service: after that it counts as notified of it.
 const notifiedAfterReload = 4 * time.Second
 
-// A reload moves a standing watch to the new discovery, and requests are served meanwhile.
-func TestReload_MovesStandingWatch(t *testing.T) {
+// A reload moves an open watch to the new discovery service, and requests are served during the reload.
+func TestReload_MovesOpenWatch(t *testing.T) {
 	fixture := startGateway(t, 256, newOKDiskServer(t))
 	fixture.discovery.awaitWatches(t, 1)
 	other := newFakeDiscovery(t, fixture.discovery.current)
@@ -25,7 +25,7 @@
 			for i := range 50 {
 				client.send(readText(fmt.Sprintf("c%d-%d", n, i)))
 				if status, _, _ := client.readAnswer(); status != 200 {
-					t.Errorf("%d during the reload", status)
+					t.Errorf("got status %d during the reload, want 200", status)
 				}
 			}
 		})
@@ -36,19 +36,20 @@
 	fixture.discovery.awaitWatches(t, 0)
 }
 
-// A reload has the new discovery called at once, whether a watch stood at the old one, was being opened
-// there, had failed and waited, or a fetch was under way; what the old one still says changes nothing.
+// After a reload the new discovery service is called at once, whether a watch of the old one is open, is
+// being opened, or has failed and waits to be reopened, or a fetch is in flight. The old one is not called
+// any more, and what it still sends has no effect.
 func TestReload_MovesCallsInEveryState(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		old       discoveryScript
-		calls     int // at the old discovery before the reload
-		isUnknown bool
+		name          string
+		old           discoveryScript
+		calls         int // at the old discovery service before the reload
+		noInitialList bool
 	}{
-		{"a watch stands", watchWithMessage(listDocument(7, true)), 1, false},
-		{"a watch is being opened", neverAnswer, 1, false},
-		{"a watch has failed", answerUnavailable, 1, false},
-		{"a fetch is under way", watchWithMessage(listDocument(8, false)), 2, true},
+		{"watch is open", watchWithMessage(listDocument(7, true)), 1, false},
+		{"watch is being opened", neverAnswer, 1, false},
+		{"watch has failed", answerUnavailable, 1, false},
+		{"fetch is in flight", watchWithMessage(listDocument(8, false)), 2, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -56,27 +57,27 @@
 			list := listDocument(9, true, listedServer("s-0", diskServer, 0))
 			from, to := newScriptedDiscovery(t, test.old), newScriptedDiscovery(t, failOnceThenList(list))
 			var change func(string) string
-			if test.isUnknown {
+			if test.noInitialList {
 				change = withoutInitialList(t)
 			}
 			fixture := startGatewayAt(t, from.address(), diskServer, change)
-			eventually(t, "the old one is called", func() bool { return from.calls() >= test.calls })
+			eventually(t, "the old service is called", func() bool { return from.calls() >= test.calls })
 			config := parseTestConfig(t, to.address())
 			reloaded := time.Now()
 			fixture.gateway.Reload(config)
 			fixture.awaitListVersion(9, reloaded.Add(notifiedAfterReload))
 			before := from.calls()
 			fixture.gateway.discovery.Fetch()
-			eventually(t, "the new one is called again", func() bool { return to.calls() >= 3 })
+			eventually(t, "the new service is called again", func() bool { return to.calls() >= 3 })
 			if n := from.calls(); n != before {
-				t.Errorf("the old one was called %d times more", n-before)
+				t.Errorf("got %d more calls at the old discovery service, want 0", n-before)
 			}
 		})
 	}
 }
 
-// watchWithMessage is the script of a discovery whose watches bring one message and whose fetches stay
-// without an answer.
+// watchWithMessage is the script of a discovery service that sends one message on each watch and does not
+// answer fetches.
 func watchWithMessage(message string) discoveryScript {
 	return func(_ int, target string, connection net.Conn, ended <-chan struct{}) {
 		if isWatch(target) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// failOnceThenList is the script of a discovery whose first call fails; further ones bring a list.
+// failOnceThenList is the script of a discovery service whose first call fails; later calls return a list.
 func failOnceThenList(list string) discoveryScript {
 	return func(n int, target string, connection net.Conn, ended <-chan struct{}) {
 		switch {
