--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -16,7 +16,7 @@
 	"landingpaddle/internal/wire"
 )
 
-// formsRecorder writes down what clients are sent.
+// formsRecorder records the bytes that clients receive.
 type formsRecorder struct {
 	frontend *frontend
 	out      strings.Builder
@@ -27,37 +27,37 @@
 	return &formsRecorder{frontend: newFrontend(loop, &wire.Site{}, slog.New(slog.DiscardHandler), limits)}
 }
 
-// record writes down what a function sends on a client's connection.
-func (r *formsRecorder) record(what string, send func(client *clientConn)) {
-	here, there := net.Pipe()
+// record records the bytes that send writes to a client's connection.
+func (r *formsRecorder) record(label string, send func(client *clientConn)) {
+	local, remote := net.Pipe()
 	sent := make(chan []byte)
 	go func() {
-		content, _ := io.ReadAll(there)
+		content, _ := io.ReadAll(remote)
 		sent <- content
 	}()
 	limits := http1.Limits{MaxHead: maxClientHead, MaxBody: maxBody}
-	send(&clientConn{conn: here, reader: http1.NewReader(here, limits)})
-	here.Close()
-	fmt.Fprintf(&r.out, "%s: %q\n", what, <-sent)
+	send(&clientConn{conn: local, reader: http1.NewReader(local, limits)})
+	local.Close()
+	fmt.Fprintf(&r.out, "%s: %q\n", label, <-sent)
 }
 
-func (r *formsRecorder) recordHealth(what string) {
-	r.record(what, func(client *clientConn) { r.frontend.answerHealth(client, true) })
+func (r *formsRecorder) recordHealth(label string) {
+	r.record(label, func(client *clientConn) { r.frontend.answerHealth(client, true) })
 }
 
 func (r *formsRecorder) recordAnswer(answer proto.Answer, isLast bool) {
-	what := fmt.Sprintf("answer %d %q after %v, last %t", answer.Code, answer.Reason, answer.RetryAfter,
+	label := fmt.Sprintf("answer %d %q after %v, last %t", answer.Code, answer.Reason, answer.RetryAfter,
 		isLast)
-	r.record(what, func(client *clientConn) {
+	r.record(label, func(client *clientConn) {
 		request := &inFlightRequest{frontend: r.frontend, client: client, closeWanted: isLast,
 			answered: make(chan struct{})}
 		request.writeAnswer(answer, []byte("payload"))
 	})
 }
 
-// What reaches clients and disk servers is spelt out in testdata/forms.txt: answers by outcome and reason,
-// what the health endpoint answers, and the names of header fields.
-func TestForms_AreWrittenAsPinned(t *testing.T) {
+// testdata/forms.txt pins what clients and disk servers receive: answers by outcome and reason, answers of
+// the health endpoint, and the names of header fields, query parameters and paths.
+func TestForms_MatchGoldenFile(t *testing.T) {
 	loop := daemon.NewEventLoop(daemon.EventLoopConfig{})
 	recorder := newFormsRecorder(loop)
 	recorder.recordHealth("health before the list is there")
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -7,89 +7,89 @@
 	"time"
 )
 
-// Pipelined requests are served in their order.
+// Pipelined requests are served in order.
 func TestSession_ServesPipelinedRequestsInOrder(t *testing.T) {
 	diskServer := newFakeDiskServer(t, echoID)
 	client := startGateway(t, 256, diskServer).dial()
 	client.send(readText("a1") + payText("a2", "xyz") + readText("a3"))
 	for _, id := range []string{"a1", "a2", "a3"} {
 		if status, _, body := client.readAnswer(); status != 200 || body != id {
-			t.Fatalf("%s got %d %q", id, status, body)
+			t.Fatalf("request %s: got %d %q, want 200 with its id", id, status, body)
 		}
 	}
 }
 
-// A client that closes its connection has gone: its attempt is cancelled by closing the connection to the
-// disk server.
-func TestSession_CancelsAttemptWhenClientGone(t *testing.T) {
-	broke := make(chan struct{})
-	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { <-broke; return nil })
+// A client closes its connection while an attempt is in flight: the client is counted as disconnected, and
+// the attempt is cancelled, at its timeout at the latest, by closing the connection to the disk server.
+func TestSession_EndsAttemptAfterClientDisconnects(t *testing.T) {
+	release := make(chan struct{})
+	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte { <-release; return nil })
 	fixture := startGateway(t, 256, diskServer)
-	defer close(broke)
+	defer close(release)
 	client := fixture.dial()
 	client.send(readText("a1"))
 	diskServer.awaitRequests(t, 1)
 	client.conn.Close()
 	fixture.awaitClientGone()
-	eventually(t, "no connection is held for it", func() bool {
+	eventually(t, "no attempt is in flight and no connection to the disk server is open", func() bool {
 		fixture.gateway.upstream.mu.Lock()
 		defer fixture.gateway.upstream.mu.Unlock()
 		return fixture.gateway.upstream.connections == 0 && len(fixture.gateway.upstream.attempts) == 0
 	})
 }
 
-// A client that goes is noticed at once, whatever it wrote behind the request in flight: half a request,
-// whole ones, more than a head may be long.
-func TestSession_NoticesClientGoneBehindPipelinedBytes(t *testing.T) {
-	for name, behind := range map[string]string{
-		"nothing":       "",
-		"half a head":   "GET /api?extent=7f3a",
-		"half a body":   payText("b1", "hello")[:200],
-		"whole ones":    readText("b1") + payText("b2", "hello"),
-		"very many":     strings.Repeat(readText("b1"), 200),
-		"noise and end": "\x00\x00\x00",
+// A client's disconnect is detected at once, whatever it wrote after the request in flight: part of a
+// request, complete requests, or more bytes than a head may have.
+func TestSession_DetectsDisconnectAfterPipelinedBytes(t *testing.T) {
+	for name, pipelined := range map[string]string{
+		"nothing":              "",
+		"part of request line": "GET /api?extent=7f3a",
+		"part of head":         payText("b1", "hello")[:200],
+		"complete requests":    readText("b1") + payText("b2", "hello"),
+		"200 requests":         strings.Repeat(readText("b1"), 200),
+		"invalid bytes":        "\x00\x00\x00",
 	} {
 		t.Run(name, func(t *testing.T) {
-			diskServer, released := newHeldDiskServer(t)
+			diskServer, release := newHeldDiskServer(t)
 			fixture := startGateway(t, 256, diskServer)
 			client := fixture.dial()
-			client.send(payText("a1", "") + behind)
+			client.send(payText("a1", "") + pipelined)
 			diskServer.awaitRequests(t, 1)
 			client.conn.Close()
 			fixture.awaitClientGone()
-			released <- struct{}{}
+			release <- struct{}{}
 			eventually(t, "its connection is closed", func() bool {
 				return fixture.gateway.frontend.countByState() == connectionCounts{}
 			})
 			if n := len(diskServer.received()); n != 1 {
-				t.Errorf("%d sends; those behind it must not begin", n)
+				t.Errorf("got %d sends, want 1: pipelined requests must not be forwarded", n)
 			}
-			eventually(t, "no memory is held for it", func() bool {
+			eventually(t, "its request bodies are released", func() bool {
 				return fixture.gateway.frontend.bodyBytes.Load() == 0
 			})
 		})
 	}
 }
 
-// The time of a request that came together with others counts from when it came.
+// The time of a pipelined request counts from its arrival, not from the end of the request before it.
 func TestSession_CountsTimeFromArrivalOfPipelinedRequest(t *testing.T) {
-	diskServer, released := newHeldDiskServer(t)
+	diskServer, release := newHeldDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
 	sent := time.Now()
 	client.send(payText("a1", "") + payText("a2", ""))
 	diskServer.awaitRequests(t, 1)
-	time.Sleep(100 * time.Millisecond) // the service of the first
-	released <- struct{}{}
-	released <- struct{}{}
+	time.Sleep(100 * time.Millisecond) // the service time of the first
+	release <- struct{}{}
+	release <- struct{}{}
 	for _, id := range []string{"a1", "a2"} {
 		if status, _, body := client.readAnswer(); status != 200 || body != id {
-			t.Fatalf("%s: %d %q", id, status, body)
+			t.Fatalf("request %s: got %d %q, want 200 with its id", id, status, body)
 		}
 	}
 	text, _ := diskServer.received()[1].head.Header.Get("X-Budget")
 	if left, err := strconv.ParseFloat(text, 64); err != nil || left > 1.4 ||
 		left < 1.5-time.Since(sent).Seconds()-0.02 {
-		t.Errorf("stated %q, %v; 0.1 s of 1.5 s had passed", text, err)
+		t.Errorf("got X-Budget %q, error %v; want at most 1.4: 0.1 s of 1.5 s had passed", text, err)
 	}
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// After Shutdown clients are served for as long as there is time before the kill; then every request that
-// came is answered and the scheduler ends by itself.
+// After Shutdown, clients are served for the accept time of the schedule, which leaves time for answers
+// before the platform kills the process. Then every received request is answered and Run returns.
 func TestShutdown_ServesThenEnds(t *testing.T) {
 	diskServer := newFakeDiskServer(t, func(int, *receivedRequest) []byte {
 		time.Sleep(20 * time.Millisecond)
@@ -27,13 +27,13 @@
 		}
 		head, err := client.reader.Peek(12)
 		if err != nil {
-			break // it was closed between requests
+			break // closed between requests
 		}
 		if string(head) == "HTTP/1.1 503" && time.Since(began) >= schedule.acceptFor {
-			break // it came as the scheduler had just stopped accepting
+			break // received after the scheduler stopped accepting
 		}
 		if string(head) != "HTTP/1.1 200" {
-			t.Fatalf("%q, %v after the signal", head, time.Since(began))
+			t.Fatalf("got %q, %v after Shutdown; want status 200", head, time.Since(began))
 		}
 		_, header, _ := client.readAnswer()
 		served++
@@ -42,24 +42,25 @@
 		}
 	}
 	if d := time.Since(began); served < 10 || d < schedule.acceptFor-50*time.Millisecond {
-		t.Errorf("served %d requests over %v after the signal, not until %v", served, d, schedule.acceptFor)
+		t.Errorf("got %d requests served over %v after Shutdown, want at least 10 until %v", served, d,
+			schedule.acceptFor)
 	}
 	if err := <-fixture.done; err != nil || time.Since(began) > schedule.answerWithin+time.Second {
-		t.Errorf("ended with %v after %v; all should be over by %v", err, time.Since(began),
+		t.Errorf("got error %v after %v, want Run to return without one by %v", err, time.Since(began),
 			schedule.answerWithin)
 	}
 	fixture.done <- nil
 }
 
-// At a shutdown every request that came has its answer, pipelined ones too, and only the last answer ends the
-// connection.
+// At a shutdown every received request is answered, pipelined ones too, and only the last answer has
+// Connection: close.
 func TestShutdown_AnswersPipelinedRequests(t *testing.T) {
-	diskServer, released := newHeldDiskServer(t)
+	diskServer, release := newHeldDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
 	client.send(readText("a1") + payText("a2", "hello") + readText("a3"))
 	diskServer.awaitRequests(t, 1)
-	eventually(t, "those behind it are there", func() bool {
+	eventually(t, "the pipelined requests have arrived", func() bool {
 		fixture.gateway.frontend.mu.Lock()
 		defer fixture.gateway.frontend.mu.Unlock()
 		for connection := range fixture.gateway.frontend.connections {
@@ -68,56 +69,56 @@
 		return false
 	})
 	fixture.stopAcceptingRequests()
-	released <- struct{}{}
+	release <- struct{}{}
 	for _, want := range []struct {
-		status int
-		last   string
+		status     int
+		connection string
 	}{{200, ""}, {503, ""}, {503, "close"}} {
 		if status, header, _ := client.readAnswer(); status != want.status ||
-			header.Get("Connection") != want.last {
-			t.Errorf("%d %v; want %+v", status, header, want)
+			header.Get("Connection") != want.connection {
+			t.Errorf("got %d %v, want %+v", status, header, want)
 		}
 	}
 	client.expectGracefulClose()
 	if n := len(diskServer.received()); n != 1 {
-		t.Errorf("%d sends", n)
+		t.Errorf("got %d sends, want 1", n)
 	}
 }
 
-// A request of which half has come when the scheduler stops accepting is rejected; an idle connection just
-// ends.
-func TestShutdown_RejectsHalfReadRequest(t *testing.T) {
+// A request that has been received in part when the scheduler stops accepting is rejected; an idle connection
+// is closed without an answer.
+func TestShutdown_RejectsPartlyReadRequest(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
-	half, idle := fixture.dial(), fixture.dial()
+	partial, idle := fixture.dial(), fixture.dial()
 	idle.send(readText("a1"))
 	idle.readAnswer()
 	text := readText("a2")
-	half.send(text[:40])
-	eventually(t, "half of it is there", func() bool {
+	partial.send(text[:40])
+	eventually(t, "part of the request has arrived", func() bool {
 		counts := fixture.gateway.frontend.countByState()
 		return counts.reading == 1 && counts.idle == 1
 	})
 	fixture.stopAcceptingRequests()
 	idle.expectGracefulClose()
-	half.send(text[40:])
-	if status, header, _ := half.readAnswer(); status != 503 || header.Get("Connection") != "close" {
-		t.Errorf("half there: %d %v", status, header)
+	partial.send(text[40:])
+	if status, header, _ := partial.readAnswer(); status != 503 || header.Get("Connection") != "close" {
+		t.Errorf("request received in part: got %d %v, want 503 and Connection: close", status, header)
 	}
-	half.expectGracefulClose()
+	partial.expectGracefulClose()
 	if err := <-fixture.done; err != nil {
 		t.Error(err)
 	}
 	fixture.done <- nil
 }
 
-// A connection that is accepted at the very moment of the shutdown: a request on it is rejected, and
-// without one it ends.
+// A connection is accepted during a shutdown: a request on it is rejected, and without a request the
+// connection is closed.
 func TestShutdown_RejectsNewConnections(t *testing.T) {
-	diskServer, released := newHeldDiskServer(t)
+	diskServer, release := newHeldDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
-	busy := fixture.dial() // keeps the loop going
-	busy.send(readText("a1"))
+	working := fixture.dial() // its request keeps the loop running
+	working.send(readText("a1"))
 	diskServer.awaitRequests(t, 1)
 	fixture.stopAcceptingRequests()
 	for _, text := range []string{readText("a2"), ""} {
@@ -134,13 +135,13 @@
 			client.send(text)
 		}
 		accepted := make(chan struct{})
-		go func() { // as the frontend's own listener would hand it over
+		go func() { // as if the frontend's own listener had accepted it
 			defer close(accepted)
 			fixture.gateway.frontend.serve(ln)
 		}()
 		if text != "" {
 			if status, _, _ := client.readAnswer(); status != 503 {
-				t.Errorf("%d", status)
+				t.Errorf("got status %d, want 503", status)
 			}
 		}
 		client.expectGracefulClose()
@@ -148,23 +149,23 @@
 		ln.Close()
 		<-accepted
 	}
-	released <- struct{}{}
-	if status, header, _ := busy.readAnswer(); status != 200 || header.Get("Connection") != "close" {
-		t.Errorf("the one in flight: %d %v", status, header)
+	release <- struct{}{}
+	if status, header, _ := working.readAnswer(); status != 200 || header.Get("Connection") != "close" {
+		t.Errorf("request in flight: got %d %v, want 200 and Connection: close", status, header)
 	}
 }
 
-// A scheduler that is shutting down does not report that it is ready.
+// A scheduler that is shutting down reports that it is not ready.
 func TestShutdown_ReportsUnhealthy(t *testing.T) {
-	diskServer, released := newHeldDiskServer(t)
+	diskServer, release := newHeldDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
 	client.send(readText("a1") + healthRequest)
 	diskServer.awaitRequests(t, 1)
 	fixture.stopAcceptingRequests()
-	released <- struct{}{}
+	release <- struct{}{}
 	client.readAnswer()
 	if status, header, _ := client.readAnswer(); status != 503 || header.Get("Connection") != "close" {
-		t.Errorf("%d %v", status, header)
+		t.Errorf("got %d %v, want 503 and Connection: close", status, header)
 	}
 }
--- a/internal/platform/test_client_test.go
+++ b/internal/platform/test_client_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// readAnswer reads one answer with the standard library's reader, which is not ours.
+// readAnswer reads one answer with the standard library's reader, to be independent of package http1.
 func (c *testClient) readAnswer() (status int, header http.Header, body string) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
@@ -58,27 +58,27 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if response.Close { // the reader removes the field
+	if response.Close { // http.ReadResponse removes the field
 		response.Header.Set("Connection", "close")
 	}
 	return response.StatusCode, response.Header, string(content)
 }
 
-// isClosed reports whether the connection has ended, in whatever way, when nothing more can be read.
+// isClosed reports whether the connection has ended, by a close or a reset, before another byte arrives.
 func (c *testClient) isClosed() bool {
 	_, err := c.reader.ReadByte()
 	return err != nil
 }
 
-// expectGracefulClose checks that nothing more comes on the connection and that it is not reset.
+// expectGracefulClose checks that no more bytes arrive and that the connection is closed without a reset.
 func (c *testClient) expectGracefulClose() {
 	c.t.Helper()
 	if b, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		c.t.Errorf("the connection goes on with %q, %v; want its end in order", b, err)
+		c.t.Errorf("got byte %q, error %v; want the connection closed without a reset", b, err)
 	}
 }
 
-// requestText is a request as clients send it, with further header lines.
+// requestText returns a request as clients send it, with additional header lines.
 func requestText(method, class, id string, shard int, body string, headerLines ...string) string {
 	text := method + " /api?extent=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: " + id +
 		"\r\nX-Call-Class: " + class + "\r\nX-Storage-Class: gold\r\nX-Budget: 1.500\r\n" +
@@ -92,8 +92,8 @@
 	return text + "\r\n" + body
 }
 
-// readText is a request of the class read, which is idempotent.
+// readText returns a request of the class read, which is idempotent.
 func readText(id string) string { return requestText("GET", "read", id, 0, "") }
 
-// payText is a request of the class pay, which is not idempotent.
+// payText returns a request of the class pay, which is not idempotent.
 func payText(id, body string) string { return requestText("PUT", "pay", id, 0, body) }
