--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// environment looks variables up in a map.
+// environment returns a LookupEnv that reads from a map.
 func environment(variables map[string]string) LookupEnv {
 	return func(name string) string { return variables[name] }
 }
 
-// A value that cannot be used is reported in one line that names it.
+// An invalid value is reported in one line that names its key.
 func TestConfig_ReportsInvalidValues(t *testing.T) {
 	document := string(configDocument("127.0.0.1:1", nil, 256))
 	for _, test := range []struct{ from, to, want string }{
@@ -30,28 +30,28 @@
 		}
 		_, err := parseConfig([]byte(strings.Replace(document, test.from, test.to, 1)), noEnvironment)
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v; want one line with %s", test.to, err, test.want)
+			t.Errorf("%s: got error %v, want one line with %s", test.to, err, test.want)
 		}
 	}
 	contradicting := environment(map[string]string{"BALANCER_NAME": "n1"})
 	if _, err := parseConfig([]byte(document), contradicting); err == nil ||
 		!strings.Contains(err.Error(), "BALANCER_NAME") {
-		t.Errorf("contradicting variables: %v", err)
+		t.Errorf("contradicting BALANCER_NAME: got error %v, want one that names it", err)
 	}
 	if _, err := Load(noEnvironment); err == nil || !strings.Contains(err.Error(), "BALANCER_CONFIG") {
-		t.Errorf("no variable: %v", err)
+		t.Errorf("BALANCER_CONFIG not set: got error %v, want one that names it", err)
 	}
 	if !strings.Contains(document, "limits") {
-		t.Error("the document names no limits")
+		t.Error("the document does not contain limits")
 	}
 }
 
-// The fault of a value can be told from the error's type.
+// The error for an invalid value is a ConfigError with its key and value.
 func TestConfig_ErrorNamesKeyAndValue(t *testing.T) {
 	document := string(configDocument("127.0.0.1:1", nil, 256))
 	for _, test := range []struct {
 		from, to, key string
-		value         string // "-": the fault is not in one value
+		value         string // "-": the error has no value
 	}{
 		{`"listen":"127.0.0.1:0"`, `"listen":"here"`, "listen", "here"},
 		{`"listen":"127.0.0.1:0"`, `"listen":""`, "listen", ""},
@@ -59,17 +59,17 @@
 		{`"settings":`, `"other":`, "settings", "-"},
 	} {
 		_, err := parseConfig([]byte(strings.Replace(document, test.from, test.to, 1)), noEnvironment)
-		var fault *ConfigError
-		if !errors.As(err, &fault) || fault.Key != test.key {
-			t.Errorf("%s: %v; want a fault of %s", test.to, err, test.key)
+		var configError *ConfigError
+		if !errors.As(err, &configError) || configError.Key != test.key {
+			t.Errorf("%s: got error %v, want a ConfigError for %s", test.to, err, test.key)
 			continue
 		}
 		value := "-"
-		if fault.Value != nil {
-			value = *fault.Value
+		if configError.Value != nil {
+			value = *configError.Value
 		}
 		if value != test.value {
-			t.Errorf("%s: %v; want the value %s", test.to, err, test.value)
+			t.Errorf("%s: got error %v, want the value %s", test.to, err, test.value)
 		}
 	}
 }
--- a/internal/platform/fake_disk_server_test.go
+++ b/internal/platform/fake_disk_server_test.go
@@ -11,11 +11,11 @@
 	"landingpaddle/internal/http1"
 )
 
-// diskServerScript answers the n-th request of a disk server, from 0, with the bytes of a response. It closes
-// the connection by returning nil.
+// diskServerScript returns the bytes of the response to request n of a disk server, counted from 0. If it
+// returns nil, the connection is closed without a response.
 type diskServerScript func(n int, request *receivedRequest) []byte
 
-// fakeDiskServer is a disk server that answers by a script.
+// fakeDiskServer is a disk server that responds by a script.
 type fakeDiskServer struct {
 	listener net.Listener
 	script   diskServerScript
@@ -26,14 +26,14 @@
 	connections map[net.Conn]struct{}
 }
 
-// receivedRequest is a request that a disk server received whole.
+// receivedRequest is a request that a disk server received completely.
 type receivedRequest struct {
 	head       *http1.Request
 	body       []byte
-	connection int // the number of the connection that it came on, from 0
+	connection int // number of its connection, from 0
 }
 
-// field is the first value of a header field.
+// field returns the first value of a header field.
 func (r *receivedRequest) field(name string) string {
 	value, _ := r.head.Header.Get(name)
 	return value
@@ -51,25 +51,26 @@
 	return server
 }
 
-// newOKDiskServer is a disk server that answers every request with "ok".
+// newOKDiskServer returns a disk server that answers every request with "ok".
 func newOKDiskServer(t *testing.T) *fakeDiskServer {
 	t.Helper()
 	return newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
 }
 
-// newHeldDiskServer is a disk server that answers one request with its id for each value sent to the channel.
-func newHeldDiskServer(t *testing.T) (server *fakeDiskServer, released chan struct{}) {
+// newHeldDiskServer returns a disk server that answers one request with its id for each value sent to
+// release.
+func newHeldDiskServer(t *testing.T) (server *fakeDiskServer, release chan struct{}) {
 	t.Helper()
-	released = make(chan struct{}, 64)
+	release = make(chan struct{}, 64)
 	server = newFakeDiskServer(t, func(n int, request *receivedRequest) []byte {
-		<-released
+		<-release
 		return echoID(n, request)
 	})
-	t.Cleanup(func() { close(released) })
-	return server, released
+	t.Cleanup(func() { close(release) })
+	return server, release
 }
 
-// echoID answers a request with its id.
+// echoID returns a response with the request's id as its body.
 func echoID(_ int, request *receivedRequest) []byte { return okResponse(request.field(fieldID)) }
 
 func okResponse(body string) []byte { return http1.AppendResponse(nil, 200, "OK", nil, []byte(body)) }
@@ -110,7 +111,7 @@
 	}
 }
 
-// record adds a request to those received and returns its number.
+// record stores a received request and returns its number, from 0.
 func (s *fakeDiskServer) record(request *receivedRequest) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,14 +125,14 @@
 	return slices.Clone(s.requests)
 }
 
-// forgetRequests frees the memory of the requests received.
+// forgetRequests deletes the received requests, to free their memory.
 func (s *fakeDiskServer) forgetRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests = nil
 }
 
-// awaitRequests waits until as many requests have been received whole.
+// awaitRequests waits until count requests have been received completely.
 func (s *fakeDiskServer) awaitRequests(t *testing.T, count int) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("the disk server has received %d requests", count), func() bool {
@@ -149,26 +150,27 @@
 	s.wg.Wait()
 }
 
-// listedServer is how the list names a disk server that is ready.
+// listedServer returns the list entry of a disk server that is ready.
 func listedServer(id string, server *fakeDiskServer, cell int) ListedServer {
 	return ListedServer{ID: id, HostPort: server.listener.Addr().String(), Zone: "a", MachineType: "m",
 		Cell: cell, Lifecycle: "ready", Weight: 1}
 }
 
-// drainingServer is how the list names a disk server that is draining.
+// drainingServer returns the list entry of a disk server that is draining.
 func drainingServer(id string, server *fakeDiskServer, cell int) ListedServer {
 	listed := listedServer(id, server, cell)
 	listed.Lifecycle = "draining"
 	return listed
 }
 
-// heldConnections makes connections to disk servers come up only when they are released.
+// heldConnections delays new connections to disk servers until they are released.
 type heldConnections struct {
-	requested chan struct{} // receives a value for each connection that is wanted
+	requested chan struct{} // receives a value for each connection that is requested
 	release   chan struct{} // a value releases one connection
 }
 
-// holdConnections holds back the connections of a scheduler that has sent nothing yet.
+// holdConnections delays the connections to disk servers of a scheduler. It must be called before the
+// scheduler's first attempt, as the pool reads connect without a lock.
 func holdConnections(fixture *gatewayFixture) *heldConnections {
 	held := &heldConnections{requested: make(chan struct{}, 16), release: make(chan struct{}, 16)}
 	fixture.gateway.upstream.connect = func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/platform/gateway_fixture_test.go
+++ b/internal/platform/gateway_fixture_test.go
@@ -35,15 +35,15 @@
 "me":0,"peers_total":1,"registry_mode":"ask","round_ns":1000000,
 "rules":{"answer_slack_ns":8000000,"ask_within_ns":10000000000,"drain_grace_ns":1000000000},"zone":0}`
 
-// configDocument is a configuration file with testSettings.
-func configDocument(discovery string, known *List, sockets int) []byte {
+// configDocument returns a configuration file with testSettings.
+func configDocument(discovery string, initialList *List, sockets int) []byte {
 	document, err := json.Marshal(map[string]any{
 		"name":      "n0",
 		"listen":    "127.0.0.1:0",
 		"discovery": discovery,
 		"seed":      "1f",
 		"limits":    Limits{Cores: 1, MemoryMB: 64, Sockets: sockets},
-		"known":     known,
+		"known":     initialList,
 		"settings":  json.RawMessage(testSettings),
 	})
 	if err != nil {
@@ -54,7 +54,7 @@
 
 func noEnvironment(string) string { return "" }
 
-// parseTestConfig is the configuration of configDocument without an initial list.
+// parseTestConfig parses the file of configDocument without an initial list.
 func parseTestConfig(t *testing.T, discovery string) *Config {
 	t.Helper()
 	config, err := parseConfig(configDocument(discovery, nil, 256), noEnvironment)
@@ -69,7 +69,7 @@
 	t         *testing.T
 	gateway   *Gateway
 	address   string
-	discovery *fakeDiscovery // nil: the test has a discovery of its own
+	discovery *fakeDiscovery // nil: the test runs its own discovery service
 	done      chan error     // receives what Run returns
 	logBuffer *safeBuffer
 }
@@ -93,7 +93,7 @@
 }
 
 // startGateway starts a scheduler with one disk server for each shard, named s-0, s-1 and so on, and waits
-// until it is ready. Its list has version 7.
+// until it is ready. The endpoint list has version 7.
 func startGateway(t *testing.T, sockets int, diskServers ...*fakeDiskServer) *gatewayFixture {
 	t.Helper()
 	list := List{Generation: 7, Reset: true}
@@ -107,8 +107,8 @@
 	return fixture
 }
 
-// startGatewayAt starts a scheduler with a discovery at an address. Its initial list, of version 7, names one
-// disk server. The configuration file is passed through change, if that is given.
+// startGatewayAt starts a scheduler whose discovery service is at an address. Its initial list, of version 7,
+// contains one disk server. Unless change is nil, the configuration file is passed through it.
 func startGatewayAt(t *testing.T, discovery string, diskServer *fakeDiskServer,
 	change func(string) string) *gatewayFixture {
 	t.Helper()
@@ -120,7 +120,7 @@
 	return runGateway(t, []byte(text))
 }
 
-// runGateway runs a scheduler with a configuration until the test ends; its log is shown if that fails.
+// runGateway runs a scheduler with a configuration until the test ends, and prints its log if that failed.
 func runGateway(t *testing.T, document []byte) *gatewayFixture {
 	t.Helper()
 	config, err := parseConfig(document, noEnvironment)
@@ -149,7 +149,8 @@
 	return fixture
 }
 
-// awaitListVersion waits until the scheduler has a version of the endpoint list, until a deadline at most.
+// awaitListVersion waits until the scheduler has a version of the endpoint list. It fails the test after a
+// deadline.
 func (f *gatewayFixture) awaitListVersion(version uint64, deadline time.Time) {
 	f.t.Helper()
 	for {
@@ -158,26 +159,26 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			f.t.Fatalf("version %d is held, not %d", current, version)
+			f.t.Fatalf("got list version %d, want %d", current, version)
 		}
 		time.Sleep(eventualPollInterval)
 	}
 }
 
-// awaitClientGone waits until the scheduler knows that one request's client has gone.
+// awaitClientGone waits until the scheduler has recorded that one request's client disconnected.
 func (f *gatewayFixture) awaitClientGone() {
 	f.t.Helper()
-	eventually(f.t, "the client is known to have gone", func() bool {
+	eventually(f.t, "the client is counted as disconnected", func() bool {
 		return f.gateway.loop.Stats.ClientGone.Load() == 1
 	})
 }
 
-// awaitOnlyClient is the one client connection that is open, once it is in a state.
+// awaitOnlyClient waits until exactly one client connection is open and in a state, and returns it.
 func (f *gatewayFixture) awaitOnlyClient(state connState) *clientConn {
 	f.t.Helper()
 	frontend := f.gateway.frontend
 	var only *clientConn
-	eventually(f.t, "one client connection is in the state expected", func() bool {
+	eventually(f.t, "the only client connection is in the expected state", func() bool {
 		frontend.mu.Lock()
 		defer frontend.mu.Unlock()
 		for connection := range frontend.connections {
@@ -188,10 +189,11 @@
 	return only
 }
 
-// awaitIdleConnections waits until as many connections to disk servers idle and no attempt is in flight.
+// awaitIdleConnections waits until want connections to disk servers are open, all are idle, and no attempt is
+// in flight.
 func (f *gatewayFixture) awaitIdleConnections(want int) {
 	f.t.Helper()
-	eventually(f.t, fmt.Sprintf("%d connections idle and no attempt is in flight", want), func() bool {
+	eventually(f.t, fmt.Sprintf("%d connections are idle and no attempt is in flight", want), func() bool {
 		pool := f.gateway.upstream
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
@@ -211,29 +213,29 @@
 	})
 }
 
-// stopAcceptingRequests goes to the end of a graceful shutdown: no request is accepted any more, and
-// connections end as soon as no request is on them.
+// stopAcceptingRequests begins the last phase of a graceful shutdown: no more requests are accepted, and each
+// connection is closed once no request is in flight on it.
 func (f *gatewayFixture) stopAcceptingRequests() {
 	f.gateway.shutdownAt = time.Now()
 	f.gateway.frontend.closeGracefully()
 	f.gateway.loop.Stop()
 }
 
-// eventually waits until a condition holds and fails the test if it does not in time.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition is true. It fails the test after eventualTimeout.
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(eventualTimeout); !holds(); time.Sleep(eventualPollInterval) {
+	for deadline := time.Now().Add(eventualTimeout); !condition(); time.Sleep(eventualPollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", eventualTimeout, what)
+			t.Fatalf("condition not met within %v: %s", eventualTimeout, description)
 		}
 	}
 }
 
-// replaceOnce replaces what stands once in a text.
+// replaceOnce replaces a string that occurs exactly once in a text.
 func replaceOnce(t *testing.T, text, from, to string) string {
 	t.Helper()
 	if strings.Count(text, from) != 1 {
-		t.Fatalf("%q does not stand once in %q", from, text)
+		t.Fatalf("%q does not occur exactly once in %q", from, text)
 	}
 	return strings.Replace(text, from, to, 1)
 }
--- a/internal/platform/gateway_test.go
+++ b/internal/platform/gateway_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// serveOnce has one request served on a connection of its own.
+// serveOnce sends one request on a new connection, and fails the test if it is not served.
 func (f *gatewayFixture) serveOnce(i int) {
 	f.t.Helper()
 	client := f.dial()
 	client.send(readText(fmt.Sprintf("a%d", i)))
 	if status, _, _ := client.readAnswer(); status != 200 {
-		f.t.Fatalf("client %d: %d", i, status)
+		f.t.Fatalf("client %d: got status %d, want 200", i, status)
 	}
 	client.conn.Close()
 }
@@ -25,17 +25,17 @@
 	return memory.HeapAlloc
 }
 
-// Ever new clients, ids and disk servers leave nothing behind.
+// Many clients, ids and disk servers, one after another, leave no memory, goroutines or connections in use.
 func TestGateway_ReleasesAllResources(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	frontend, upstream := fixture.gateway.frontend, fixture.gateway.upstream
 	fixture.discovery.awaitWatches(t, 1)
-	for i := range 50 { // until there are as many connections to the disk server as take turns
+	for i := range 50 { // until the connections to the disk server that are used in turn are open
 		fixture.serveOnce(-1 - i)
 	}
 	openBefore, _ := upstream.countConnections()
-	eventually(t, "the first have gone", func() bool {
+	eventually(t, "the first clients have disconnected", func() bool {
 		counts := frontend.countByState()
 		return counts.idle+counts.working == 0
 	})
@@ -49,24 +49,25 @@
 			fixture.discovery.push(listed)
 		}
 	}
-	eventually(t, "all clients have gone", func() bool {
+	eventually(t, "all clients have disconnected", func() bool {
 		return frontend.countByState() == connectionCounts{} && runtime.NumGoroutine() <= goroutinesBefore+2
 	})
 	diskServer.forgetRequests()
 	if heapAfter := heapBytes(); heapAfter > heapBefore+(3<<20) {
-		t.Errorf("%d bytes of heap before, %d after", heapBefore, heapAfter)
+		t.Errorf("heap before: %d bytes; got %d after, want at most 3 MiB more", heapBefore, heapAfter)
 	}
 	frontend.mu.Lock()
 	defer frontend.mu.Unlock()
 	if len(frontend.openIDs) != 0 || frontend.bodyBytes.Load() != 0 {
-		t.Errorf("%d ids and %d bytes are still held", len(frontend.openIDs), frontend.bodyBytes.Load())
+		t.Errorf("got %d open ids and %d bytes of bodies, want none", len(frontend.openIDs),
+			frontend.bodyBytes.Load())
 	}
 	if open, _ := upstream.countConnections(); open > openBefore+2 {
-		t.Errorf("%d connections to disk servers before, then %d", openBefore, open)
+		t.Errorf("disk server connections before: %d; got %d after, want at most 2 more", openBefore, open)
 	}
 }
 
-// A scheduler that polls for its lists is ready at once, whatever its discovery does.
+// A scheduler that polls for its lists is ready within 1 s, whatever the state of its discovery service.
 func TestGateway_IsReadyWithoutDiscovery(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	for name, script := range map[string]discoveryScript{
@@ -83,12 +84,12 @@
 		for status := 0; status != 200; {
 			client.send(healthRequest)
 			if status, _, _ = client.readAnswer(); status != 200 && time.Since(began) > time.Second {
-				t.Fatalf("discovery %s: %d after %v", name, status, time.Since(began))
+				t.Fatalf("discovery %s: got status %d after %v, want 200", name, status, time.Since(began))
 			}
 		}
 		client.send(readText("a1"))
 		if status, _, _ := client.readAnswer(); status != 200 {
-			t.Errorf("discovery %s: %d", name, status)
+			t.Errorf("discovery %s: got status %d, want 200", name, status)
 		}
 	}
 }
--- a/internal/platform/upstream_conn_test.go
+++ b/internal/platform/upstream_conn_test.go
@@ -8,8 +8,8 @@
 	"landingpaddle/internal/daemon"
 )
 
-// A connection that brought an answer a moment ago may still bring unsolicited bytes: it is not used for
-// the next attempt before it has settled, and after that only if nothing came.
+// Unsolicited bytes may still arrive on a connection after an answer: it is not reused before it has been
+// idle for settleTime, and after that only if nothing arrived.
 func TestUpstreamPool_ReusesSettledConnections(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
@@ -19,23 +19,23 @@
 		t.Fatal(err)
 	}
 	connection.isUnused = false
-	connection.idleSince = time.Now().Add(time.Hour) // its answer came just now, however slow this test is
+	connection.idleSince = time.Now().Add(time.Hour) // its answer is recent, however slow the test runs
 	pool.release(server, connection)
 	if pool.acquire(server) != nil {
-		t.Error("acquired before it has settled")
+		t.Error("got a connection before its settle time has passed, want none")
 	}
 	pool.mu.Lock()
 	connection.idleSince = time.Now().Add(-2 * settleTime)
 	pool.mu.Unlock()
 	if pool.acquire(server) != connection {
-		t.Error("not acquired once it has settled")
+		t.Error("got no or another connection after the settle time, want the idle one")
 	}
 	since := connection.idleSince
-	pool.release(server, connection) // nothing was written: to its disk server it idles on
+	pool.release(server, connection) // nothing was written: to its disk server it is still idle
 	if connection.idleSince != since {
-		t.Error("a connection that was not used counts as used just now")
+		t.Error("got a new start of the idle time for a connection that was not used")
 	}
-	eventually(t, "the disk server has the connection", func() bool {
+	eventually(t, "the disk server has accepted the connection", func() bool {
 		diskServer.mu.Lock()
 		defer diskServer.mu.Unlock()
 		return len(diskServer.connections) == 1
@@ -45,15 +45,15 @@
 		conn.Write([]byte("HTTP/1.1 200 OK\r\n"))
 	}
 	diskServer.mu.Unlock()
-	eventually(t, "the unsolicited bytes are there", func() bool { return !isOpenAndEmpty(connection.conn) })
+	eventually(t, "unsolicited bytes have arrived", func() bool { return !isOpenAndEmpty(connection.conn) })
 	if pool.acquire(server) != nil || pool.counters.stale.Load() != 1 {
-		t.Error("acquired although unsolicited bytes came on it")
+		t.Error("got a connection with unsolicited bytes, want it discarded as stale")
 	}
 }
 
-// An attempt that is cancelled as its answer has just come: either its connection is closed and never idles,
-// or it idles and stays open for the next attempt.
-func TestUpstreamPool_CancelCrossesAnswer(t *testing.T) {
+// An attempt is cancelled while its answer arrives: its connection is either closed and never returned to the
+// pool, or it is idle in the pool and stays open for the next attempt.
+func TestUpstreamPool_CancelConcurrentWithAnswer(t *testing.T) {
 	for _, cancelFirst := range []bool{true, false} {
 		diskServer := newOKDiskServer(t)
 		fixture := startGateway(t, 256, diskServer)
@@ -74,11 +74,11 @@
 			pool.Cancel(operation)
 		}
 		pool.mu.Lock()
-		idle, held := len(pool.idle[operation.Server()]), pool.connections
+		idle, total := len(pool.idle[operation.Server()]), pool.connections
 		pool.mu.Unlock()
-		if want := map[bool]int{true: 0, false: 1}[cancelFirst]; idle != want || held != want ||
+		if want := map[bool]int{true: 0, false: 1}[cancelFirst]; idle != want || total != want ||
 			isOpenAndEmpty(connection.conn) == cancelFirst {
-			t.Errorf("cancelled first %v: %d idle, %d held, open %v", cancelFirst, idle, held,
+			t.Errorf("cancelled first %v: got %d idle, %d in all, open %v", cancelFirst, idle, total,
 				isOpenAndEmpty(connection.conn))
 		}
 	}
