--- a/internal/testbed/invariant_answers.go
+++ b/internal/testbed/invariant_answers.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// killMargin is how long before it was killed an instance may have stopped reading.
+// killMargin is how long before the logged time of its kill an instance may have stopped reading.
 const killMargin = 50 * time.Millisecond
 
-// checkAnswers judges that each request gets exactly one final answer, in time, and that nothing is sent
+// checkAnswers verifies that each request gets exactly one final answer, in time, and that no attempt is sent
 // after it.
 func (c *invariantChecker) checkAnswers() {
 	if len(c.events) == 0 {
@@ -15,7 +15,7 @@
 	for _, request := range c.requests.sent {
 		due := request.sent.Time + request.sent.Wait + int64(c.site.Rules.AnswerSlack)
 		if due >= logEnd {
-			continue // the logs end before its timeout
+			continue // the logs end before the answer is due
 		}
 		c.verdicts[RuleAnswers].Judged++
 		c.checkAnswerCount(request, min(due+int64(lateMargin), logEnd))
@@ -26,8 +26,8 @@
 	}
 }
 
-// checkAnswerCount judges that a request has exactly one final answer by a time. None is owed by an instance
-// that was killed, or to a client that left.
+// checkAnswerCount verifies that a request has exactly one final answer by a time. No answer is expected from
+// an instance that was killed, or for a client that disconnected.
 func (c *invariantChecker) checkAnswerCount(request *requestTrace, end int64) {
 	sent := request.sent
 	answers := request.countEnds(KindAnswer)
@@ -45,9 +45,9 @@
 
 func (c *invariantChecker) checkAnsweredInTime(request *requestTrace, answer Event, due int64) {
 	sent := request.sent
-	over := time.Duration(answer.Time - due)
-	if over > 0 && over > c.outages.allowance(sent.Instance, noNode, sent.Time, answer.Time) {
-		c.violation(RuleAnswers, sent, "answered %v after its time was up",
+	excess := time.Duration(answer.Time - due)
+	if excess > 0 && excess > c.outages.allowance(sent.Instance, noNode, sent.Time, answer.Time) {
+		c.violation(RuleAnswers, sent, "answered %v after its timeout",
 			time.Duration(answer.Time-sent.Time-sent.Wait))
 	}
 }
@@ -56,9 +56,9 @@
 	for _, attempt := range request.attempts {
 		arrive := attempt.arrive
 		after := time.Duration(arrive.Time - answer.Time)
-		over := after - transitTime
-		if over > 0 &&
-			over > c.outages.allowance(request.sent.Instance, arrive.Node, answer.Time, arrive.Time) {
+		excess := after - transitTime
+		if excess > 0 &&
+			excess > c.outages.allowance(request.sent.Instance, arrive.Node, answer.Time, arrive.Time) {
 			c.violation(RuleAnswers, arrive, "sent %v after its answer", after)
 		}
 	}
--- a/internal/testbed/invariant_bytes.go
+++ b/internal/testbed/invariant_bytes.go
@@ -2,14 +2,14 @@
 
 import "landingpaddle/internal/proto"
 
-// writeLog is what nodes were asked to write, and wrote.
+// writeLog records the writes that arrived at nodes and those that took effect.
 type writeLog struct {
-	volumes map[uint64]bool           // that a write arrived for
-	sums    map[uint64]map[int]uint64 // checksums of what took effect, by token and piece
+	volumes map[uint64]bool           // volumes for which a write arrived
+	sums    map[uint64]map[int]uint64 // checksums of the writes that took effect, by token and piece
 }
 
-// checkBytes compares what clients got and gave with what nodes read and wrote. Checksums of a range's
-// pieces add up to the whole's. What was never written must read as the pattern.
+// checkBytes compares the bytes that clients received and sent with those that nodes read and wrote. The
+// checksums of a range's pieces add up to that of the range. Volumes without writes must read as the pattern.
 func (c *invariantChecker) checkBytes() {
 	writes := c.collectWrites()
 	for _, request := range c.requests.sent {
@@ -53,7 +53,7 @@
 		sum += pieceSum
 	}
 	if sum != request.sent.Sum {
-		c.violation(RuleBytes, answer, "the nodes hold other bytes than were written")
+		c.violation(RuleBytes, answer, "the nodes wrote other bytes than the client sent")
 	}
 }
 
@@ -61,16 +61,16 @@
 	sent := request.sent
 	switch {
 	case answer.Length != sent.Length:
-		c.violation(RuleBytes, answer, "%d bytes of %d", answer.Length, sent.Length)
+		c.violation(RuleBytes, answer, "the answer has %d bytes of %d", answer.Length, sent.Length)
 	case !request.possibleReadSums()[answer.Sum]:
-		c.violation(RuleBytes, answer, "other bytes than the nodes read")
+		c.violation(RuleBytes, answer, "the answer has other bytes than the nodes read")
 	case !writes.volumes[sent.Data] && answer.Sum != patternSum(sent.Data, sent.Offset, sent.Length):
-		c.violation(RuleBytes, answer, "bytes that were never there")
+		c.violation(RuleBytes, answer, "the answer has bytes that were never written")
 	}
 }
 
-// possibleReadSums are the checksums that a request's answer can have: a piece that was read by several
-// attempts may come from any one of them.
+// possibleReadSums returns the checksums that a request's answer can have: a piece that several attempts read
+// may come from any one of them.
 func (t *requestTrace) possibleReadSums() map[uint64]bool {
 	sumsByPiece := map[int][]uint64{}
 	for _, attempt := range t.attempts {
--- a/internal/testbed/invariant_effects.go
+++ b/internal/testbed/invariant_effects.go
@@ -8,13 +8,14 @@
 	"landingpaddle/scheduler"
 )
 
-// effectKey names what must take effect at most once: a piece of a request, its retries included.
+// effectKey identifies an effect that must occur at most once: that of a piece of a request, including its
+// retries.
 type effectKey struct {
 	token uint64
 	piece int
 }
 
-// checkEffects judges that nothing takes effect twice, and that nothing is rejected that may have run.
+// checkEffects verifies that no request takes effect twice, and that none is rejected that may have run.
 func (c *invariantChecker) checkEffects() {
 	effects := map[effectKey]int{}
 	for _, request := range c.requests.sent {
@@ -30,7 +31,7 @@
 	}
 }
 
-// checkAttempts judges a request's attempts in their order and counts what took effect.
+// checkAttempts checks a request's attempts in their order and counts their effects by piece.
 func (c *invariantChecker) checkAttempts(request *requestTrace, class config.Class,
 	effects map[effectKey]int) {
 	firstRun := map[int]*attemptTrace{} // first attempt that may have run, by piece
@@ -51,36 +52,36 @@
 	}
 }
 
-// checkRetry judges an attempt after one that may have run.
+// checkRetry checks an attempt that follows one that may have run.
 func (c *invariantChecker) checkRetry(class config.Class, ran, retry *attemptTrace) {
-	first, again := ran.arrive, retry.arrive
+	first, second := ran.arrive, retry.arrive
 	if scheduler.Idempotency(class.Idempotency) == scheduler.NotIdempotent {
-		c.violation(RuleEffects, again, "sent again while it may have run on node %d", first.Node)
+		c.violation(RuleEffects, second, "retried although it may have run on node %d", first.Node)
 		return
 	}
-	if !c.deduplicatedTogether(scheduler.DedupScope(class.DedupScope), first, again) {
-		c.violation(RuleEffects, again, "sent again outside the group of node %d", first.Node)
+	if !c.deduplicatedTogether(scheduler.DedupScope(class.DedupScope), first, second) {
+		c.violation(RuleEffects, second, "retried outside the deduplication scope of node %d", first.Node)
 	}
-	after := time.Duration(again.Time - first.Time)
-	over := after - class.DedupWindow - transitTime
-	if over > 0 && over > c.outages.allowance(again.Instance, again.Node, first.Time, again.Time) {
-		c.violation(RuleEffects, again, "sent again %v after the first send", after)
+	after := time.Duration(second.Time - first.Time)
+	excess := after - class.DedupWindow - transitTime
+	if excess > 0 && excess > c.outages.allowance(second.Instance, second.Node, first.Time, second.Time) {
+		c.violation(RuleEffects, second, "retried %v after the first attempt", after)
 	}
 }
 
-// deduplicatedTogether tells whether the nodes of two attempts drop each other's repeats.
-func (c *invariantChecker) deduplicatedTogether(scope scheduler.DedupScope, first, again Event) bool {
+// deduplicatedTogether reports whether the nodes of two attempts are in one deduplication scope.
+func (c *invariantChecker) deduplicatedTogether(scope scheduler.DedupScope, first, second Event) bool {
 	switch scope {
 	case scheduler.DedupZone:
-		return c.nodes.zones[first.Node] == c.nodes.zones[again.Node]
+		return c.nodes.zones[first.Node] == c.nodes.zones[second.Node]
 	case scheduler.DedupCell:
-		return first.Cell == again.Cell
+		return first.Cell == second.Cell
 	}
 	return true
 }
 
-// checkRejection judges that a rejected request has not run: a rejection promises that a retry does no harm.
-// Where all nodes drop a repeat it does none in any case.
+// checkRejection verifies that a rejected request has not run: a rejection promises that a retry is safe.
+// Where all nodes deduplicate together a retry is safe in any case.
 func (c *invariantChecker) checkRejection(request *requestTrace, class config.Class) {
 	answer, answered := request.answer()
 	retrySafe := scheduler.Idempotency(class.Idempotency) == scheduler.IdempotentByKey &&
@@ -93,7 +94,8 @@
 			continue
 		}
 		if attempt.arrive.Time < answer.Time {
-			c.violation(RuleEffects, answer, "refused while it may have run on node %d", attempt.arrive.Node)
+			c.violation(RuleEffects, answer, "rejected although it may have run on node %d",
+				attempt.arrive.Node)
 		}
 		return // later attempts arrived later
 	}
--- a/internal/testbed/invariant_nodes.go
+++ b/internal/testbed/invariant_nodes.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// endpointKey names an endpoint as one instance knows it.
+// endpointKey identifies an endpoint in the endpoint list of one instance.
 type endpointKey struct{ instance, node int }
 
-// noDrainNotice stands for a node that has sent no drain notice.
+// noDrainNotice represents a node that has sent no drain notice.
 const noDrainNotice = -1
 
-// endpointKnowledge is what an instance was notified of an endpoint.
+// endpointKnowledge is an endpoint's drain state, as far as an instance was notified of it.
 type endpointKnowledge struct {
-	drainingSince   int64 // when it was notified that the node drains or is gone; 0: it was not
+	drainingSince   int64 // Unix nanoseconds of the first notification of a drain or removal; 0: none
 	noticeStartedAt int64 // start of the incarnation that sent a drain notice, or noDrainNotice
 }
 
-// drainTracker follows what each instance was notified of each node, by the registry or by the node itself.
+// drainTracker tracks the drain notifications of each instance, from the registry and from the nodes.
 type drainTracker struct {
 	known map[endpointKey]*endpointKnowledge
 	nodes *nodeDirectory
 }
 
-// checkDrains judges that an instance sends nothing to a node later than the grace after it was notified
-// that the node drains or is gone.
+// checkDrains verifies that an instance sends nothing to a node after the grace period that starts with its
+// notification that the node drains or was removed.
 func (c *invariantChecker) checkDrains() {
 	tracker := drainTracker{known: map[endpointKey]*endpointKnowledge{}, nodes: &c.nodes}
 	for _, event := range c.events {
@@ -30,20 +30,21 @@
 			continue
 		}
 		c.verdicts[RuleDrains].Judged++
-		known := tracker.known[endpointKey{event.Instance, event.Node}]
-		if known == nil || known.drainingSince == 0 || known.isOutdatedBy(event.StartedAt) {
+		state := tracker.known[endpointKey{event.Instance, event.Node}]
+		if state == nil || state.drainingSince == 0 || state.isOutdatedBy(event.StartedAt) {
 			continue
 		}
-		after := time.Duration(event.Time - known.drainingSince)
-		over := after - c.site.Rules.DrainGrace - transitTime
-		if over > 0 &&
-			over > c.outages.allowance(event.Instance, event.Node, known.drainingSince, event.Time) {
-			c.violation(RuleDrains, event, "sent %v after it was told that the node drains or is gone", after)
+		after := time.Duration(event.Time - state.drainingSince)
+		excess := after - c.site.Rules.DrainGrace - transitTime
+		if excess > 0 &&
+			excess > c.outages.allowance(event.Instance, event.Node, state.drainingSince, event.Time) {
+			c.violation(RuleDrains, event, "sent %v after notification that the node drains or was removed",
+				after)
 		}
 	}
 }
 
-// isOutdatedBy tells whether an incarnation is later than the one that sent a drain notice.
+// isOutdatedBy reports whether an incarnation started later than the one that sent a drain notice.
 func (k *endpointKnowledge) isOutdatedBy(startedAt int64) bool {
 	return k.hasDrainNotice() && startedAt > k.noticeStartedAt
 }
@@ -60,25 +61,25 @@
 
 func (t *drainTracker) add(event Event) {
 	switch event.Kind {
-	case KindInstanceStarted: // a new incarnation knows nothing
+	case KindInstanceStarted: // a new incarnation has received no notifications
 		for key := range t.known {
 			if key.instance == event.Instance {
 				delete(t.known, key)
 			}
 		}
 	case KindNotice:
-		known := t.of(event.Instance, event.Node)
-		known.noticeStartedAt = event.StartedAt
-		if known.drainingSince == 0 {
-			known.drainingSince = event.Time
+		state := t.of(event.Instance, event.Node)
+		state.noticeStartedAt = event.StartedAt
+		if state.drainingSince == 0 {
+			state.drainingSince = event.Time
 		}
 	case KindAcknowledged:
 		t.acknowledged(event)
 	}
 }
 
-// acknowledged takes in that an instance acknowledged an update. A ready status that is older than the
-// node's own drain notice changes nothing.
+// acknowledged records that an instance acknowledged an update. A ready status of the incarnation that sent a
+// drain notice, or of an earlier one, changes nothing.
 func (t *drainTracker) acknowledged(event Event) {
 	node := event.Node
 	if event.Reason != "" {
@@ -87,17 +88,17 @@
 			return
 		}
 	}
-	known := t.of(event.Instance, node)
+	state := t.of(event.Instance, node)
 	switch {
-	case event.Status != "ready" && known.drainingSince == 0:
-		known.drainingSince = event.Time
+	case event.Status != "ready" && state.drainingSince == 0:
+		state.drainingSince = event.Time
 	case event.Status == "ready" &&
-		(!known.hasDrainNotice() || known.isOutdatedBy(event.StartedAt)):
-		known.drainingSince, known.noticeStartedAt = 0, noDrainNotice
+		(!state.hasDrainNotice() || state.isOutdatedBy(event.StartedAt)):
+		state.drainingSince, state.noticeStartedAt = 0, noDrainNotice
 	}
 }
 
-// checkCold judges that no cold node collapses.
+// checkCold verifies that no cold node collapses.
 func (c *invariantChecker) checkCold() {
 	for _, event := range c.events {
 		switch event.Kind {
@@ -107,7 +108,7 @@
 				c.verdicts[RuleCold].Judged++
 			}
 		case KindCollapsed:
-			c.violation(RuleCold, event, "the node fell over")
+			c.violation(RuleCold, event, "the cold node collapsed")
 		}
 	}
 }
--- a/internal/testbed/invariant_order.go
+++ b/internal/testbed/invariant_order.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// logSkew is how far apart in the logs two events may be that happened at the same time.
+	// logSkew is the largest difference between the logged times of two simultaneous events.
 	logSkew = 10 * time.Millisecond
-	// comparedRequests is how many earlier requests of its key a request is compared with.
+	// comparedRequests is the number of preceding requests of its key with which a request is compared.
 	comparedRequests = 32
 )
 
-// orderKey names requests that must be carried out in the order in which they were taken: those of one key
-// that came on one connection.
+// orderKey identifies requests that must run in the order in which they were sent: those of one key on one
+// connection.
 type orderKey struct {
 	instance, client int
 	conn, key        uint64
 }
 
-// checkOrder judges that requests of one key run one at a time, in the order in which they were taken.
+// checkOrder verifies that requests of one key run one at a time, in the order in which they were sent.
 func (c *invariantChecker) checkOrder() {
 	byKey := map[orderKey][]*requestTrace{}
 	for _, request := range c.requests.sent {
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkPairOrder judges that all attempts of one request were over before the first one of another. What
-// shared an operation was carried out in order in it; what came after that is judged.
+// checkPairOrder verifies that all attempts of one request ended before the first attempt of a later one.
+// Members of one operation run in order within it; only the attempts after a shared operation are checked.
 func (c *invariantChecker) checkPairOrder(earlier, later *requestTrace) {
 	before, after := afterSharedOperation(earlier.attempts, later.attempts)
 	if len(after) == 0 {
@@ -55,26 +55,26 @@
 	for _, attempt := range before {
 		arrive := attempt.arrive
 		slack := logSkew + c.outages.allowance(first.Instance, first.Node, arrive.Time, first.Time)
-		if arrive.Node != first.Node { // pieces of one key lie on several nodes
+		if arrive.Node != first.Node { // pieces of one key are stored on several nodes
 			slack += c.outages.allowance(noInstance, arrive.Node, arrive.Time, first.Time)
 		}
 		latest := first.Time + int64(slack)
 		switch {
 		case arrive.Time > latest:
-			c.violation(RuleOrder, first, "sent before request %d of the same key, taken earlier",
+			c.violation(RuleOrder, first, "sent before the earlier request %d of the same key",
 				earlier.sent.Token)
 		case arrive.Time > first.Time:
 		case attempt.repliedAt != 0 && attempt.repliedAt <= latest:
 		case attempt.cancelledAt != 0 && attempt.cancelledAt+orderingPause <= latest:
 		default:
-			c.violation(RuleOrder, first, "sent while request %d of the same key was not over",
+			c.violation(RuleOrder, first, "sent while request %d of the same key was in progress",
 				earlier.sent.Token)
 		}
 	}
 }
 
-// afterSharedOperation returns the attempts of two requests that come after the last operation which both
-// took part in; all, if there is none.
+// afterSharedOperation returns the attempts of two requests that follow the last operation of which both were
+// members; all attempts if there is none.
 func afterSharedOperation(earlier, later []*attemptTrace) (before, after []*attemptTrace) {
 	before, after = earlier, later
 	for i, x := range earlier {
--- a/internal/testbed/invariant_rates.go
+++ b/internal/testbed/invariant_rates.go
@@ -8,13 +8,14 @@
 	"landingpaddle/internal/proto"
 )
 
-// retryCounts are the times (Unix nanoseconds) of what one incarnation of an instance took and retried.
+// retryCounts lists the times (Unix nanoseconds) of the requests that one incarnation of an instance received
+// and of the retries that it sent.
 type retryCounts struct {
 	requests []int64
 	retries  []int64
 }
 
-// checkBudget judges that instances stay within their retry budget.
+// checkBudget verifies that instances stay within their retry budget.
 func (c *invariantChecker) checkBudget() {
 	budget := c.site.Rules.RetryBudget
 	if budget == nil {
@@ -38,14 +39,14 @@
 			retries := countSince(counts.retries, windowStart+allowance)
 			requests := countSince(counts.requests, windowStart-allowance)
 			if allowed := budget.Floor + budget.Ratio*float64(requests); float64(retries) > allowed {
-				c.violation(RuleBudget, event, "%d attempts beyond the first in %v, %.1f allowed", retries,
+				c.violation(RuleBudget, event, "%d retries in %v, %.1f allowed", retries,
 					budget.Window, allowed)
 			}
 		}
 	}
 }
 
-// countSince is how many of the times, in order, are not before one.
+// countSince returns how many of the sorted times are not before since.
 func countSince(times []int64, since int64) int {
 	first, _ := slices.BinarySearch(times, since)
 	return len(times) - first
@@ -53,25 +54,25 @@
 
 // rateLimitBucket is the token bucket of one volume's rate limit.
 type rateLimitBucket struct {
-	level float64 // units; below zero what was sent over the limit
+	level float64 // units; negative by the units that were sent over the limit
 	at    int64   // Unix nanoseconds
 }
 
-// take refills the bucket up to a time and takes units out.
+// take refills the bucket up to a time and removes units from it.
 func (b *rateLimitBucket) take(plan config.Plan, at int64, units float64) {
 	b.level = min(plan.Burst, b.level+plan.Limit*time.Duration(at-b.at).Seconds())
 	b.at = at
 	b.level -= units
 }
 
-// pieceKey names one piece of a request.
+// pieceKey identifies one piece of a request.
 type pieceKey struct {
 	request requestKey
 	piece   int
 }
 
-// checkLimits judges that what all instances send for a volume is within its plan's rate limit. Retries of a
-// piece are not counted, nor requests whose first attempt was not applicable.
+// checkLimits verifies that the sends of all instances for a volume are within its plan's rate limit. Retries
+// of a piece are not counted, nor requests whose first attempt was not applicable.
 func (c *invariantChecker) checkLimits() {
 	buckets, counted := map[uint64]*rateLimitBucket{}, map[pieceKey]bool{}
 	for _, event := range c.events {
@@ -94,7 +95,7 @@
 		bucket.take(plan, event.Time, float64(event.Units))
 		allowance := transitTime + c.outages.allowance(event.Instance, event.Node, event.Time, event.Time)
 		if bucket.level < -plan.LimitSlack-plan.Limit*allowance.Seconds() {
-			c.violation(RuleLimits, event, "volume %d is %.1f units over its limit, %.1f are allowed",
+			c.violation(RuleLimits, event, "volume %d is %.1f units over its rate limit, %.1f are allowed",
 				event.Volume, -bucket.level, plan.LimitSlack)
 		}
 	}
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -13,36 +13,35 @@
 type Verdict struct {
 	Rule           string `json:"rule"`
 	Holds          bool   `json:"kept"`
-	Judged         int    `json:"judged"`          // things that could have violated it
-	Violations     int    `json:"breaks"`          // how many did
-	FirstViolation string `json:"first,omitempty"` // request, node, time and what is wrong
+	Judged         int    `json:"judged"`          // requests or events that were checked
+	Violations     int    `json:"breaks"`          // how many of them violated the rule
+	FirstViolation string `json:"first,omitempty"` // request, instance, node, time and description
 }
 
 // The rules, in the order of the verdicts.
 const (
 	RuleAnswers = "answers" // exactly one final answer, in time, and nothing sent after it
 	RuleEffects = "effects" // no effect twice
-	RuleDrains  = "drains"  // nothing new to a node later than the grace after the instance was notified
-	RuleCold    = "cold"    // no cold node overloaded
-	RuleOrder   = "order"   // requests of one key one at a time, in the order taken
-	RuleBudget  = "budget"  // attempts beyond the first within the retry budget
-	RuleLimits  = "limits"  // what all instances send for a volume within its plan's rate limit
-	RuleBytes   = "bytes"   // each range read or written holds the bytes that it must
+	RuleDrains  = "drains"  // nothing sent beyond the grace period after notification of a drain or removal
+	RuleCold    = "cold"    // no cold node collapses from overload
+	RuleOrder   = "order"   // requests of one key run one at a time, in the order sent
+	RuleBudget  = "budget"  // each instance's retries are within the retry budget
+	RuleLimits  = "limits"  // all instances' sends for a volume are within its plan's rate limit
+	RuleBytes   = "bytes"   // each range read or written has the expected bytes
 )
 
-// transitTime is how long a frame may be on its way on loopback between two logs, beyond the stalls of the
-// machine that the logs show.
+// transitTime is the longest time for which a frame may be in transit on loopback between two logs, in
+// addition to the logged stalls of the machine.
 const transitTime = 60 * time.Millisecond
 
-// Numbers that stand for no node and no instance.
+// Numbers that represent no node and no instance.
 const (
 	noNode     = -1
 	noInstance = -1
 )
 
-// invariantChecker judges the rules from what passed on the sockets: the logs of clients and nodes, and the
-// moments at which instances acknowledged updates of endpoints. It knows nothing of what a scheduler says of
-// itself.
+// invariantChecker checks the rules against the logged socket traffic: the logs of clients and nodes, and
+// the times at which instances acknowledged updates of endpoints. It doesn't use a scheduler's own reports.
 type invariantChecker struct {
 	site     *config.Site
 	events   []Event // by time
@@ -52,7 +51,7 @@
 	requests requestTraces
 }
 
-// ruleChecks has the check of each rule, in the order of the verdicts.
+// ruleChecks lists the check of each rule, in the order of the verdicts.
 var ruleChecks = []struct {
 	rule  string
 	check func(*invariantChecker)
@@ -67,7 +66,7 @@
 	{RuleBytes, (*invariantChecker).checkBytes},
 }
 
-// CheckInvariants judges all rules for the events of one run on a site; the events may be in any order.
+// CheckInvariants checks all rules against the events of one run on a site; the events may be in any order.
 func CheckInvariants(site *config.Site, events []Event) []Verdict {
 	checker := newInvariantChecker(site, events)
 	verdicts := make([]Verdict, 0, len(ruleChecks))
@@ -78,7 +77,7 @@
 	return verdicts
 }
 
-// newInvariantChecker sorts events by time and gathers from them what all checks need.
+// newInvariantChecker sorts events by time and collects the outages, nodes and requests for the checks.
 func newInvariantChecker(site *config.Site, events []Event) *invariantChecker {
 	c := &invariantChecker{
 		site:     site,
@@ -102,7 +101,7 @@
 
 func compareTime(a, b Event) int { return cmp.Compare(a.Time, b.Time) }
 
-// violation counts a violation of a rule by an event; the first one is described.
+// violation records that an event violates a rule; the first violation of each rule is also described.
 func (c *invariantChecker) violation(rule string, event Event, format string, args ...any) {
 	verdict := c.verdicts[rule]
 	verdict.Holds = false
@@ -115,10 +114,10 @@
 		event.Token, event.Try, event.Instance, event.Node, sinceStart, fmt.Sprintf(format, args...))
 }
 
-// nodeDirectory knows the nodes from the events of their starts.
+// nodeDirectory stores the zones and addresses of nodes, from the events of their starts.
 type nodeDirectory struct {
 	zones     map[int]int
-	byAddress map[string]int // as a registry that runs by itself knows no more of a node
+	byAddress map[string]int // a registry in a separate process logs only a node's address
 }
 
 func newNodeDirectory() nodeDirectory {
--- a/internal/testbed/invariants_log_test.go
+++ b/internal/testbed/invariants_log_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Classes of the hand-written logs, by their numbers.
+// Numbers of the classes in the hand-written logs.
 const (
 	safeClass = iota
 	keyedClass
@@ -14,10 +14,10 @@
 
 func milliseconds(n int64) int64 { return n * int64(time.Millisecond) }
 
-// logTime is a time in a hand-written log, in milliseconds from its start.
+// logTime returns the time that is ms milliseconds after the start of a hand-written log, in nanoseconds.
 func logTime(ms int64) int64 { return milliseconds(1000 + ms) }
 
-// sentEvent is a client's request on connection 0, all of them with one key.
+// sentEvent returns the event of a client's request on connection 0. All requests have the same key.
 func sentEvent(ms int64, token uint64, class int, seq uint64) Event {
 	return Event{Time: logTime(ms), Kind: KindSent, Token: token, Class: class, Seq: seq, Key: 9,
 		Wait: milliseconds(500)}
@@ -28,15 +28,15 @@
 		Units: 1}
 }
 
-// writeEvent is any other event of a write at node 0, with the code for success.
+// writeEvent returns an event of another kind, of a write at node 0, with the code for success.
 func writeEvent(ms int64, kind Kind, token uint64, attempt int) Event {
 	return Event{Time: logTime(ms), Kind: kind, Token: token, Attempt: attempt, Write: true, Code: 100}
 }
 
-// handWrittenLogs are cases that break a line of a rule, and beside each one that does not.
+// handWrittenLogs contains logs that break one clause of a rule, and similar logs that break none.
 var handWrittenLogs = []struct {
 	name   string
-	rule   string // that is broken; "": all are kept
+	rule   string // the broken one; "": all are kept
 	events []Event
 }{
 	{"answered", "", []Event{
@@ -49,13 +49,13 @@
 		sentEvent(0, 1, safeClass, 1),
 		{Time: logTime(50), Kind: KindInstanceKilled},
 		writeEvent(60, KindBroken, 1, 0)}},
-	{"its connection broke by itself", RuleAnswers, []Event{
+	{"its connection broke without a kill", RuleAnswers, []Event{
 		sentEvent(0, 1, safeClass, 1),
 		writeEvent(60, KindBroken, 1, 0)}},
-	{"late", RuleAnswers, []Event{
+	{"answered late", RuleAnswers, []Event{
 		sentEvent(0, 1, safeClass, 1),
 		writeEvent(600, KindAnswer, 1, 0)}},
-	{"late while the instance was stalled", "", []Event{
+	{"answered late while the instance was stalled", "", []Event{
 		sentEvent(0, 1, safeClass, 1),
 		{Time: logTime(300), Kind: KindInstanceStalled, Wait: milliseconds(300)},
 		writeEvent(620, KindAnswer, 1, 0)}},
@@ -63,18 +63,18 @@
 		sentEvent(0, 1, safeClass, 1),
 		writeEvent(100, KindAnswer, 1, 0),
 		arriveEvent(300, 1, safeClass, 0)}},
-	{"an unsafe one sent again", RuleEffects, []Event{
+	{"a non-idempotent request retried", RuleEffects, []Event{
 		sentEvent(0, 1, unsafeClass, 1),
 		arriveEvent(10, 1, unsafeClass, 0),
 		arriveEvent(20, 1, unsafeClass, 1),
 		writeEvent(100, KindAnswer, 1, 0)}},
-	{"an unsafe one sent again after it was rejected", "", []Event{
+	{"a non-idempotent request retried after a rejection", "", []Event{
 		sentEvent(0, 1, unsafeClass, 1),
 		arriveEvent(10, 1, unsafeClass, 0),
 		{Time: logTime(11), Kind: KindOverloaded, Token: 1, Code: 302},
 		arriveEvent(20, 1, unsafeClass, 1),
 		writeEvent(100, KindAnswer, 1, 0)}},
-	{"a keyed one took effect twice", RuleEffects, []Event{
+	{"a keyed request took effect twice", RuleEffects, []Event{
 		sentEvent(0, 1, keyedClass, 1),
 		arriveEvent(10, 1, keyedClass, 0),
 		writeEvent(20, KindEnd, 1, 0),
@@ -83,30 +83,30 @@
 		writeEvent(40, KindEnd, 1, 1),
 		writeEvent(41, KindReplied, 1, 1),
 		writeEvent(100, KindAnswer, 1, 0)}},
-	{"rejected while it may have run", RuleEffects, []Event{
+	{"rejected although it may have run", RuleEffects, []Event{
 		sentEvent(0, 1, keyedClass, 1),
 		arriveEvent(10, 1, keyedClass, 0),
 		writeEvent(12, KindReplied, 1, 0),
 		{Time: logTime(100), Kind: KindAnswer, Token: 1, Code: 400}}},
-	{"drained, within the grace", "", []Event{
+	{"sent within the drain grace", "", []Event{
 		{Time: logTime(0), Kind: KindAcknowledged, Status: "draining"},
 		sentEvent(0, 1, safeClass, 1),
 		arriveEvent(200, 1, safeClass, 0),
 		writeEvent(300, KindAnswer, 1, 0)}},
-	{"drained, after the grace", RuleDrains, []Event{
+	{"sent after the drain grace", RuleDrains, []Event{
 		{Time: logTime(0), Kind: KindAcknowledged, Status: "draining"},
 		sentEvent(0, 1, safeClass, 1),
 		arriveEvent(450, 1, safeClass, 0),
 		writeEvent(460, KindAnswer, 1, 0)}},
-	{"a late update after the node's own notice", RuleDrains, []Event{
+	{"a late update after the node's drain notice", RuleDrains, []Event{
 		{Time: logTime(0), Kind: KindNotice, StartedAt: 5},
 		{Time: logTime(1), Kind: KindAcknowledged, Status: "ready", StartedAt: 5},
 		sentEvent(0, 1, safeClass, 1),
 		{Time: logTime(450), Kind: KindArrive, Token: 1, StartedAt: 5},
 		writeEvent(460, KindAnswer, 1, 0)}},
-	{"collapsed", RuleCold, []Event{
+	{"a cold node collapsed", RuleCold, []Event{
 		{Time: logTime(1), Kind: KindCollapsed, Token: 1}}},
-	{"keys in order", "", []Event{
+	{"requests of one key in order", "", []Event{
 		sentEvent(0, 1, keyedClass, 1),
 		sentEvent(1, 2, keyedClass, 2),
 		arriveEvent(10, 1, keyedClass, 0),
@@ -115,7 +115,7 @@
 		writeEvent(40, KindReplied, 2, 0),
 		writeEvent(50, KindAnswer, 1, 0),
 		writeEvent(50, KindAnswer, 2, 0)}},
-	{"two at once", RuleOrder, []Event{
+	{"two requests of one key at once", RuleOrder, []Event{
 		sentEvent(0, 1, keyedClass, 1),
 		sentEvent(1, 2, keyedClass, 2),
 		arriveEvent(10, 1, keyedClass, 0),
@@ -124,7 +124,7 @@
 		writeEvent(70, KindReplied, 2, 0),
 		writeEvent(80, KindAnswer, 1, 0),
 		writeEvent(80, KindAnswer, 2, 0)}},
-	{"out of turn", RuleOrder, []Event{
+	{"requests of one key out of order", RuleOrder, []Event{
 		sentEvent(0, 1, keyedClass, 1),
 		sentEvent(1, 2, keyedClass, 2),
 		arriveEvent(10, 2, keyedClass, 0),
@@ -155,7 +155,7 @@
 		writeEvent(190, KindAnswer, 1, 0)}},
 }
 
-func TestInvariants_JudgeHandWrittenLogs(t *testing.T) {
+func TestInvariants_CheckHandWrittenLogs(t *testing.T) {
 	scenario := smallScenario(t, readClass+writeClass+
 		`(class once (aim 400ms) (deadline 1s) (repeat unsafe))`,
 		`(order-pause 100ms) (budget (floor 1) (ratio 0) (window 1s))`, reads)
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -8,7 +8,7 @@
 	"landingpaddle/internal/daemon"
 )
 
-// ruleScenario provokes a rule: the scheduler keeps it, and a mutant breaks it.
+// ruleScenario is a scenario that tests one rule: the scheduler must keep it, and the mutant must break it.
 type ruleScenario struct {
 	rule     string
 	scenario *Scenario
@@ -39,9 +39,9 @@
 	}
 }
 
-// Each rule has a scenario that provokes it, in which the scheduler keeps it, and a mutant that breaks it: a
-// scheduler with one fault, which the checker must catch, and catch for that rule.
-func TestInvariants_CatchAMutantOfEachRule(t *testing.T) {
+// In each rule's scenario the scheduler keeps all rules, and a mutant, a scheduler with one fault, breaks the
+// rule. The checker must detect the mutant by that rule.
+func TestInvariants_DetectAMutantOfEachRule(t *testing.T) {
 	for _, c := range ruleScenarios(t) {
 		t.Run(c.rule, func(t *testing.T) {
 			t.Parallel()
@@ -68,12 +68,12 @@
 	isRule := verdict.Rule == rule
 	switch {
 	case isRule && verdict.Judged == 0:
-		t.Errorf("mutant %v: nothing judged", isMutant)
+		t.Errorf("mutant %v: nothing checked", isMutant)
 	case !isMutant && !verdict.Holds:
 		t.Errorf("the scheduler breaks %s: %s", verdict.Rule, verdict.FirstViolation)
 	case isMutant && isRule && verdict.Holds:
-		t.Errorf("the mutant is not caught; judged %d", verdict.Judged)
+		t.Errorf("the mutant is not detected; %d checked", verdict.Judged)
 	case isMutant && isRule && !strings.Contains(verdict.FirstViolation, "request"):
-		t.Errorf("the first violation names no request: %s", verdict.FirstViolation)
+		t.Errorf("the first violation does not name a request: %s", verdict.FirstViolation)
 	}
 }
--- a/internal/testbed/outages.go
+++ b/internal/testbed/outages.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// backlogTime is what is allowed after a stall for the work that had piled up by then.
+// backlogTime is the time allowed after a stall for processing the work queued during it.
 const backlogTime = 150 * time.Millisecond
 
-// span is a stretch of time, in Unix nanoseconds.
+// span is a time interval, in Unix nanoseconds.
 type span struct{ from, to int64 }
 
-// outages are the stalls and crashes that the logs show: what happened meanwhile may be late.
+// outages are the logged stalls and crashes. Exchanges that overlap a stall may be late.
 type outages struct {
-	process   []span         // the whole testbed process was stalled
-	instances map[int][]span // stalls by instance
-	nodes     map[int][]span // by node: its connections were neither read nor written
-	kills     map[int][]int64
+	process   []span          // the whole testbed process was stalled
+	instances map[int][]span  // stalls by instance
+	nodes     map[int][]span  // by node: its connections were neither read nor written
+	kills     map[int][]int64 // by instance, in Unix nanoseconds
 }
 
 func newOutages() outages {
@@ -38,8 +38,8 @@
 	}
 }
 
-// allowance is how much longer something between an instance and a node may take that lasted from one time
-// to another (Unix nanoseconds): the stalls in that time, each with a moment for what had piled up.
+// allowance returns the extra time allowed for an exchange between an instance and a node in an interval,
+// given in Unix nanoseconds: the stalls that overlap the interval, each plus backlogTime.
 func (o *outages) allowance(instance, node int, from, to int64) time.Duration {
 	total := time.Duration(0)
 	for _, spans := range [][]span{o.process, o.instances[instance], o.nodes[node]} {
@@ -52,7 +52,7 @@
 	return total
 }
 
-// killed tells whether an instance was killed between two times.
+// killed reports whether an instance was killed between two times, in Unix nanoseconds.
 func (o *outages) killed(instance int, from, to int64) bool {
 	return slices.ContainsFunc(o.kills[instance], func(at int64) bool { return at >= from && at <= to })
 }
