--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -8,8 +8,8 @@
 	"landingpaddle/internal/sexpr"
 )
 
-// Fault is one thing that goes wrong, at a time from the start of the traffic. Exactly one of its forms is
-// given.
+// Fault is one fault, injected at a time measured from the start of the traffic. Exactly one of its forms is
+// set.
 type Fault struct {
 	At               time.Duration     `s:",arg"`
 	Pos              sexpr.Pos         `s:",pos"`
@@ -38,13 +38,13 @@
 
 // faultForm is one form of a fault.
 type faultForm interface {
-	// check reports what does not fit to the scenario.
+	// check reports parameters that are not valid in the scenario.
 	check(scenario *Scenario) error
-	// inject brings the fault about and returns when it is over, or traffic ends.
+	// inject injects the fault and returns when the fault or the traffic ends.
 	inject(ctx, traffic context.Context, runner *scenarioRunner)
 }
 
-// forms are the forms that are given.
+// forms returns the forms that are set.
 func (f *Fault) forms() []faultForm {
 	var forms []faultForm
 	forms = appendGiven(forms, f.Crash)
@@ -80,11 +80,11 @@
 	return append(forms, form)
 }
 
-// check reports what does not fit to the scenario, with the fault's place.
+// check reports a fault without exactly one form, or with invalid parameters. The error gives its position.
 func (f *Fault) check(scenario *Scenario) error {
 	forms := f.forms()
 	if len(forms) != 1 {
-		return sexpr.Errorf(f.Pos, "(at …) names %d troubles; want one", len(forms))
+		return sexpr.Errorf(f.Pos, "(at …) names %d faults; want one", len(forms))
 	}
 	return sexpr.WrapError(f.Pos, forms[0].check(scenario))
 }
@@ -97,10 +97,10 @@
 	return checkNumbers("instance", instances, scenario.Instances)
 }
 
-func checkNumbers(what string, numbers []int, count int) error {
+func checkNumbers(kind string, numbers []int, count int) error {
 	for _, number := range numbers {
 		if number < 0 || number >= count {
-			return fmt.Errorf("%s %d: there are 0 to %d", what, number, count-1)
+			return fmt.Errorf("%s %d: there are 0 to %d", kind, number, count-1)
 		}
 	}
 	return nil
--- a/internal/testbed/fault_instances.go
+++ b/internal/testbed/fault_instances.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Crash kills instances; they come back with nothing but their snapshots of the endpoint list.
+// Crash kills instances. They restart with only their snapshots of the endpoint list.
 type Crash struct {
 	Instances    []int         `s:"instances,required"`
 	RestartAfter time.Duration `s:"back" min:"1ms" max:"10m"` // 0: never
@@ -22,9 +22,9 @@
 	}
 }
 
-// RollingRestart restarts all instances one after the other.
+// RollingRestart restarts all instances, one after the other.
 type RollingRestart struct {
-	Every        time.Duration `s:"every,required" min:"1ms" max:"10m"` // between one's return and the next
+	Every        time.Duration `s:"every,required" min:"1ms" max:"10m"` // from one restart to the next kill
 	RestartAfter time.Duration `s:"back,required" min:"1ms" max:"10m"`
 }
 
@@ -39,7 +39,7 @@
 	}
 }
 
-// Stall suspends instances for a while; they keep their state.
+// Stall suspends instances for a duration; they keep their state.
 type Stall struct {
 	Instances []int         `s:"instances,required"`
 	Duration  time.Duration `s:"for,required" min:"1ms" max:"1m"`
--- a/internal/testbed/fault_nodes.go
+++ b/internal/testbed/fault_nodes.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// SlowNodes makes nodes slower.
+// SlowNodes multiplies the time that nodes take for work by a factor.
 type SlowNodes struct {
 	Nodes    []int         `s:"nodes,required"`
 	Factor   float64       `s:"times,required" min:"1" max:"1000"`
@@ -21,7 +21,7 @@
 	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetSlow(1) })
 }
 
-// Neighbour lets another program take a share of nodes' machines, on and off.
+// Neighbour simulates another program that intermittently uses a share of the nodes' machines.
 type Neighbour struct {
 	Nodes    []int         `s:"nodes,required"`
 	Share    float64       `s:"share,required" min:"0" max:"0.95"`
@@ -38,7 +38,7 @@
 	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetNeighbour(0, 0, 0) })
 }
 
-// MassRestart restarts all nodes of a zone; they come back cold.
+// MassRestart restarts all nodes of a zone; they restart cold.
 type MassRestart struct {
 	Zone         string        `s:"zone,required"`
 	RestartAfter time.Duration `s:"back,required" min:"1ms" max:"10m"`
@@ -46,7 +46,7 @@
 
 func (f *MassRestart) check(scenario *Scenario) error {
 	if scenario.Site.Zone(f.Zone) < 0 {
-		return fmt.Errorf("zone %s is none of %v", f.Zone, scenario.Site.Zones)
+		return fmt.Errorf("zone %s is not one of %v", f.Zone, scenario.Site.Zones)
 	}
 	return nil
 }
@@ -61,7 +61,7 @@
 	runner.restartNodes(ctx, traffic, numbers, f.RestartAfter)
 }
 
-// KillNodes kills nodes; they come back cold.
+// KillNodes kills nodes; they restart cold.
 type KillNodes struct {
 	Nodes        []int         `s:"nodes,required"`
 	RestartAfter time.Duration `s:"back" min:"1ms" max:"10m"` // 0: never
@@ -73,7 +73,7 @@
 	runner.restartNodes(ctx, traffic, f.Nodes, f.RestartAfter)
 }
 
-// Drain drains nodes; after a while they end, and come back cold later.
+// Drain drains nodes. They exit after ExitAfter and restart cold after RestartAfter.
 type Drain struct {
 	Nodes        []int         `s:"nodes,required"`
 	ExitAfter    time.Duration `s:"ends" min:"1ms" max:"10m"` // 0: never
@@ -90,7 +90,7 @@
 	}
 }
 
-// LoseAnswers loses a share of nodes' answers.
+// LoseAnswers drops a share of nodes' answers.
 type LoseAnswers struct {
 	Nodes    []int         `s:"nodes,required"`
 	Share    float64       `s:"share,required" min:"0" max:"1"`
@@ -105,13 +105,13 @@
 	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetLoseAnswers(0) })
 }
 
-// nodesFault is what the simpler faults of nodes state.
+// nodesFault has the fields of faults that need only nodes and a duration.
 type nodesFault struct {
 	Nodes    []int         `s:"nodes,required"`
 	Duration time.Duration `s:"for" min:"1ms" max:"10m"`
 }
 
-// Hang makes nodes accept requests and never answer.
+// Hang makes nodes accept requests without answering them.
 type Hang nodesFault
 
 func (f *Hang) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
@@ -122,7 +122,7 @@
 	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.SetHang(false) })
 }
 
-// ResetConnections breaks all connections of nodes. It has no duration.
+// ResetConnections closes all connections of nodes. Its duration is ignored.
 type ResetConnections nodesFault
 
 func (f *ResetConnections) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
@@ -131,7 +131,7 @@
 	runner.eachNode(f.Nodes, (*Node).ResetConns)
 }
 
-// CorruptAnswers corrupts the next answer of each node. It has no duration.
+// CorruptAnswers corrupts the next answer of each node. Its duration is ignored.
 type CorruptAnswers nodesFault
 
 func (f *CorruptAnswers) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
@@ -140,7 +140,7 @@
 	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.CorruptAnswers(1) })
 }
 
-// PauseNodes makes nodes do no work for a while; they keep their queues and connections.
+// PauseNodes stops nodes from starting work for a duration; they keep their queues and connections.
 type PauseNodes nodesFault
 
 func (f *PauseNodes) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
@@ -149,7 +149,7 @@
 	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.Pause(f.Duration) })
 }
 
-// StuckConnections stops all reading and writing on nodes' connections; they stay open.
+// StuckConnections stops all reads and writes on nodes' connections for a duration; they stay open.
 type StuckConnections nodesFault
 
 func (f *StuckConnections) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
--- a/internal/testbed/fault_registry.go
+++ b/internal/testbed/fault_registry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// StaleRegistry makes the registry publish changes later.
+// StaleRegistry delays the registry's publication of changes.
 type StaleRegistry struct {
 	Delay    time.Duration `s:"delay,required" min:"0s" max:"1m"`
 	Duration time.Duration `s:"for,required" min:"1ms" max:"10m"`
--- a/internal/testbed/fault_traffic.go
+++ b/internal/testbed/fault_traffic.go
@@ -8,10 +8,10 @@
 	"landingpaddle/internal/config"
 )
 
-// allPlans stands for the traffic of all plans.
+// allPlans represents the traffic of all plans.
 const allPlans = -1
 
-// Surge multiplies traffic of one plan, or that of its first volumes.
+// Surge multiplies the traffic of one plan, or of its first volumes.
 type Surge struct {
 	Plan     string        `s:"plan"`
 	Volumes  int           `s:"volumes" min:"0" max:"100000"` // 0: all
@@ -25,7 +25,7 @@
 	runner.changes.addSurge(f, runner.scenario.Site.PlanNumber(f.Plan))
 }
 
-// Burst multiplies the traffic of all plans, or that of their first volumes.
+// Burst multiplies the traffic of all plans, or of the first volumes of each.
 type Burst Surge
 
 func (f *Burst) check(scenario *Scenario) error { return checkPlan(&scenario.Site, f.Plan) }
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// HeavyRequests make a share of requests cost many times their work.
+// HeavyRequests multiplies the work of a share of requests by a factor.
 type HeavyRequests struct {
 	Share    float64       `s:"share,required" min:"0" max:"1"`
 	Factor   int           `s:"times,required" min:"1" max:"1000"`
@@ -54,7 +54,7 @@
 	runner.changes.addHeavy(f)
 }
 
-// ImpatientClients make a share of requests wait only so long for their answers.
+// ImpatientClients limits the time for which clients wait for the answers to a share of requests.
 type ImpatientClients struct {
 	Share    float64       `s:"share,required" min:"0" max:"1"`
 	Wait     time.Duration `s:"wait,required" min:"1ms" max:"10m"`
@@ -67,8 +67,8 @@
 	runner.changes.addImpatient(f)
 }
 
-// Reconnect makes a share of volumes change their busiest instance, and of clients their connections, at
-// once.
+// Reconnect changes the busiest instance of a share of volumes, and simultaneously makes the same share of
+// clients reconnect.
 type Reconnect struct {
 	Share float64 `s:"share,required" min:"0" max:"1"`
 }
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -9,16 +9,16 @@
 	"landingpaddle/internal/sexpr"
 )
 
-// Bounds of a scenario.
+// Limits of a scenario.
 const (
 	maxNodes   = 1024
 	maxClients = 4096
 )
 
-// scenarioForm is the head of a scenario's form in its file.
+// scenarioForm is the head of the form in a scenario's file.
 const scenarioForm = "day"
 
-// Scenario is a fleet, its traffic, and what goes wrong when.
+// Scenario describes a fleet, its traffic, and the faults to inject with their times.
 type Scenario struct {
 	Name      string           `s:"name"`
 	Length    time.Duration    `s:"length,required" min:"100ms" max:"10m"` // of the traffic
@@ -31,22 +31,22 @@
 	Faults    []Fault          `s:"at"`
 }
 
-// NodeSettings are the nodes: all of one model, dealt out over the zones in turn.
+// NodeSettings describes the nodes: all of one model, assigned to the zones round-robin.
 type NodeSettings struct {
 	Count      int              `s:",arg"`
 	Model      config.NodeModel `s:"kind"`
-	ClockAhead time.Duration    `s:"clock-ahead" max:"1h"` // of the instances' clocks
+	ClockAhead time.Duration    `s:"clock-ahead" max:"1h"` // relative to the instances' clocks
 }
 
-// RegistrySettings are the stand-in registry.
+// RegistrySettings configures the stand-in registry.
 type RegistrySettings struct {
-	Delay    time.Duration `s:"delay" min:"0s" max:"1m"`      // after which changes are published
-	Workers  int           `s:"workers" min:"1" max:"64"`     // calls served at the same time
-	CallTime time.Duration `s:"call-time" min:"0s" max:"10s"` // that one call takes
+	Delay    time.Duration `s:"delay" min:"0s" max:"1m"`      // until changes are published
+	Workers  int           `s:"workers" min:"1" max:"64"`     // calls served concurrently
+	CallTime time.Duration `s:"call-time" min:"0s" max:"10s"` // of one call
 	MaxWait  time.Duration `s:"max-wait" min:"0s" max:"10s"`  // for a worker; a call fails after it
 }
 
-// ClientSettings are the clients and their behaviour.
+// ClientSettings describes the clients and their behaviour.
 type ClientSettings struct {
 	Count           int           `s:",arg"`
 	Retries         int           `s:"retries" min:"0" max:"10"`
@@ -64,10 +64,10 @@
 	}
 }
 
-// Check reports what does not fit together in a scenario.
+// Check reports counts out of range, and traffic and faults that do not match the site or the fleet.
 func (s *Scenario) Check() error {
 	if s.Nodes.Count < 1 || s.Nodes.Count > maxNodes || s.Clients.Count < 1 || s.Clients.Count > maxClients {
-		return fmt.Errorf("a day has 1 to %d nodes and 1 to %d clients", maxNodes, maxClients)
+		return fmt.Errorf("(day …) must have 1 to %d nodes and 1 to %d clients", maxNodes, maxClients)
 	}
 	for i := range s.Traffic {
 		if err := s.Traffic[i].checkSite(&s.Site); err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// DefaultScenario is what a scenario's file changes.
+// DefaultScenario returns the defaults that a scenario's file overrides.
 func DefaultScenario() Scenario {
 	return Scenario{
 		Name:      "day",
@@ -108,10 +108,10 @@
 //go:embed bad-day.lisp
 var faultScenario []byte
 
-// FaultScenario is the embedded scenario: every kind of fault once.
+// FaultScenario returns the embedded scenario, which contains every kind of fault.
 func FaultScenario() (Scenario, error) { return ParseScenario("bad-day.lisp", faultScenario) }
 
-// ParseScenario reads a scenario from the text of a file of that name. An error names the place.
+// ParseScenario parses a scenario from the text of the named file. An error gives file, line and column.
 func ParseScenario(name string, data []byte) (Scenario, error) {
 	scenario := DefaultScenario()
 	nodes, err := sexpr.Parse(name, data)
@@ -122,7 +122,7 @@
 	return scenario, err
 }
 
-// ReadScenario reads a scenario's file. An error names the place.
+// ReadScenario reads a scenario's file. An error gives file, line and column.
 func ReadScenario(path string) (Scenario, error) {
 	scenario := DefaultScenario()
 	err := config.Load(path, scenarioForm, &scenario)
--- a/internal/testbed/traffic.go
+++ b/internal/testbed/traffic.go
@@ -9,31 +9,31 @@
 	"landingpaddle/internal/sexpr"
 )
 
-// Traffic is one stream of requests: of one class, by the volumes of one plan.
+// Traffic is one stream of requests, of one class and for the volumes of one plan.
 type Traffic struct {
 	Class      string  `s:"class,required"`
 	Plan       string  `s:"plan,required"`
 	Rate       float64 `s:"rate,required" min:"0.1" max:"100000"` // requests a second
 	Volumes    int     `s:"volumes" min:"1" max:"100000"`
-	Units      []int   `s:"units"` // least and most of a request
+	Units      []int   `s:"units"` // minimum and maximum of a request
 	Keys       int     `s:"keys" min:"0" max:"1000000"`
-	NewObjects bool    `s:"new-objects"`               // writes create objects, reads are for some of those
-	HotShare   float64 `s:"hot" min:"0" max:"1"`       // part of it that goes to the first volume
-	Writers    int     `s:"writers" min:"1" max:"512"` // instances that a volume comes through
+	NewObjects bool    `s:"new-objects"`               // writes create objects, reads request some of them
+	HotShare   float64 `s:"hot" min:"0" max:"1"`       // share of requests for the first volume
+	Writers    int     `s:"writers" min:"1" max:"512"` // instances that receive a volume's requests
 	Fields     *Fields `s:"fields"`
 }
 
-// Fields make a stream ask for bytes of fields, one field a volume, slice by slice: at random places at the
-// stream's rate, or with a run all slices at the same moment.
+// Fields makes a stream request byte ranges of fields: one field a volume, one slice a request. The slices
+// are random and requested at the stream's rate or, if Run is set, all requested at about the same time.
 type Fields struct {
 	Size   sexpr.Size    `s:"size,required" min:"1B" max:"1GiB"`
 	Slice  sexpr.Size    `s:"slice,required" min:"1B" max:"64MiB"`
-	Shared bool          `s:"shared"`                   // all volumes read the first one's field
-	Run    time.Duration `s:"run" min:"0s" max:"10m"`   // so often all slices are asked for; 0: at random
-	Spread time.Duration `s:"spread" min:"0s" max:"1m"` // within so long
+	Shared bool          `s:"shared"`                   // all volumes use the first one's field
+	Run    time.Duration `s:"run" min:"0s" max:"10m"`   // interval of requests for all slices; 0: at random
+	Spread time.Duration `s:"spread" min:"0s" max:"1m"` // time over which a run's requests spread
 }
 
-// setSlice makes a request one for a slice of its field.
+// setSlice sets a request's byte range to a slice of its field.
 func (f *Fields) setSlice(request *proto.Request, number uint64) {
 	request.Ranged, request.Offset = true, number*uint64(f.Slice)
 	request.Length, request.Cell = uint32(min(f.Slice, f.Size-sexpr.Size(request.Offset))), 0
@@ -43,25 +43,25 @@
 	}
 }
 
-// slices is how many a field has.
+// slices returns the number of slices of a field.
 func (f *Fields) slices() uint64 { return uint64((f.Size + f.Slice - 1) / f.Slice) }
 
-// volumeNumber is the number of a plan's volume; both count from 1.
+// volumeNumber returns the number of a plan's volume; both parameters count from 1.
 func volumeNumber(plan, volume uint64) uint64 { return plan<<32 | volume }
 
-// Check reports what does not fit together in a stream, and sets defaults.
+// Check reports invalid units of a stream, and sets defaults.
 func (t *Traffic) Check() error {
 	if t.Units == nil {
 		t.Units = []int{1, 4}
 	}
 	if len(t.Units) != 2 || t.Units[0] < 1 || t.Units[0] > t.Units[1] {
-		return fmt.Errorf("(units …) wants the least and the most, as (units 1 4)")
+		return fmt.Errorf("(units …) requires a minimum and a maximum, such as (units 1 4)")
 	}
 	t.Volumes, t.Writers = max(t.Volumes, 1), max(t.Writers, 1)
 	return nil
 }
 
-// checkSite reports what a site lacks for a stream.
+// checkSite reports a class, plan or extents that the stream requires and the site lacks.
 func (t *Traffic) checkSite(site *config.Site) error {
 	if site.ClassNumber(t.Class) < 0 || site.PlanNumber(t.Plan) < 0 {
 		return fmt.Errorf("traffic of class %s and plan %s: the site lacks one of them", t.Class, t.Plan)
--- a/internal/testbed/traffic_changes.go
+++ b/internal/testbed/traffic_changes.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// trafficChanges are the faults that change traffic while they last.
+// trafficChanges stores the faults that change traffic while they last.
 type trafficChanges struct {
 	mu        sync.Mutex
 	surges    []activeSurge
 	heavy     []activeHeavy
 	impatient []activeImpatience
-	rotations map[uint64]int // by volume: how often its busiest instance has changed
+	rotations map[uint64]int // by volume: number of changes of its busiest instance
 }
 
 type activeSurge struct {
@@ -58,7 +58,7 @@
 	c.impatient = append(c.impatient, activeImpatience{impatient.Share, impatient.Wait, until})
 }
 
-// rotateInstances makes a share of all volumes change their busiest instance.
+// rotateInstances changes the busiest instance of a share of all volumes.
 func (c *trafficChanges) rotateInstances(scenario *Scenario, share float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +80,7 @@
 	return c.rotations[volume]
 }
 
-// rateFactor is how many times its usual traffic a volume asks for now.
+// rateFactor returns the factor by which a volume's traffic currently differs from its usual rate.
 func (c *trafficChanges) rateFactor(plan, volume int) float64 {
 	factor := 1.0
 	for _, surge := range c.activeSurges(plan) {
@@ -91,7 +91,7 @@
 	return factor
 }
 
-// maxRateFactor is the most that rateFactor is for a plan's volumes, and at least 1.
+// maxRateFactor returns an upper bound, at least 1, of rateFactor for a plan's volumes.
 func (c *trafficChanges) maxRateFactor(plan int) float64 {
 	factor := 1.0
 	for _, surge := range c.activeSurges(plan) {
@@ -100,7 +100,7 @@
 	return factor
 }
 
-// activeSurges are the surges of a plan's traffic that are not over.
+// activeSurges returns the current surges of a plan's traffic, and removes those that are over.
 func (c *trafficChanges) activeSurges(plan int) []activeSurge {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +114,7 @@
 	return active
 }
 
-// apply draws whether a request is heavy and its client impatient.
+// apply randomly makes a request heavy or its client impatient, according to the current faults.
 func (c *trafficChanges) apply(drawn *clientRequest, rng *rand.Rand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
