--- a/internal/testbed/bytes_test.go
+++ b/internal/testbed/bytes_test.go
@@ -7,7 +7,8 @@
 	"landingpaddle/internal/proto"
 )
 
-// fieldsScenario reads and writes slices of fields over extents' edges, with what breaks operations.
+// fieldsScenario returns a scenario that reads and writes slices of fields across extent boundaries, with
+// faults that break operations.
 func fieldsScenario(t *testing.T) *Scenario {
 	t.Helper()
 	site := "(extents (size 64KiB) (members 16) (cells 3))" + readClass + writeClass
@@ -25,14 +26,15 @@
 	return scenario
 }
 
-// isReadAnswer tells whether an event is an answer with bytes that were read.
+// isReadAnswer reports whether an event is an answer with bytes that were read.
 func isReadAnswer(event *Event) bool {
 	return event.Kind == KindAnswer && event.Code == proto.OK && event.Data != 0 && !event.Write
 }
 
-// Slices of fields are read and written while connections break, nodes die and answers get lost: every rule
-// is kept, bytes included; and a log in which one byte, one length or one write differs is caught.
-func TestBytes_AreRightThroughFaults(t *testing.T) {
+// Slices of fields are read and written while connections break, nodes are killed and answers are lost. Every
+// rule must be kept, including that of the bytes, and a log in which one byte, one length or one write
+// differs must be detected.
+func TestBytes_AreCorrectDespiteFaults(t *testing.T) {
 	t.Parallel()
 	scenario := fieldsScenario(t)
 	events := runKeepingRules(t, scenario)
@@ -40,7 +42,7 @@
 		t.Errorf("%d merged operations, %d further pieces", merged, split)
 	}
 	for name, change := range map[string]func(*Event) bool{
-		"a byte that a client got": func(event *Event) bool {
+		"a byte that a client received": func(event *Event) bool {
 			event.Sum++
 			return isReadAnswer(event)
 		},
@@ -55,7 +57,7 @@
 	} {
 		for _, verdict := range CheckInvariants(&scenario.Site, changeFirst(events, change)) {
 			if verdict.Rule == RuleBytes && verdict.Holds {
-				t.Errorf("%s: not caught", name)
+				t.Errorf("%s: not detected", name)
 			}
 		}
 	}
@@ -91,7 +93,7 @@
 	return changed
 }
 
-// With merging disabled the same scenario keeps its rules too, and no operation has two members.
+// With merging disabled the same scenario must keep the rules too, and no operation may have two members.
 func TestBytes_NothingIsMergedWhenDisabled(t *testing.T) {
 	t.Parallel()
 	scenario := fieldsScenario(t)
--- a/internal/testbed/checksum.go
+++ b/internal/testbed/checksum.go
@@ -1,15 +1,15 @@
 package testbed
 
-// patternByte is what a byte of a volume reads as before it is written for the first time.
+// patternByte returns the initial value of a byte of a volume, before its first write.
 func patternByte(volume, offset uint64) byte {
 	return byte((volume*0x9e3779b97f4a7c15 ^ offset*0xff51afd7ed558ccd) >> 56)
 }
 
-// writtenByte is what a stand-in client's write puts at an offset.
+// writtenByte returns the byte that a stand-in client's write stores at an offset.
 func writtenByte(token, offset uint64) byte { return patternByte(token^1<<63, offset) }
 
-// checksum is a checksum of bytes and where they lie. Those of a range's parts add up to the whole's, so
-// that what a client got can be compared with what several nodes gave.
+// checksum returns a checksum of bytes and their offsets. The checksums of a range's parts add up to that of
+// the range, so that a client's answer can be compared with the data of several nodes.
 func checksum(offset uint64, data []byte) (sum uint64) {
 	for i, b := range data {
 		sum += byteChecksum(offset+uint64(i), b)
@@ -17,7 +17,7 @@
 	return sum
 }
 
-// patternSum is the checksum of a range that was never written.
+// patternSum returns the checksum of a range that was never written.
 func patternSum(volume, offset, length uint64) (sum uint64) {
 	for i := range length {
 		sum += byteChecksum(offset+i, patternByte(volume, offset+i))
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -1,4 +1,4 @@
-// Package testbed holds stand-ins for clients and storage nodes, scenarios with injected faults, and the
-// invariant checker, which judges the rules from what passed on the sockets. Nothing on the daemon's path
-// imports it.
+// Package testbed contains stand-ins for clients and storage nodes, scenarios with injected faults, and the
+// invariant checker, which checks the rules against the logged socket traffic. The daemon's packages don't
+// import it.
 package testbed
--- a/internal/testbed/forms_test.go
+++ b/internal/testbed/forms_test.go
@@ -11,7 +11,7 @@
 	"landingpaddle/internal/sexpr"
 )
 
-// fullEvent has another value in each field.
+// fullEvent has a distinct value in each field.
 var fullEvent = Event{
 	Time:      1,
 	Kind:      KindSent,
@@ -51,9 +51,9 @@
 	KindInstanceKilled, KindInstanceStalled, KindConnectionsStuck, KindProcessStalled,
 }
 
-// A log's lines, the checker's verdicts and the settings of the embedded scenario are read by other
-// programs.
-func TestForms_AreAsOtherProgramsReadThem(t *testing.T) {
+// Other programs read the lines of a log, the checker's verdicts and the settings of the embedded scenario.
+// Their formats must not change.
+func TestForms_MatchGoldenFile(t *testing.T) {
 	var out strings.Builder
 	writeLine := func(value any) {
 		t.Helper()
--- a/internal/testbed/log.go
+++ b/internal/testbed/log.go
@@ -13,43 +13,43 @@
 	"time"
 )
 
-// maxLogLine bounds one line of a log, in bytes.
+// maxLogLine is the maximum length of one line of a log, in bytes.
 const maxLogLine = 1 << 16
 
 var (
-	// ErrNoLogs is returned for a folder that holds no logs.
-	ErrNoLogs = errors.New("no *.jsonl here")
-	// ErrNoKind is returned for a line of a log that does not say what kind of event it is.
-	ErrNoKind = errors.New("no kind of event")
+	// ErrNoLogs is returned for a folder that contains no logs.
+	ErrNoLogs = errors.New("no *.jsonl files")
+	// ErrNoKind is returned for a line of a log whose event has no kind.
+	ErrNoKind = errors.New("the event has no kind")
 )
 
-// LogError is a line of a log that cannot be read.
+// LogError reports a line of a log that cannot be read.
 type LogError struct {
 	File string
 	Line int // from 1
 	Err  error
 }
 
-// Error gives file, line and cause.
+// Error returns the file, the line and the cause.
 func (e *LogError) Error() string { return fmt.Sprintf("%s:%d:1: %v", e.File, e.Line, e.Err) }
 
 // Unwrap returns the cause.
 func (e *LogError) Unwrap() error { return e.Err }
 
-// Log keeps events in the order in which they were added. Any goroutine may use it.
+// Log stores events in the order in which they were added. It is safe for concurrent use.
 type Log struct {
 	mu     sync.Mutex
 	events []Event
 	start  time.Time
 }
 
-// NewLog starts an empty log.
+// NewLog returns an empty log whose clock starts at the current time.
 func NewLog() *Log { return &Log{start: time.Now()} }
 
-// Now is the log's clock, in Unix nanoseconds; it is monotonic.
+// Now returns the time of the log's clock, which is monotonic, in Unix nanoseconds.
 func (l *Log) Now() int64 { return l.start.UnixNano() + int64(time.Since(l.start)) }
 
-// Add stamps an event with the time and appends it.
+// Add sets an event's time to Now and appends it.
 func (l *Log) Add(event Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/log_folder.go
+++ b/internal/testbed/log_folder.go
@@ -8,13 +8,13 @@
 	"landingpaddle/internal/sexpr"
 )
 
-// Files of a folder with logs. Logs of other processes may stand beside the scenario's own.
+// Files of a folder with logs. It may also contain logs of other processes.
 const (
-	siteFile        = "site.lisp" // the settings by which the logs are judged
+	siteFile        = "site.lisp" // the settings against which the logs are checked
 	scenarioLogFile = "day.jsonl"
 )
 
-// WriteLogFolder writes a run's events and its site's settings into a folder, which is made if missing.
+// WriteLogFolder writes a run's events and its site's settings into a folder, which is created if missing.
 func WriteLogFolder(dir string, site *config.Site, events []Event) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -26,7 +26,7 @@
 	return WriteEvents(filepath.Join(dir, scenarioLogFile), events)
 }
 
-// ReadLogFolder reads the site's settings and all logs of a folder. Errors name the place; see ReadDir.
+// ReadLogFolder reads the site's settings and all logs of a folder. Errors give file and line; see ReadDir.
 func ReadLogFolder(dir string) (*config.Site, []Event, error) {
 	site := config.DefaultSite()
 	if err := config.Load(filepath.Join(dir, siteFile), "site", &site); err != nil {
--- a/internal/testbed/log_test.go
+++ b/internal/testbed/log_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLog_ReadsBackAndNamesBadLines(t *testing.T) {
+func TestLog_ReadsWrittenEventsAndReportsBadLines(t *testing.T) {
 	dir := t.TempDir()
 	log := NewLog()
 	log.Add(Event{Kind: KindSent, Token: 7, Wait: 5})
--- a/internal/testbed/meter.go
+++ b/internal/testbed/meter.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Meter knows what each volume was served by all nodes, period by period. Any goroutine may use it.
+// Meter counts the units that all nodes served for each volume, by period. It is safe for concurrent use.
 type Meter struct {
 	mu       sync.Mutex
 	period   time.Duration
 	start    time.Time
-	current  map[uint64]float64 // units by volume in this period
-	previous map[uint64]float64 // and in the last finished one
-	number   int64              // of this period, from 0
+	current  map[uint64]float64 // units by volume in the current period
+	previous map[uint64]float64 // units by volume in the last completed period
+	number   int64              // number of the current period, from 0
 }
 
-// NewMeter returns a meter that counts in periods of that length; 0: it never counts.
+// NewMeter returns a meter with periods of the given length; 0 disables it.
 func NewMeter(period time.Duration) *Meter {
 	return &Meter{
 		period:   period,
@@ -25,8 +25,8 @@
 	}
 }
 
-// served counts units and returns 1 + what the volume was served in the last finished period, in percent of
-// its rate (units a second); 0 without a meter.
+// served counts units and returns 1 + the units served for the volume in the last completed period, as a
+// percentage of its rate (units a second); 0 in the first period, with a disabled meter, or for a rate of 0.
 func (m *Meter) served(volume uint64, units, rate float64) uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -34,7 +34,7 @@
 		return 0
 	}
 	if number := int64(time.Since(m.start) / m.period); number != m.number {
-		if number > m.number+1 { // nothing was counted in the last finished period
+		if number > m.number+1 { // nothing was counted in the last completed period
 			m.current = map[uint64]float64{}
 		}
 		m.previous, m.current, m.number = m.current, map[uint64]float64{}, number
@@ -46,8 +46,8 @@
 	return 1 + uint32(100*m.previous[volume]/(rate*m.period.Seconds()))
 }
 
-// elsewhereCounter tells instances what others were served of a volume by one incarnation of a node. Its
-// owner locks.
+// elsewhereCounter counts the units that one incarnation of a node served, by volume and instance, to report
+// to each instance the units served to the others. It is guarded by the process's lock.
 type elsewhereCounter struct {
 	served   map[uint64]map[int]float64 // units by volume and instance
 	reported map[uint64]map[int]float64 // units of others that were reported to each instance
@@ -57,8 +57,8 @@
 	return elsewhereCounter{served: map[uint64]map[int]float64{}, reported: map[uint64]map[int]float64{}}
 }
 
-// add counts units served to an instance and, if they are reported, returns the units that other instances
-// were served since the last report to this one.
+// add counts units served to an instance and, if report is set, returns the units served to other instances
+// since the last report to this one; 0 otherwise.
 func (c *elsewhereCounter) add(volume uint64, instance int, units float64, report bool) uint32 {
 	byInstance := c.served[volume]
 	if byInstance == nil {
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -8,19 +8,19 @@
 	"landingpaddle/internal/config"
 )
 
-// Report is what a run of a scenario came to: the verdicts on its rules and its summary, with those of runs
-// that it is compared with.
+// Report is the result of a run of a scenario: the verdicts on the rules and the summary, with the summaries
+// of the runs with which it is compared.
 type Report struct {
 	Scenario   string    `json:"day"`
 	Seed       uint64    `json:"seed"`
 	Verdicts   []Verdict `json:"rules"`
 	Summary    Summary   `json:"worth"`
-	Baseline   *Summary  `json:"baseline,omitempty"` // with everything sent at once; nil: not run
-	Unmerged   *Summary  `json:"unmerged,omitempty"` // with nothing merged; nil: not run
-	Suppressed int64     `json:"not_asked,omitempty"`
+	Baseline   *Summary  `json:"baseline,omitempty"`  // with everything sent at once; nil: not run
+	Unmerged   *Summary  `json:"unmerged,omitempty"`  // with merging disabled; nil: not run
+	Suppressed int64     `json:"not_asked,omitempty"` // requests not sent, as too many were open
 }
 
-// NewReport judges and summarizes a recording.
+// NewReport checks the rules against a recording and summarizes it.
 func NewReport(name string, seed uint64, site *config.Site, recording *Recording) *Report {
 	return &Report{
 		Scenario:   name,
@@ -31,7 +31,7 @@
 	}
 }
 
-// Err is an error if a rule is broken.
+// Err returns an error if a rule is broken.
 func (r *Report) Err() error {
 	broken := 0
 	for _, verdict := range r.Verdicts {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// Print writes a report for a terminal.
+// Print writes the report as text.
 func (r *Report) Print(out io.Writer) {
 	fmt.Fprintf(out, "%s, seed %d\n", r.Scenario, r.Seed)
 	for _, verdict := range r.Verdicts {
--- a/internal/testbed/request_trace.go
+++ b/internal/testbed/request_trace.go
@@ -2,7 +2,7 @@
 
 import "landingpaddle/internal/proto"
 
-// requestKey names one request: a client's retry has the token of the first request.
+// requestKey identifies one request: a client's retry has the token of the first request, and another try.
 type requestKey struct {
 	token uint64
 	try   int
@@ -10,7 +10,7 @@
 
 func keyOf(event Event) requestKey { return requestKey{event.Token, event.Try} }
 
-// attemptKey names an attempt at a node.
+// attemptKey identifies an attempt at a node.
 type attemptKey struct {
 	request requestKey
 	piece   int
@@ -18,36 +18,36 @@
 	attempt int
 }
 
-// requestTraces puts events together by requests and attempts.
+// requestTraces groups events by requests and attempts.
 type requestTraces struct {
 	byKey   map[requestKey]*requestTrace
 	sent    []*requestTrace // in the order sent
 	attempt map[attemptKey]*attemptTrace
 }
 
-// requestTrace is one request of a client and all that came of it.
+// requestTrace is one request of a client with its attempts and the events that ended it.
 type requestTrace struct {
 	sent     Event
-	ends     []Event // answers, and how else it ended
+	ends     []Event // answers, timeouts and lost or closed connections
 	attempts []*attemptTrace
 }
 
-// attemptTrace is one attempt as its node saw it. Times are in Unix nanoseconds.
+// attemptTrace is one attempt according to its node's log. Times are in Unix nanoseconds.
 type attemptTrace struct {
 	arrive      Event
-	repliedAt   int64 // when the answer was written; 0: never
-	cancelledAt int64 // when it was cancelled, its connection ended or its node stopped; 0: never
+	repliedAt   int64 // when the answer was written; 0: not
+	cancelledAt int64 // when it was cancelled, its connection ended or its node stopped; 0: not
 	code        proto.Code
 	tookEffect  bool
 	ended       bool
-	sum         uint64 // checksum of the bytes, once ended
+	sum         uint64 // checksum of the bytes; 0 until ended
 }
 
 func newRequestTraces() requestTraces {
 	return requestTraces{byKey: map[requestKey]*requestTrace{}, attempt: map[attemptKey]*attemptTrace{}}
 }
 
-// add takes in the next event in order of time.
+// add records an event; events must be added in order of time.
 func (r *requestTraces) add(event Event) {
 	switch event.Kind {
 	case KindSent:
@@ -65,7 +65,7 @@
 	}
 }
 
-// addToAttempt takes in a node's event of an attempt.
+// addToAttempt records a node's event of an attempt.
 func (r *requestTraces) addToAttempt(event Event) {
 	key := attemptKey{keyOf(event), event.Piece, event.Node, event.Attempt}
 	if event.Kind == KindArrive {
@@ -96,7 +96,7 @@
 	}
 }
 
-// cancelAttemptsAt takes in that a node stopped: nothing at it is replied to any more.
+// cancelAttemptsAt marks a stopped node's unanswered attempts as cancelled: it sends no more answers.
 func (r *requestTraces) cancelAttemptsAt(stopped Event) {
 	for key, attempt := range r.attempt {
 		if key.node == stopped.Node && attempt.repliedAt == 0 && attempt.cancelledAt == 0 {
@@ -105,7 +105,7 @@
 	}
 }
 
-// answer is a request's first final answer; false if it has none.
+// answer returns a request's first final answer; false if it has none.
 func (t *requestTrace) answer() (Event, bool) {
 	for _, event := range t.ends {
 		if event.Kind == KindAnswer {
@@ -115,7 +115,7 @@
 	return Event{}, false
 }
 
-// countEnds is how many of a request's ends are of a kind.
+// countEnds returns the number of a request's ends that are of a kind.
 func (t *requestTrace) countEnds(kind Kind) (count int) {
 	for _, event := range t.ends {
 		if event.Kind == kind {
@@ -125,7 +125,7 @@
 	return count
 }
 
-// mayHaveRun is false for an attempt that its node rejected, or that was not applicable there.
+// mayHaveRun reports whether an attempt may have run: its node answered neither Overloaded nor NotApplicable.
 func (a *attemptTrace) mayHaveRun() bool {
 	return a.code != proto.Overloaded && a.code != proto.NotApplicable
 }
--- a/internal/testbed/slow_start.go
+++ b/internal/testbed/slow_start.go
@@ -6,39 +6,41 @@
 	"landingpaddle/internal/config"
 )
 
-// minWorkPerUnit is the least work of a unit from which a node's rate is reckoned.
+// minWorkPerUnit is the lower bound of the work per unit in the calculation of a node's rate.
 const minWorkPerUnit = 100 * time.Microsecond
 
-// slowStart is how a restarted node's capacity grows, and what it was sent meanwhile.
+// slowStart models a restarted node's growing capacity and records the load that arrives while it is cold.
 type slowStart struct {
-	cold    bool // false: started long ago, with its full capacity
+	cold    bool // false: started long ago, with full capacity
 	started time.Time
 	rules   *config.Rules
 
-	arrived []arrivedUnits // within the overload window; its owner locks
-	sum     float64        // of their units
+	arrived []arrivedUnits // within the overload window; guarded by the process's lock
+	sum     float64        // of their units; guarded by the process's lock
 }
 
-// arrivedUnits is the size of a request and when it arrived.
+// arrivedUnits is the size of a request and its arrival time.
 type arrivedUnits struct {
 	at    time.Time
 	units float64
 }
 
-// capacity is the part of its work that the node can do now; it grows evenly over the slow-start period.
+// capacity returns the current fraction of the node's full capacity. It grows linearly over the slow-start
+// period.
 func (s *slowStart) capacity() float64 {
 	if !s.cold || s.rules.SlowStartPeriod <= 0 {
 		return 1
 	}
-	warmth := (1 - s.rules.ColdFraction) * time.Since(s.started).Seconds() / s.rules.SlowStartPeriod.Seconds()
-	return min(1, s.rules.ColdFraction+warmth)
+	gained := (1 - s.rules.ColdFraction) * time.Since(s.started).Seconds() / s.rules.SlowStartPeriod.Seconds()
+	return min(1, s.rules.ColdFraction+gained)
 }
 
-// add takes in an arriving request and tells whether it overloads a cold node: sent more than the stated
-// multiple of what the node can do now, over the overload window.
+// add records an arriving request and reports whether it makes a cold node collapse: whether the units that
+// arrived within the overload window exceed OverloadFactor times what the node can serve in that window at
+// its current capacity.
 func (s *slowStart) add(units float64, model *config.NodeModel) (collapses bool) {
-	observed := s.rules.SlowStartPeriod + s.rules.OverloadWindow
-	if !s.cold || s.rules.SlowStartPeriod <= 0 || time.Since(s.started) > observed {
+	trackingPeriod := s.rules.SlowStartPeriod + s.rules.OverloadWindow
+	if !s.cold || s.rules.SlowStartPeriod <= 0 || time.Since(s.started) > trackingPeriod {
 		return false
 	}
 	now := time.Now()
--- a/internal/testbed/summary.go
+++ b/internal/testbed/summary.go
@@ -9,69 +9,70 @@
 	"landingpaddle/internal/proto"
 )
 
-// Summary is what a scenario's requests came to. A client's retries count as part of its first request.
+// Summary counts the outcomes of a scenario's requests. A client's retries are part of the first request.
 type Summary struct {
-	Asked       int     `json:"asked"`
+	Asked       int     `json:"asked"`   // requests that clients sent
 	InTime      int     `json:"in_time"` // served within the class's latency objective
-	Late        int     `json:"late"`    // served after it
+	Late        int     `json:"late"`    // served after the latency objective
 	Rejected    int     `json:"refused"`
 	Failed      int     `json:"failed"`
 	Unanswered  int     `json:"none"`
-	EarnedShare float64 `json:"share"`      // priority weight earned, of that asked
-	Attempts    int     `json:"sends"`      // that reached a node
-	Operations  int     `json:"operations"` // that they came as
-	P50         float64 `json:"p50_ms"`     // from the first request to being served, in milliseconds
+	EarnedShare float64 `json:"share"`      // fraction of the requested priority weight that was earned
+	Attempts    int     `json:"sends"`      // attempts that reached a node
+	Operations  int     `json:"operations"` // operations that contained the attempts
+	P50         float64 `json:"p50_ms"`     // from the first send to the serving answer, in milliseconds
 	P99         float64 `json:"p99_ms"`
-	CPU         float64 `json:"cpu_us"` // of the whole process, in microseconds a request; 0: not known
-	Wasted      int     `json:"wasted"` // attempts that served no answer
+	CPU         float64 `json:"cpu_us"` // of the whole process, in microseconds per request; 0: unknown
+	Wasted      int     `json:"wasted"` // attempts without a successful reply
 }
 
-// Served is how many requests were served, in time or late.
+// Served returns the number of requests served, in time or late.
 func (s *Summary) Served() int { return s.InTime + s.Late }
 
-// OperationsPerServed is how many operations the nodes did for each request that was served.
+// OperationsPerServed returns the number of operations at the nodes for each served request.
 func (s *Summary) OperationsPerServed() float64 {
 	return float64(s.Operations) / float64(max(1, s.Served()))
 }
 
-// requestOutcome is a client's request with its retries.
+// requestOutcome is the outcome of a client's request, including its retries.
 type requestOutcome struct {
 	first Event
-	last  Event // answer; the first that served it
+	last  Event // the first successful answer, or else the last answer
 	ended bool
 }
 
 func (o *requestOutcome) served() bool { return o.ended && o.last.Code == proto.OK }
 
-// operationKey names an operation at a node.
+// operationKey identifies an operation at a node.
 type operationKey struct {
 	node      int
 	operation uint64
 }
 
-// Summarize adds up what was served, by the clients' logs: full priority weight within a class's latency
-// objective from the first request on, its late fraction after that, in units and by plan.
+// Summarize summarizes a recording of a run on a site. A served request earns its full priority weight within
+// the class's latency objective, measured from the first send, and the class's late fraction after it. The
+// weight is that of class times plan, scaled by the request's units relative to the site's mean.
 func Summarize(site *config.Site, recording *Recording) Summary {
 	var summary Summary
 	outcomes := summary.countEvents(recording.Events)
 	latencies := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
-	asked, earned := 0.0, 0.0
+	requestedWeight, earnedWeight := 0.0, 0.0
 	for _, outcome := range outcomes {
 		class, plan := site.Classes[outcome.first.Class], site.Plans[outcome.first.Plan]
 		weight := class.PriorityWeight * plan.PriorityWeight * float64(outcome.first.Units) /
 			max(site.MeanUnits, 1)
-		asked += weight
+		requestedWeight += weight
 		latency := time.Duration(outcome.last.Time - outcome.first.Time)
 		if outcome.served() {
-			_ = latencies.RecordValue(latency.Microseconds()) // what is out of its range took over a minute
+			_ = latencies.RecordValue(latency.Microseconds()) // fails only for latencies over a minute
 		}
-		earned += weight * summary.countOutcome(outcome, class, latency)
+		earnedWeight += weight * summary.countOutcome(outcome, class, latency)
 	}
 	summary.P50 = float64(latencies.ValueAtQuantile(50)) / 1000
 	summary.P99 = float64(latencies.ValueAtQuantile(99)) / 1000
 	summary.CPU = float64(recording.CPU.Microseconds()) / float64(max(1, summary.Asked))
-	if asked > 0 {
-		summary.EarnedShare = earned / asked
+	if requestedWeight > 0 {
+		summary.EarnedShare = earnedWeight / requestedWeight
 	}
 	return summary
 }
@@ -79,7 +80,7 @@
 // countEvents counts attempts and operations and returns the requests' outcomes by token.
 func (s *Summary) countEvents(events []Event) map[uint64]*requestOutcome {
 	outcomes, operations := map[uint64]*requestOutcome{}, map[operationKey]bool{}
-	useful := 0
+	successful := 0
 	for _, event := range events {
 		switch event.Kind {
 		case KindSent:
@@ -95,11 +96,11 @@
 			operations[operationKey{event.Node, event.Operation}] = true
 		case KindReplied:
 			if event.Code == proto.OK {
-				useful++
+				successful++
 			}
 		}
 	}
-	s.Operations, s.Wasted = len(operations), s.Attempts-useful
+	s.Operations, s.Wasted = len(operations), s.Attempts-successful
 	return outcomes
 }
 
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Parts of scenarios.
+// Forms for scenarios.
 const (
 	readClass  = `(class read (aim 400ms) (deadline 1s) (repeat safe))`
 	writeClass = `(class write (aim 400ms) (deadline 1s) (repeat keyed) (group cell) (window 5s) (in-order)
@@ -20,7 +20,7 @@
 	reads = `(traffic (class read) (plan free) (rate 150) (volumes 4) (units 1 4) (writers 2))`
 )
 
-// smallScenario is a short scenario for one rule; the forms given are added to it.
+// smallScenario returns a short scenario, to which the given forms are added.
 func smallScenario(t *testing.T, classes, rules, more string) *Scenario {
 	t.Helper()
 	scenario, err := ParseScenario("small.lisp", fmt.Appendf(nil, `(day (length 3s) (instances 2)
@@ -36,7 +36,7 @@
 	return &scenario
 }
 
-// runKeepingRules runs a scenario and checks that every rule is kept; it returns the events.
+// runKeepingRules runs a scenario, checks that every rule is kept and returns the events.
 func runKeepingRules(t *testing.T, scenario *Scenario) []Event {
 	t.Helper()
 	recording, err := RunScenario(context.Background(), scenario, Options{Seed: 3, Dir: t.TempDir()})
