--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -8,7 +8,7 @@
 	"landingpaddle/internal/proto"
 )
 
-// Limits of a client's connections, and for how long it tries to make one.
+// Timeouts and limits of a client's connections.
 const (
 	dialTimeout       = 250 * time.Millisecond
 	clientHandshake   = time.Second
@@ -19,27 +19,27 @@
 	clientMaxRequests = 1 << 16
 )
 
-// lateMargin is how long stand-in clients stay to see a late answer; the invariant checker judges by the
-// site's own slack.
+// lateMargin is how long a stand-in client waits beyond its timeout, so that a late answer is logged. The
+// invariant checker decides by the site's answer slack whether an answer is late.
 const lateMargin = 200 * time.Millisecond
 
-// noCell stands for a cell that is not known.
+// noCell represents an unknown cell.
 const noCell = -1
 
-// ClientBehavior is what clients do when a request was not served.
+// ClientBehavior specifies how clients retry a request that was not served.
 type ClientBehavior struct {
 	Retries         int
-	RetryDelay      time.Duration // before a retry
-	HonorRetryAfter bool          // wait as long as a rejection says
-	FailOver        bool          // go to another instance when one cannot be reached
+	RetryDelay      time.Duration // the least delay before a retry
+	HonorRetryAfter bool          // retries wait at least for an answer's Retry-After
+	FailOver        bool          // retry at another instance when one is not reachable or disconnects
 }
 
-// Client is a stand-in client: one connection to each instance that it uses, made when needed. Any goroutine
-// may use it.
+// Client is a stand-in client with one connection to each instance that it uses, opened on demand. Any
+// goroutine may use it.
 type Client struct {
 	number   int
 	log      *Log
-	addrs    []string // of the instances
+	addrs    []string // of the instances, by number
 	behavior ClientBehavior
 
 	mu        sync.Mutex
@@ -48,7 +48,7 @@
 	readers   sync.WaitGroup
 }
 
-// NewClient makes a client of the instances at those addresses.
+// NewClient returns a client of the instances at addrs, which are indexed by instance number.
 func NewClient(number int, log *Log, addrs []string, behavior ClientBehavior) *Client {
 	return &Client{
 		number:   number,
@@ -59,7 +59,7 @@
 	}
 }
 
-// Reconnect closes all connections; the next request makes new ones.
+// Reconnect closes all connections; the next requests open new ones.
 func (c *Client) Reconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,35 +69,35 @@
 	c.conns = map[int]*clientConn{}
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes all connections and waits for their goroutines to end.
 func (c *Client) Close() {
 	c.Reconnect()
 	c.readers.Wait()
 }
 
-// Result is how a request ended for its client, its retries included.
+// Result is the outcome of a request for its client, retries included.
 type Result struct {
-	Code proto.Code // 0: no answer
-	Took time.Duration
-	Cell int // that holds a served request's data; -1: not known
+	Code proto.Code    // 0: no answer
+	Took time.Duration // from the first try
+	Cell int           // that stores a served request's data; -1: unknown
 }
 
-// Do sends a request to one of the instances, and again by the client's behaviour, until it is served or its
-// timeout has passed. request.Timeout is the whole time that the client waits; patience, where not 0, is how
-// long it waits for one answer.
+// Do sends a request to the first of the instances and retries it as the client's behaviour specifies, until
+// it is served or its timeout has passed. request.Timeout is the total time over all tries; answerTimeout, if
+// not 0, limits the wait for one answer.
 func (c *Client) Do(ctx context.Context, request proto.Request, instances []int,
-	patience time.Duration) Result {
+	answerTimeout time.Duration) Result {
 	start := time.Now()
 	deadline := start.Add(request.Timeout)
-	turn := 0
+	failovers := 0
 	request.Client = uint32(c.number)
 	for try := 0; ; try++ {
 		request.ClientTry = uint16(try)
 		request.Timeout = time.Until(deadline)
-		if patience > 0 {
-			request.Timeout = min(request.Timeout, patience)
+		if answerTimeout > 0 {
+			request.Timeout = min(request.Timeout, answerTimeout)
 		}
-		answer, reached := c.send(ctx, request, instances[turn%len(instances)])
+		answer, reached := c.send(ctx, request, instances[failovers%len(instances)])
 		if reached && answer.Code == proto.OK {
 			return Result{proto.OK, time.Since(start), int(answer.Cell) - 1}
 		}
@@ -105,7 +105,7 @@
 			return Result{answer.Code, time.Since(start), noCell}
 		}
 		if !reached && c.behavior.FailOver {
-			turn++
+			failovers++
 		}
 		delay := c.retryDelay(answer)
 		if time.Until(deadline) <= delay || !sleep(ctx, delay) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// retryDelay is how long the client waits before it retries after an answer.
+// retryDelay returns the delay before a retry after an answer.
 func (c *Client) retryDelay(answer proto.Answer) time.Duration {
 	if c.behavior.HonorRetryAfter {
 		return max(c.behavior.RetryDelay, answer.RetryAfter)
@@ -122,8 +122,8 @@
 	return c.behavior.RetryDelay
 }
 
-// send sends a request once and returns its answer, the zero one if none came in time. It returns false where
-// the instance could not be reached or was lost before it answered.
+// send sends a request once and returns its answer, or the zero value if none arrived in time. It returns
+// false if the instance could not be reached, or the connection or ctx ended before the answer.
 func (c *Client) send(ctx context.Context, request proto.Request, instance int) (proto.Answer, bool) {
 	conn := c.connTo(ctx, instance)
 	if conn.err != nil {
@@ -136,7 +136,8 @@
 	return conn.await(ctx, pending)
 }
 
-// connTo is the connection to an instance, made if there is none. Its err says whether that failed.
+// connTo returns the connection to an instance and opens it if there is none. Its err is not nil if that
+// failed.
 func (c *Client) connTo(ctx context.Context, instance int) *clientConn {
 	c.mu.Lock()
 	conn := c.conns[instance]
@@ -175,7 +176,7 @@
 	}
 }
 
-// forget makes the next request to a connection's instance make another one.
+// forget removes a connection, so that the next request to its instance opens a new one.
 func (c *Client) forget(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -12,7 +12,7 @@
 type clientConn struct {
 	client   *Client
 	instance int
-	number   uint64        // among the client's connections, from 1
+	number   uint64        // of this connection among the client's, from 1
 	made     chan struct{} // closed once conn or err is set
 	conn     *proto.Conn
 	err      error
@@ -20,16 +20,16 @@
 	mu         sync.Mutex
 	lastStream uint64
 	waiting    map[uint64]chan proto.Answer // by stream
-	sent       map[uint64]proto.Request     // of all streams, so that a second answer is known for what it is
-	gone       bool
-	left       bool // the client ended the connection itself
+	sent       map[uint64]proto.Request     // by stream; kept after the answer, to log a second one
+	gone       bool // the connection has ended
+	left       bool // the client itself closed the connection
 }
 
-// pendingRequest is a request that was sent.
+// pendingRequest is a request that was sent and waits for its answer.
 type pendingRequest struct {
-	sent    Event // as it was logged
+	sent    Event // its KindSent event, as logged
 	timeout time.Duration
-	answer  <-chan proto.Answer // closed without an answer once the connection is gone
+	answer  <-chan proto.Answer // closed without an answer when the connection ends
 }
 
 func newClientConn(client *Client, instance int, number uint64) *clientConn {
@@ -43,7 +43,7 @@
 	}
 }
 
-// leave closes the connection, if it is made already.
+// leave closes the connection gracefully if it is established.
 func (cc *clientConn) leave() {
 	select {
 	case <-cc.made:
@@ -59,9 +59,9 @@
 	cc.conn.CloseGracefully("reconnect")
 }
 
-// read takes answers in until the connection ends.
+// read receives answers until the connection ends, and then closes the channels of all waiting requests.
 func (cc *clientConn) read(ctx context.Context) {
-	_ = cc.conn.Run(ctx, cc.handleFrame) // its end is seen by the requests that wait
+	_ = cc.conn.Run(ctx, cc.handleFrame) // waiting requests are notified by their closed channels
 	cc.client.forget(cc)
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// event is what all events of a request have in common.
+// event returns an event with the fields that all events of a request have in common.
 func (cc *clientConn) event(kind Kind, stream uint64, request *proto.Request) Event {
 	return Event{
 		Kind:     kind,
@@ -120,7 +120,7 @@
 	}
 }
 
-// post logs and sends a request; false where the connection is gone.
+// post logs and sends a request. It returns false if the connection has ended or the request was not sent.
 func (cc *clientConn) post(request proto.Request) (pendingRequest, bool) {
 	cc.mu.Lock()
 	if cc.gone {
@@ -153,7 +153,7 @@
 	return pendingRequest{event, request.Timeout, answer}, true
 }
 
-// writtenPayload is what a ranged write writes; nil for other requests.
+// writtenPayload returns the bytes that a ranged write writes; nil for other requests.
 func writtenPayload(request *proto.Request) []byte {
 	if !request.Ranged || !request.Write {
 		return nil
@@ -165,8 +165,9 @@
 	return payload
 }
 
-// await waits for a request's answer; false where the connection or the client's context ended before it.
-// It waits a little longer than the request says, to see whether the answer comes when it must.
+// await waits for a request's answer and returns the zero value after a timeout. It returns false if the
+// connection or ctx ended first. It waits for lateMargin beyond the request's timeout, so that a late answer
+// is logged.
 func (cc *clientConn) await(ctx context.Context, pending pendingRequest) (proto.Answer, bool) {
 	event := pending.sent
 	timer := time.NewTimer(pending.timeout + lateMargin)
@@ -187,7 +188,7 @@
 	}
 }
 
-// endKind says who ended the connection.
+// endKind returns the kind of event for a request whose connection ended before its answer.
 func (cc *clientConn) endKind() Kind {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/internal/testbed/client_load.go
+++ b/internal/testbed/client_load.go
@@ -9,30 +9,30 @@
 	"landingpaddle/internal/proto"
 )
 
-// loadKeys is how many keys a load's requests have in turn.
+// loadKeys is the number of keys that the requests of a load use in turn.
 const loadKeys = 997
 
-// Load is requests that one client sends to instances in turn, at a rate.
+// Load specifies requests that one client sends to instances in turn, at a constant rate.
 type Load struct {
 	Instances int
 	Requests  int
 	Rate      float64 // requests a second
 	Class     uint16
 	Plan      uint16
-	Cells     int32  // the requests' cells are 0 to this less one, in turn
-	Volumes   uint64 // the requests' volumes are 1 to this, in turn
+	Cells     int32  // number of cells, from 0, that the requests use in turn
+	Volumes   uint64 // number of volumes, from 1, that the requests use in turn
 	Units     uint32 // of each request
 	Timeout   time.Duration
 	Write     bool
 }
 
-// LoadResult is what a load came to.
+// LoadResult is the outcome of a load.
 type LoadResult struct {
-	Ended       map[proto.Code]int // requests by the code of their answer; 0: no answer
+	Ended       map[proto.Code]int // number of requests by the code of their answer; 0: no answer
 	MeanLatency time.Duration
 }
 
-// SendLoad sends a load, or what of it is sent before ctx ends, and returns once all its requests have
+// SendLoad sends a load until it is complete or ctx ends, and returns once all requests that were sent have
 // ended.
 func (c *Client) SendLoad(ctx context.Context, load Load) LoadResult {
 	result := LoadResult{Ended: map[proto.Code]int{}}
@@ -47,11 +47,11 @@
 			break
 		}
 		requests.Go(func() {
-			ended := c.Do(ctx, load.request(uint64(i), firstToken), []int{i % load.Instances}, 0)
+			outcome := c.Do(ctx, load.request(uint64(i), firstToken), []int{i % load.Instances}, 0)
 			mu.Lock()
 			defer mu.Unlock()
-			result.Ended[ended.Code]++
-			total += ended.Took
+			result.Ended[outcome.Code]++
+			total += outcome.Took
 		})
 	}
 	requests.Wait()
@@ -59,7 +59,7 @@
 	return result
 }
 
-// request makes the request of that number, from 0.
+// request returns the request with a number, counted from 0.
 func (l *Load) request(number, firstToken uint64) proto.Request {
 	return proto.Request{
 		Token:           firstToken + number,
--- a/internal/testbed/created_objects.go
+++ b/internal/testbed/created_objects.go
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// At most maxObjects of a plan are remembered; beyond that all but the last keptObjects are dropped.
+// At most maxObjects are stored per plan; beyond that only the latest keptObjects are kept.
 const (
 	maxObjects  = 512
 	keptObjects = 256
 )
 
-// object is where the data lies that a write created.
+// object identifies data that a write created, and the cell that stores it.
 type object struct {
 	key  uint64
 	cell int
 }
 
-// createdObjects remembers objects that writes created, so that reads can ask for them.
+// createdObjects stores the objects that writes created, so that reads can request them.
 type createdObjects struct {
 	mu     sync.Mutex
 	byPlan map[int][]object
@@ -36,7 +36,7 @@
 	c.byPlan[plan] = objects
 }
 
-// draw returns one of a plan's objects; false if there is none.
+// draw returns a random object of a plan, or false if there is none.
 func (c *createdObjects) draw(plan int, rng *rand.Rand) (object, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
