--- a/internal/testbed/dedup.go
+++ b/internal/testbed/dedup.go
@@ -7,39 +7,40 @@
 	"landingpaddle/scheduler"
 )
 
-// DedupGroup remembers operations with an idempotency key for the nodes that drop each other's repeats. Any
-// goroutine may use it.
+// DedupGroup records operations with an idempotency key for a group of nodes that deduplicate each other's
+// operations. Any goroutine may use it.
 type DedupGroup struct {
 	mu   sync.Mutex
 	seen map[uint64]*effect
 }
 
-// effect is what a group remembers of an operation.
+// effect is a group's record of an operation.
 type effect struct {
-	at      time.Time
-	settled chan struct{} // closed once the operation has taken effect, or was forgotten as it never will
+	at      time.Time     // when it was registered
+	settled chan struct{} // closed once the operation has taken effect, or was removed as it never will
 }
 
-// NewDedupGroup returns a group that remembers nothing yet.
+// NewDedupGroup returns an empty group.
 func NewDedupGroup() *DedupGroup { return &DedupGroup{seen: map[uint64]*effect{}} }
 
-// admit registers operations as in progress and tells which of them the group remembers already. While one
-// of them is in progress elsewhere nothing is registered: a repeat must not be answered as done before it
-// is, so it has to wait for the channel returned and ask again.
+// admit registers operations as in progress and reports which of them are repeats of operations registered
+// within the window. While one of them is in progress elsewhere, it registers nothing and returns a channel:
+// a repeat must not be answered as done before the operation is, so the caller waits until the channel is
+// closed and calls admit again.
 func (g *DedupGroup) admit(tokens []uint64, window time.Duration) (repeats []bool, wait <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	repeats = make([]bool, len(tokens))
 	for i, token := range tokens {
-		known := g.seen[token]
-		if known == nil || time.Since(known.at) >= window {
+		registered := g.seen[token]
+		if registered == nil || time.Since(registered.at) >= window {
 			continue
 		}
 		select {
-		case <-known.settled:
+		case <-registered.settled:
 			repeats[i] = true
 		default:
-			return nil, known.settled
+			return nil, registered.settled
 		}
 	}
 	for i, token := range tokens {
@@ -50,26 +51,26 @@
 	return repeats, nil
 }
 
-// settle notes that an operation has taken effect.
+// settle records that an operation has taken effect.
 func (g *DedupGroup) settle(token uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if known := g.seen[token]; known != nil {
-		known.settle()
+	if registered := g.seen[token]; registered != nil {
+		registered.settle()
 	}
 }
 
-// forget drops an operation that will never take effect: a repeat of it is to be carried out.
+// forget removes an operation that will never take effect, so that a repeat of it is carried out.
 func (g *DedupGroup) forget(token uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if known := g.seen[token]; known != nil {
+	if registered := g.seen[token]; registered != nil {
 		delete(g.seen, token)
-		known.settle()
+		registered.settle()
 	}
 }
 
-// settle wakes those who wait. The group's lock is held.
+// settle wakes the repeats that wait for the operation. The caller holds the group's lock.
 func (e *effect) settle() {
 	select {
 	case <-e.settled:
@@ -78,13 +79,13 @@
 	}
 }
 
-// dedupKey names a group: a deduplication scope, and the zone or cell that it covers.
+// dedupKey identifies a group by its deduplication scope and the zone or cell that it covers.
 type dedupKey struct {
 	scope  scheduler.DedupScope
-	number int
+	number int // of the zone or cell; 0 for all nodes
 }
 
-// dedupGroups are the groups of all nodes of a scenario.
+// dedupGroups contains the groups of all nodes of a scenario.
 type dedupGroups struct {
 	mu    sync.Mutex
 	byKey map[dedupKey]*DedupGroup
@@ -92,7 +93,7 @@
 
 func newDedupGroups() *dedupGroups { return &dedupGroups{byKey: map[dedupKey]*DedupGroup{}} }
 
-// forNode returns what gives a node's group for each scope.
+// forNode returns a function that returns a node's group for a scope, creating it on first use.
 func (g *dedupGroups) forNode(zone uint8, cell uint16) func(scheduler.DedupScope) *DedupGroup {
 	return func(scope scheduler.DedupScope) *DedupGroup {
 		key := dedupKey{scope: scope}
--- a/internal/testbed/disk.go
+++ b/internal/testbed/disk.go
@@ -2,13 +2,12 @@
 
 import "sync"
 
-// diskBlockSize is in bytes.
-const diskBlockSize = 4 << 10
+const diskBlockSize = 4 << 10 // bytes
 
-// blockKey names a block of a volume by its number.
+// blockKey identifies a block of a volume by its number.
 type blockKey struct{ volume, number uint64 }
 
-// disk holds the bytes that were written to a node's machine; it outlasts the node's processes. Any
+// disk stores the bytes that were written to a node; its content survives restarts of the node's process. Any
 // goroutine may use it.
 type disk struct {
 	mu     sync.Mutex
@@ -17,7 +16,8 @@
 
 func newDisk() *disk { return &disk{blocks: map[blockKey][]byte{}} }
 
-// eachBlock calls copyPart for the part of a range in each block, with the part of data for it.
+// eachBlock calls copyPart for each block of a range, with the part of the block that is in the range and the
+// corresponding part of data.
 func (d *disk) eachBlock(volume, offset uint64, data []byte, copyPart func(block, part []byte)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -30,7 +30,7 @@
 	}
 }
 
-// block is a block's bytes, those of the pattern at first. The lock is held.
+// block returns a block's bytes, initially those of the pattern. The caller holds d.mu.
 func (d *disk) block(volume, number uint64) []byte {
 	key := blockKey{volume, number}
 	block := d.blocks[key]
--- a/internal/testbed/disk_test.go
+++ b/internal/testbed/disk_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// What is written to a node's machine reads back at any offsets, and what was not as the pattern.
+// Written bytes read back at any offset; bytes that were never written read as the pattern.
 func TestDisk_ReadsBackWhatWasWritten(t *testing.T) {
 	const text, start = "written over the edge of a block, and then some", 4000
 	disk := newDisk()
@@ -19,9 +19,9 @@
 		}
 	}
 	if checksum(3990, got[:30])+checksum(4020, got[30:]) != checksum(3990, got) {
-		t.Error("sums of parts do not add up")
+		t.Error("the checksums of the parts do not add up to that of the whole")
 	}
 	if checksum(5000, disk.read(7, 5000, 100)) != patternSum(7, 5000, 100) {
-		t.Error("an unwritten range is not the pattern")
+		t.Error("an unwritten range does not read as the pattern")
 	}
 }
