--- a/internal/testbed/greedy.go
+++ b/internal/testbed/greedy.go
@@ -10,33 +10,34 @@
 	"landingpaddle/scheduler"
 )
 
-// rewatchAfter is how long a failed watch of the endpoint list is left alone.
+// rewatchAfter is the delay before a failed watch of the endpoint list is opened again.
 const rewatchAfter = time.Second
 
-// Greedy sends everything at once to the node that the endpoint list names. It is the baseline with which a
-// scenario's summary is compared and, with one of its faults set, the mutant for a rule: a scheduler that
-// the invariant checker must catch. Like the scheduler it is owned by one goroutine.
+// Greedy is a scheduler without queues: it sends each request at once to the node that the endpoint list
+// names for its cell. It is the baseline with which a scenario's summary is compared and, with one of its
+// faults set, a mutant that breaks a rule, which the invariant checker must report. Like the scheduler it is
+// owned by one goroutine.
 type Greedy struct {
 	settings  scheduler.Settings
 	endpoints map[scheduler.Server]scheduler.Endpoint
 	requests  map[uint32]*greedyRequest
 	actions   []scheduler.Action
-	turn      int
+	turn      int // counts picks, to use nodes in turn
 	watching  bool
 
-	SendsToDraining    bool // sends to draining and gone nodes
-	IgnoresRetryBudget bool // retries at once whatever the budget, as often as it may
-	RetriesAnywhere    bool // retries requests with an idempotency key at any node
+	SendsToDraining    bool // sends to draining and removed nodes as well
+	IgnoresRetryBudget bool // retries at once, up to MaxAttempts, whatever the retry budget
+	RetriesAnywhere    bool // retries requests with an idempotency key in another zone
 }
 
 type greedyRequest struct {
 	scheduler.Request
 	sends      int
-	sentTo     scheduler.Server
-	mayHaveRun bool
+	sentTo     scheduler.Server // node of the last attempt
+	mayHaveRun bool             // in one of the attempts so far
 }
 
-// NewGreedy makes one for an instance with those settings.
+// NewGreedy returns a Greedy for an instance with the given settings.
 func NewGreedy(settings scheduler.Settings) *Greedy {
 	return &Greedy{
 		settings:  settings,
@@ -45,7 +46,7 @@
 	}
 }
 
-// Handle takes an event in.
+// Handle processes an event.
 func (g *Greedy) Handle(_ time.Duration, event scheduler.Event) {
 	if g.settings.PollEndpoints && !g.watching {
 		g.watching = true
@@ -53,7 +54,7 @@
 	}
 	switch event := event.(type) {
 	case scheduler.TimerFired:
-		g.watching = false // a watch failed a while ago: the next event opens it again
+		g.watching = false // rewatchAfter has passed since a failure: the next event opens a watch
 	case scheduler.EndpointUpdate:
 		g.apply(event)
 	case scheduler.Request:
@@ -69,7 +70,7 @@
 	}
 }
 
-// apply takes in an update of the endpoint list.
+// apply applies an update of the endpoint list.
 func (g *Greedy) apply(update scheduler.EndpointUpdate) {
 	switch update.Kind {
 	case scheduler.UpdateFailed:
@@ -95,14 +96,14 @@
 		result.Code == scheduler.NotApplicable
 	request.mayHaveRun = request.mayHaveRun || !hasNotRun
 	idempotency := g.settings.Classes[request.Class].Idempotency
-	harmless := !request.mayHaveRun || idempotency == scheduler.Idempotent
+	retrySafe := !request.mayHaveRun || idempotency == scheduler.Idempotent
 	attemptsLeft := request.sends < g.settings.MaxAttempts
 	switch {
-	case g.IgnoresRetryBudget && attemptsLeft && harmless:
+	case g.IgnoresRetryBudget && attemptsLeft && retrySafe:
 		g.send(request, g.pick(request, false))
 	case g.RetriesAnywhere && attemptsLeft && idempotency == scheduler.IdempotentByKey:
 		g.send(request, g.pick(request, true))
-	case harmless:
+	case retrySafe:
 		g.finish(request, scheduler.Reject{ID: request.ID})
 	default:
 		g.finish(request, scheduler.Fail{ID: request.ID})
@@ -115,7 +116,7 @@
 	delete(g.requests, request.ID)
 }
 
-// send sends a request to an endpoint and rejects it if that is the zero one.
+// send sends a request to an endpoint, or rejects the request if the endpoint is the zero value.
 func (g *Greedy) send(request *greedyRequest, endpoint scheduler.Endpoint) {
 	if endpoint.Server == (scheduler.Server{}) {
 		g.finish(request, scheduler.Reject{ID: request.ID})
@@ -126,8 +127,9 @@
 	g.actions = append(g.actions, scheduler.Send{ID: request.ID, Server: endpoint.Server})
 }
 
-// pick is the node that holds the request's cell, or for a new object the next in turn, in another zone than
-// before if so wanted; the zero one if there is none.
+// pick returns the node that serves the request's cell or, for a new object, the next node in turn. With
+// otherZone, its zone differs from that of the last attempt's node. It returns the zero value if there is
+// no such node.
 func (g *Greedy) pick(request *greedyRequest, otherZone bool) scheduler.Endpoint {
 	var candidates []scheduler.Endpoint
 	for _, endpoint := range g.endpoints {
@@ -146,15 +148,15 @@
 	return candidates[g.turn%len(candidates)]
 }
 
-// Decide returns what is to be done.
+// Decide returns the actions that have accumulated since its last call.
 func (g *Greedy) Decide(time.Duration) []scheduler.Action {
 	actions := g.actions
 	g.actions = nil
 	return actions
 }
 
-// Baseline returns the hooks that put the greedy baseline in the scheduler's place; change, where set, makes
-// a mutant of it.
+// Baseline returns hooks that replace the scheduler by the greedy baseline; change, if not nil, turns it into
+// a mutant.
 func Baseline(change func(*Greedy)) daemon.Hooks {
 	return daemon.Hooks{Decider: func(settings scheduler.Settings, _ daemon.Decider) daemon.Decider {
 		greedy := NewGreedy(settings)
@@ -165,11 +167,11 @@
 	}}
 }
 
-// AnswerTwice returns the hooks of a scheduler that gives every answer twice.
+// AnswerTwice returns hooks that make an instance send every answer twice.
 func AnswerTwice() daemon.Hooks {
 	return daemon.Hooks{
 		OnAnswer: func(conn *proto.Conn, stream uint64, answer proto.Answer, payload []byte) {
-			_ = conn.Send(proto.TypeAnswer, stream, answer, payload) // a closed connection gets neither
+			_ = conn.Send(proto.TypeAnswer, stream, answer, payload) // on a closed connection neither arrives
 		},
 	}
 }
