--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -21,31 +21,32 @@
 	Zone        uint8
 	Model       config.NodeModel
 	Site        *config.Site
-	Registry    string         // its address
-	Addr        netip.AddrPort // to listen on; the zero value: any free port of the loopback
+	Registry    string         // TCP address of the registry
+	Addr        netip.AddrPort // to listen on; the zero value: any free loopback port
 	Seed        uint64
 	Log         *Log                                         // nil: nothing is logged
-	DedupGroups func(scope scheduler.DedupScope) *DedupGroup // the group that drops repeats with it
+	DedupGroups func(scope scheduler.DedupScope) *DedupGroup // the node's group for a scope
 	Meter       *Meter
-	StartsCold  bool          // its first incarnation started just now, not long ago
-	ClockAhead  time.Duration // by which its clock is ahead of ours
+	StartsCold  bool          // the first incarnation is cold; false: it started long ago
+	ClockAhead  time.Duration // by which its clock is ahead of the testbed's
 }
 
-// Node is a storage node's machine; a process of it runs while Run does, and it may be run again after that.
-// Run may be called by one goroutine at a time, all other methods by any.
+// Node is a stand-in for a storage node's machine. Each call of Run is one process of the node; Run may be
+// called again after it has returned. Run may be called by one goroutine at a time, all other methods by any.
 type Node struct {
 	cfg        NodeConfig
 	Faults     NodeFaults
-	listener   net.Listener // of the next incarnation, where it is bound already; Run's
-	starts     int          // incarnations so far; Run's
+	listener   net.Listener // bound for the next incarnation; nil: not bound yet; used by Run only
+	starts     int          // incarnations so far; used by Run only
 	disk       *disk
-	operations atomic.Uint64 // that have arrived so far
+	operations atomic.Uint64 // number of operations that have arrived so far
 
 	mu      sync.Mutex
-	process *nodeProcess // the running or last one
+	process *nodeProcess // the running or last one; nil before the first
 }
 
-// NewNode makes a machine and binds its address, so that others can be given it before the node runs.
+// NewNode returns a node and binds its address, so that others can be configured with it before the node
+// runs.
 func NewNode(cfg NodeConfig) (*Node, error) {
 	if !cfg.Addr.IsValid() {
 		cfg.Addr = netip.MustParseAddrPort("127.0.0.1:0")
@@ -60,10 +61,10 @@
 	return n, nil
 }
 
-// Addr is where the node listens, in all its incarnations.
+// Addr returns the address on which all incarnations of the node listen.
 func (n *Node) Addr() netip.AddrPort { return n.cfg.Addr }
 
-// Run is one incarnation of the node: until ctx ends, Kill, or the node collapses.
+// Run runs one incarnation of the node until ctx ends, Kill is called or the node collapses.
 func (n *Node) Run(ctx context.Context) error {
 	listener, err := n.takeListener(ctx)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return process.run(ctx, listener)
 }
 
-// takeListener returns what NewNode bound, or binds the address again.
+// takeListener returns the listener that NewNode bound or, for a later incarnation, binds the address again.
 func (n *Node) takeListener(ctx context.Context) (net.Listener, error) {
 	listener := n.listener
 	n.listener = nil
@@ -89,7 +90,7 @@
 	return listenAgain(ctx, n.cfg.Addr)
 }
 
-// currentProcess is the running or last process, nil before the first.
+// currentProcess returns the running or last process, nil before the first.
 func (n *Node) currentProcess() *nodeProcess {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,8 +104,8 @@
 	}
 }
 
-// Drain lets the node finish what it has and take nothing new. It notifies the registry and, where its model
-// does that, the instances on their connections.
+// Drain makes the node finish the operations that it has accepted and reject new ones. It notifies the
+// registry and, if the node's model sends drain notices, the instances on their connections.
 func (n *Node) Drain() {
 	process := n.currentProcess()
 	if process == nil {
@@ -124,7 +125,7 @@
 	}
 }
 
-// ResetConns breaks all connections.
+// ResetConns closes all connections at once, without writing what is queued.
 func (n *Node) ResetConns() {
 	if process := n.currentProcess(); process != nil {
 		process.mu.Lock()
--- a/internal/testbed/node_answer.go
+++ b/internal/testbed/node_answer.go
@@ -2,15 +2,15 @@
 
 import "landingpaddle/internal/proto"
 
-// corruptFrame is what a node writes in place of an answer that a fault corrupts.
+// corruptFrame is invalid data that a node writes in place of an answer that a fault corrupts.
 const corruptFrame = "this is no frame, and nothing that follows on this connection is one either"
 
-// loadQueueLength names the length of the queue among a load report's fields.
+// loadQueueLength is the load report field for the length of the queue.
 const loadQueueLength = "q"
 
-// answer ends an operation, logs its end as kind and writes its answer, unless a fault prevents that.
+// answer ends an operation, logs its end as kind and sends its answer, unless a fault prevents that.
 func (p *nodeProcess) answer(op *operation, kind Kind, code proto.Code) {
-	if kind != KindRepeat { // logged for each member by itself
+	if kind != KindRepeat { // registerMembers has logged it for each member
 		p.logOperation(kind, op, code)
 	}
 	answer := p.makeAnswer(op, code)
@@ -18,7 +18,7 @@
 	payload := p.payloadOf(op, code)
 	switch p.node.Faults.drawAnswerFault() {
 	case answerLost:
-		return // it stays known, so that its cancellation is logged
+		return // the operation stays in conns, so that its cancellation is logged
 	case answerCorrupted:
 		op.conn.SendRaw([]byte(corruptFrame))
 		return
@@ -28,14 +28,15 @@
 	p.mu.Unlock()
 	op.conn.CloseStream(op.stream)
 	if op.conn.Send(proto.TypeAnswer, op.stream, answer, payload) != nil {
-		// The connection ended just now: for the instance the attempt is over.
+		// The connection has ended: for the instance the attempt is over.
 		p.logOperation(KindCancelArrived, op, code)
 		return
 	}
 	p.logOperation(KindReplied, op, code)
 }
 
-// makeAnswer counts what was served and reports it. What is reported of volumes concerns the first member's.
+// makeAnswer counts the units that were served and returns the answer with the node's reports. Those on
+// volumes concern the first member's volume.
 func (p *nodeProcess) makeAnswer(op *operation, code proto.Code) proto.Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,19 +47,20 @@
 	}
 	for i, m := range op.members {
 		isFirst := i == 0
-		metered := p.node.cfg.Meter.served(m.Volume, float64(m.Units), site.Plans[m.Plan].Rate)
-		elsewhere := uint32(0)
+		meteredRate := p.node.cfg.Meter.served(m.Volume, float64(m.Units), site.Plans[m.Plan].Rate)
+		elsewhereUnits := uint32(0)
 		if site.ReportsElsewhere {
-			elsewhere = p.elsewhere.add(m.Volume, op.instance, float64(m.Units), isFirst)
+			elsewhereUnits = p.elsewhere.add(m.Volume, op.instance, float64(m.Units), isFirst)
 		}
 		if isFirst {
-			answer.MeteredRate, answer.ElsewhereUnits = metered, elsewhere
+			answer.MeteredRate, answer.ElsewhereUnits = meteredRate, elsewhereUnits
 		}
 	}
 	return answer
 }
 
-// payloadOf is what was read, or as many bytes as the node's model answers a read with.
+// payloadOf returns the bytes that a ranged operation has read or, for other served reads, zero bytes of the
+// size that the node's model specifies.
 func (p *nodeProcess) payloadOf(op *operation, code proto.Code) []byte {
 	bytesPerUnit := p.node.cfg.Model.BytesPerUnit
 	switch {
@@ -76,8 +78,8 @@
 	return p.loadReportLocked()
 }
 
-// loadReportLocked is the figures that the site's settings name, as far as this node knows them. The lock
-// is held.
+// loadReportLocked returns the values of the fields that the site's settings list: the queue length and, for
+// each other field, the current work per unit in milliseconds. The caller holds p.mu.
 func (p *nodeProcess) loadReportLocked() []float64 {
 	var report []float64
 	for _, field := range p.node.cfg.Site.LoadFields {
--- a/internal/testbed/node_cancel.go
+++ b/internal/testbed/node_cancel.go
@@ -2,9 +2,9 @@
 
 import "landingpaddle/internal/proto"
 
-// cancelOperation takes in that an operation is cancelled. What will not take effect any more is forgotten
-// by its deduplication group at once: a repeat that came before a core got to the operation would else be
-// dropped, and nobody would have carried it out.
+// cancelOperation handles the cancellation of an operation. One that will not take effect any more is removed
+// from its deduplication group at once: otherwise a repeat that arrives before a core reaches the cancelled
+// operation would be deduplicated, and the operation would never be carried out.
 func (p *nodeProcess) cancelOperation(op *operation) {
 	p.logOperation(KindCancelArrived, op, 0)
 	model := &p.node.cfg.Model
@@ -18,25 +18,26 @@
 	op.cancel()
 }
 
-// cancelMembers takes in that the members at some places of an operation are cancelled.
-func (p *nodeProcess) cancelMembers(op *operation, places []uint16) {
+// cancelMembers handles the cancellation of the members of an operation at the given indices.
+func (p *nodeProcess) cancelMembers(op *operation, indices []uint16) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, place := range places {
-		if int(place) >= len(op.members) {
+	for _, index := range indices {
+		if int(index) >= len(op.members) {
 			continue
 		}
-		cancelled := op.withOnly(op.members[place])
+		cancelled := op.withOnly(op.members[index])
 		p.logOperation(KindCancelArrived, cancelled, 0)
-		if op.state == operationQueued && p.node.cfg.Model.CancelDropsWaiting && !op.members[place].dropped {
-			op.members[place].dropped = true // it takes no effect, and its end is logged now
+		if op.state == operationQueued && p.node.cfg.Model.CancelDropsWaiting && !op.members[index].dropped {
+			op.members[index].dropped = true // it will not take effect, and its end is logged here
 			p.logOperation(KindCancel, cancelled, proto.Cancelled)
 			p.forgetEffects(cancelled)
 		}
 	}
 }
 
-// abandon takes in that the process has ended: what has not taken effect never will.
+// abandon marks an operation of a process that has ended as cancelled, unless it is done: it will never take
+// effect.
 func (p *nodeProcess) abandon(op *operation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,7 +47,7 @@
 	}
 }
 
-// setState changes an operation's state; it returns false if the operation is over.
+// setState changes an operation's state; it returns false if the operation is cancelled or done.
 func (p *nodeProcess) setState(op *operation, state operationState) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/node_conn.go
+++ b/internal/testbed/node_conn.go
@@ -8,7 +8,7 @@
 	"landingpaddle/internal/proto"
 )
 
-// serveConn serves an instance's connection until it ends; then what it asked for is cancelled.
+// serveConn serves an instance's connection until it ends, and then cancels its unanswered operations.
 func (p *nodeProcess) serveConn(ctx context.Context, conn *proto.Conn) {
 	instance := int(conn.PeerHello().Number)
 	operations := map[uint64]*operation{}
@@ -18,7 +18,7 @@
 		p.sendDrainNotice(conn)
 	}
 	p.mu.Unlock()
-	// Why it ended concerns the instance.
+	// The cause of the end concerns only the instance.
 	_ = conn.Run(ctx, func(frame proto.Frame) error { return p.handleFrame(ctx, conn, instance, frame) })
 	p.mu.Lock()
 	delete(p.conns, conn)
@@ -41,7 +41,7 @@
 	}
 }
 
-// handleFrame takes in a frame of an instance; an error ends the connection.
+// handleFrame processes a frame from an instance; an error ends the connection.
 func (p *nodeProcess) handleFrame(ctx context.Context, conn *proto.Conn, instance int,
 	frame proto.Frame) error {
 	switch frame.Type {
@@ -53,7 +53,7 @@
 		result := proto.Answer{Code: proto.OK, Load: p.loadReport()}
 		return conn.Send(proto.TypeHealthCheckResult, frame.Stream, result, nil)
 	default:
-		return fmt.Errorf("an instance sends no frame of type %v", frame.Type)
+		return fmt.Errorf("unexpected frame of type %v from an instance", frame.Type)
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	var ok bool
 	if op.members, ok = membersOf(&op.request); !ok {
-		return fmt.Errorf("a member is outside its operation of %d bytes", op.request.Length)
+		return fmt.Errorf("the range of a member is outside its operation of %d bytes", op.request.Length)
 	}
 	if err := p.checkOperation(op, len(frame.Payload)); err != nil {
 		return err
@@ -79,19 +79,19 @@
 	return nil
 }
 
-// checkOperation checks what an instance says of an operation against the site's settings.
+// checkOperation checks an operation's class, plans and sizes against the site's settings.
 func (p *nodeProcess) checkOperation(op *operation, payloadSize int) error {
 	site, request := p.node.cfg.Site, &op.request
 	for _, m := range op.members {
 		if int(request.Class) >= len(site.Classes) || int(m.Plan) >= len(site.Plans) {
-			return fmt.Errorf("class %d or plan %d is not known", request.Class, m.Plan)
+			return fmt.Errorf("unknown class %d or plan %d", request.Class, m.Plan)
 		}
 	}
 	size := uint64(request.Length)
 	tooLarge := size > uint64(site.Limits.MaxPayload)
-	otherPayload := request.Write && size != uint64(payloadSize)
-	if request.Ranged && (tooLarge || otherPayload) {
-		return fmt.Errorf("an operation of %d bytes with %d bytes of payload", size, payloadSize)
+	payloadMismatch := request.Write && size != uint64(payloadSize)
+	if request.Ranged && (tooLarge || payloadMismatch) {
+		return fmt.Errorf("invalid size: operation of %d bytes, payload of %d bytes", size, payloadSize)
 	}
 	return nil
 }
--- a/internal/testbed/node_dedup.go
+++ b/internal/testbed/node_dedup.go
@@ -10,7 +10,7 @@
 	return &p.node.cfg.Site.Classes[op.request.Class]
 }
 
-// isKeyed tells whether repeats of an operation are dropped by its idempotency key.
+// isKeyed reports whether an operation is deduplicated by its idempotency key.
 func (p *nodeProcess) isKeyed(op *operation) bool {
 	return p.classOf(op).Idempotency == config.Idempotency(scheduler.IdempotentByKey)
 }
@@ -19,9 +19,9 @@
 	return p.node.cfg.DedupGroups(scheduler.DedupScope(p.classOf(op).DedupScope))
 }
 
-// admitKeyed registers an operation with its deduplication group and returns whether it is to be queued.
-// One that is cancelled or a repeat is answered; a repeat of what is in progress waits for that and is
-// queued again.
+// admitKeyed registers an operation with its deduplication group and reports whether it is to be queued. An
+// operation that is cancelled or a repeat is answered; a repeat of one in progress waits for its end and is
+// then passed to enqueue again.
 func (p *nodeProcess) admitKeyed(op *operation) bool {
 	p.mu.Lock()
 	cancelled := op.state == operationCancelled
@@ -46,14 +46,15 @@
 	return false
 }
 
-// registerMembers asks the group about each member; it tells whether all of them are repeats. Where one is
-// in progress elsewhere it returns what to wait for before asking again. The lock is held.
+// registerMembers registers the members with the group and reports whether all of them are repeats. While one
+// is in progress elsewhere, it registers none and returns a channel that is closed when it may be called
+// again. The caller holds p.mu.
 func (p *nodeProcess) registerMembers(op *operation) (allRepeats bool, wait <-chan struct{}) {
 	var tokens []uint64
-	var asked []*member
+	var remaining []*member
 	for i := range op.members {
-		if m := &op.members[i]; !m.dropped { // one that was cancelled meanwhile is over
-			tokens, asked = append(tokens, m.effectToken()), append(asked, m)
+		if m := &op.members[i]; !m.dropped { // one that was cancelled while it waited is over
+			tokens, remaining = append(tokens, m.effectToken()), append(remaining, m)
 		}
 	}
 	repeats, wait := p.dedupGroupOf(op).admit(tokens, p.classOf(op).DedupWindow)
@@ -61,7 +62,7 @@
 		return false, wait
 	}
 	op.registered, allRepeats = true, true
-	for i, m := range asked {
+	for i, m := range remaining {
 		m.dropped = repeats[i]
 		allRepeats = allRepeats && m.dropped
 		if m.dropped {
@@ -71,18 +72,18 @@
 	return allRepeats, nil
 }
 
-// forgetEffects tells the group that an operation will never take effect. The lock is held.
+// forgetEffects removes an operation that will never take effect from its group. The caller holds p.mu.
 func (p *nodeProcess) forgetEffects(op *operation) { p.eachRegistered(op, (*DedupGroup).forget) }
 
-// settleEffects tells the group that an operation has taken effect.
+// settleEffects records in the group that an operation has taken effect.
 func (p *nodeProcess) settleEffects(op *operation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.eachRegistered(op, (*DedupGroup).settle)
 }
 
-// eachRegistered does something for each member of an operation that its group has registered. The lock is
-// held.
+// eachRegistered calls do for each member of an operation that its group has registered. The caller holds
+// p.mu.
 func (p *nodeProcess) eachRegistered(op *operation, do func(group *DedupGroup, token uint64)) {
 	if !op.registered {
 		return
--- a/internal/testbed/node_faults.go
+++ b/internal/testbed/node_faults.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	maxStuck          = 10 * time.Second // that a connection is held up at once
+	maxStuck          = 10 * time.Second // longest delay of a single read or write
 	maxNeighbourShare = 0.95
 )
 
-// NodeFaults are the faults of a stand-in node, to be set while it runs. The zero value is a healthy node.
-// They outlast the node's restarts: a slow machine stays slow. Any goroutine may use them.
+// NodeFaults are the faults of a stand-in node, which may be changed while it runs. The zero value is a
+// healthy node. They survive the node's restarts: a slow machine stays slow. Any goroutine may use them.
 type NodeFaults struct {
 	mu          sync.Mutex
 	rng         *rand.Rand
-	slowFactor  float64 // work takes so many times as long; 0: as long as ever
+	slowFactor  float64 // multiplies the duration of work; 0 counts as 1
 	neighbour   neighbourLoad
-	loseShare   float64 // of answers
-	corruptNext int     // so many answers to come
-	hang        bool    // accepts and never answers
+	loseShare   float64 // share of answers that are lost
+	corruptNext int     // number of next answers to corrupt
+	hang        bool    // operations are accepted and never answered
 	pausedUntil time.Time
-	stuckUntil  time.Time // connections are neither read nor written
+	stuckUntil  time.Time // until then connections are neither read nor written
 }
 
-// neighbourLoad is another program that takes a share of the machine, on and off.
+// neighbourLoad is another program that uses a share of the machine, on and off.
 type neighbourLoad struct {
 	share   float64
-	on, off time.Duration // it runs for so long, and then not for so long
-	since   time.Time
+	on, off time.Duration // alternating periods in which it runs and does not run
+	since   time.Time     // start of the first period
 }
 
 func (l *neighbourLoad) isRunning() bool {
@@ -42,38 +42,38 @@
 	change(f)
 }
 
-// SetSlow makes work take so many times as long; 1 ends it.
+// SetSlow multiplies the duration of work by a factor; 1 ends the fault.
 func (f *NodeFaults) SetSlow(factor float64) { f.set(func(f *NodeFaults) { f.slowFactor = factor }) }
 
-// SetNeighbour lets another program take a share of the machine, on and off; share 0 ends it.
+// SetNeighbour lets another program use a share of the machine, on and off; share 0 ends the fault.
 func (f *NodeFaults) SetNeighbour(share float64, on, off time.Duration) {
 	f.set(func(f *NodeFaults) { f.neighbour = neighbourLoad{share, on, off, time.Now()} })
 }
 
-// SetLoseAnswers loses a share of the answers; 0 ends it.
+// SetLoseAnswers makes the node lose a share of its answers; 0 ends the fault.
 func (f *NodeFaults) SetLoseAnswers(share float64) {
 	f.set(func(f *NodeFaults) { f.loseShare = share })
 }
 
-// CorruptAnswers corrupts the next answers on their way.
+// CorruptAnswers corrupts count more of the node's next answers.
 func (f *NodeFaults) CorruptAnswers(count int) {
 	f.set(func(f *NodeFaults) { f.corruptNext += count })
 }
 
-// SetHang makes the node accept and never answer.
+// SetHang makes the node accept operations and never answer them; false ends the fault.
 func (f *NodeFaults) SetHang(on bool) { f.set(func(f *NodeFaults) { f.hang = on }) }
 
-// Pause makes the node's cores begin no work for a while.
+// Pause keeps the node's cores from starting work for d.
 func (f *NodeFaults) Pause(d time.Duration) {
 	f.set(func(f *NodeFaults) { f.pausedUntil = time.Now().Add(d) })
 }
 
-// StickConnections stops all reading and writing on the node's connections for a while; they stay open.
+// StickConnections stops all reads and writes on the node's connections for d; they stay open.
 func (f *NodeFaults) StickConnections(d time.Duration) {
 	f.set(func(f *NodeFaults) { f.stuckUntil = time.Now().Add(d) })
 }
 
-// waitWhileStuck holds a connection up while connections are stuck.
+// waitWhileStuck blocks one read or write while connections are stuck, for maxStuck at most.
 func (f *NodeFaults) waitWhileStuck() {
 	f.mu.Lock()
 	left := time.Until(f.stuckUntil)
@@ -83,7 +83,7 @@
 	}
 }
 
-// workFactor is how many times as long work takes now.
+// workFactor returns the current multiplier of the duration of work.
 func (f *NodeFaults) workFactor() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +97,7 @@
 	return factor
 }
 
-// answerFault is what a fault does to an answer.
+// answerFault is the effect of a fault on an answer.
 type answerFault uint8
 
 const (
@@ -106,7 +106,7 @@
 	answerCorrupted
 )
 
-// drawAnswerFault draws what becomes of the next answer.
+// drawAnswerFault returns the effect of the faults on the next answer; losses are random.
 func (f *NodeFaults) drawAnswerFault() answerFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,7 +122,7 @@
 	return answerIntact
 }
 
-// pauseLeft is how much of a pause is left; not over 0 without one.
+// pauseLeft returns the remaining time of a pause; 0 or less without one.
 func (f *NodeFaults) pauseLeft() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/node_process.go
+++ b/internal/testbed/node_process.go
@@ -15,7 +15,7 @@
 	"landingpaddle/scheduler"
 )
 
-// Limits of a node's connections; those that the site sets come on top.
+// Limits of a node's connections, in addition to those in the site's settings.
 const (
 	nodeMaxHeader   = 4 << 10  // bytes
 	nodeMaxBacklog  = 64 << 20 // bytes
@@ -28,19 +28,19 @@
 	startedAt int64 // in Unix nanoseconds by the node's clock; 0: long ago
 	queue     chan *operation
 	kill      context.CancelFunc
-	status    chan endpoints.Endpoint // to be registered
+	status    chan endpoints.Endpoint // updates for the registry
 
 	mu         sync.Mutex
 	rng        *rand.Rand
 	draining   bool
-	conns      map[*proto.Conn]map[uint64]*operation // by stream; until their answers are written
+	conns      map[*proto.Conn]map[uint64]*operation // operations by stream, until their answers are sent
 	slowStart  slowStart
 	elsewhere  elsewhereCounter
-	recentKeys []uint64
-	deferred   time.Duration // work that is put off to the next flush
+	recentKeys []uint64      // of the latest operations with a key
+	deferred   time.Duration // work that is deferred to the next flush
 }
 
-// newNodeProcess makes the next incarnation of a node; kill ends it.
+// newNodeProcess returns the next incarnation of a node; kill ends it.
 func newNodeProcess(node *Node, kill context.CancelFunc) *nodeProcess {
 	isCold := node.cfg.StartsCold || node.starts > 0
 	p := &nodeProcess{
@@ -59,19 +59,22 @@
 	return p
 }
 
-// run serves, works, and registers the node until ctx ends or one of these fails.
+// run serves connections, carries out operations and keeps the node registered until ctx ends or one of these
+// fails.
 func (p *nodeProcess) run(ctx context.Context, listener net.Listener) error {
 	cfg := &p.node.cfg
 	p.log(Event{Kind: KindNodeStarted, StartedAt: p.startedAt, Reason: cfg.Addr.String()})
 	defer p.log(Event{Kind: KindNodeStopped, StartedAt: p.startedAt})
-	conn := p.connConfig()
+	connCfg := p.connConfig()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return proto.Serve(ctx, listener, conn, cfg.Model.MaxConnections, p.serveConn) })
+	group.Go(func() error {
+		return proto.Serve(ctx, listener, connCfg, cfg.Model.MaxConnections, p.serveConn)
+	})
 	for range cfg.Model.Cores {
 		group.Go(func() error { return p.runCore(ctx) })
 	}
 	group.Go(func() error { return p.pauseAndFlush(ctx) })
-	group.Go(func() error { return registry.Register(ctx, cfg.Registry, conn, p.status) })
+	group.Go(func() error { return registry.Register(ctx, cfg.Registry, connCfg, p.status) })
 	p.status <- p.endpoint(scheduler.Ready)
 	return group.Wait()
 }
@@ -91,11 +94,11 @@
 	}
 }
 
-// endpoint is the node as it registers itself.
+// endpoint returns the node's entry in the endpoint list, with a status.
 func (p *nodeProcess) endpoint(status scheduler.Status) endpoints.Endpoint {
 	server, err := registry.ServerFromAddrPort(p.node.cfg.Addr)
 	if err != nil {
-		panic(err) // it is bound as IPv4
+		panic(err) // the address is bound as IPv4
 	}
 	return endpoints.Endpoint{
 		Server:          server,
@@ -115,8 +118,8 @@
 	}
 }
 
-// logOperation logs an event of an operation, once for each of its members. The start and the end of a
-// member that was dropped are not logged a second time.
+// logOperation logs an event of an operation, once for each of its members. For a dropped member neither the
+// start nor an end is logged: its end was logged when it was dropped.
 func (p *nodeProcess) logOperation(kind Kind, op *operation, code proto.Code) {
 	for i, m := range op.members {
 		if m.dropped && (kind == KindStart || kind == KindEnd || kind == KindCancel) {
@@ -124,14 +127,15 @@
 		}
 		event := op.event(kind, m, code)
 		event.StartedAt = p.startedAt
-		if kind == KindEnd && i < len(op.sums) { // only of ranged operations
+		if kind == KindEnd && i < len(op.sums) { // sums are set for ranged operations only
 			event.Sum = op.sums[i]
 		}
 		p.log(event)
 	}
 }
 
-// pauseAndFlush pauses the node now and then, as its model says, and does the work that was put off.
+// pauseAndFlush pauses the node at the intervals of its model: for its pauses, and for the time that the
+// deferred work takes.
 func (p *nodeProcess) pauseAndFlush(ctx context.Context) error {
 	model := &p.node.cfg.Model
 	pause, flush := p.jitteredTimer(model.PauseInterval), p.jitteredTimer(model.FlushInterval)
@@ -157,7 +161,8 @@
 	return deferred
 }
 
-// jitteredTimer fires once, on average after that time; never for 0.
+// jitteredTimer returns a channel that fires once, after 0.5 to 1.5 times the average. For 0 it returns nil,
+// which never fires.
 func (p *nodeProcess) jitteredTimer(average time.Duration) <-chan time.Time {
 	if average <= 0 {
 		return nil
--- a/internal/testbed/node_test.go
+++ b/internal/testbed/node_test.go
@@ -11,10 +11,10 @@
 	"landingpaddle/scheduler"
 )
 
-// A repeat that comes while the first attempt is in progress is answered once that has taken effect. Where
-// the first attempt's connection breaks before, it takes no effect, and the repeat is carried out: it must
-// not have been answered as done by then.
-func TestNode_AnswersARepeatOnlyOnceTheEffectIsThere(t *testing.T) {
+// A repeat that arrives while the first attempt is in progress is answered after that attempt has taken
+// effect. If the first attempt's connection breaks before, the attempt takes no effect and the repeat is
+// carried out: it must not be answered as done before that.
+func TestNode_AnswersRepeatOnlyAfterTheEffect(t *testing.T) {
 	for name, breakFirst := range map[string]bool{
 		"the first attempt ends": false,
 		"its connection breaks":  true,
@@ -40,14 +40,14 @@
 					t.Errorf("answer %+v after %d effects, want 1", answer, countEvents(node, KindEnd))
 				}
 			case <-time.After(5 * time.Second):
-				t.Fatal("the repeat has no answer")
+				t.Fatal("no answer to the repeat within 5 s")
 			}
 		})
 	}
 }
 
-// Each operation at a node is either replied to or cancelled: what is neither would look to the checker as
-// if it were in flight for ever.
+// Each operation at a node is either replied to or cancelled; the invariant checker would treat one that is
+// neither as in flight for ever.
 func TestNode_RepliesToOrCancelsEveryOperation(t *testing.T) {
 	t.Parallel()
 	scenario := smallScenario(t, readClass, "",
@@ -66,7 +66,7 @@
 	}
 }
 
-// The answer of an operation whose connection broke a moment before is nobody's: its node logs it as
+// The answer of an operation whose connection has just broken reaches nobody: its node logs the operation as
 // cancelled.
 func TestNode_LogsAnAnswerToABrokenConnectionAsCancelled(t *testing.T) {
 	scenario := smallScenario(t, readClass, "", reads)
@@ -96,11 +96,12 @@
 	process.answer(op, KindEnd, proto.OK)
 	events := node.cfg.Log.Events()
 	if last := events[len(events)-1]; last.Kind != KindCancelArrived {
-		t.Errorf("logged %+v", events)
+		t.Errorf("logged %+v, want a cancellation last", events)
 	}
 }
 
-// startNode runs a node with one slow core and writes with idempotency keys, and returns what connects to it.
+// startNode runs a node with one slow core for writes with idempotency keys. It returns the node and a
+// function that opens a connection to it and returns the answers received on it.
 func startNode(t *testing.T) (*Node, func() (*proto.Conn, <-chan proto.Answer)) {
 	t.Helper()
 	scenario := smallScenario(t, writeClass, "", "")
@@ -135,7 +136,7 @@
 	}
 }
 
-// forwardAnswers passes on the answers that come on a connection until it ends.
+// forwardAnswers sends the answers received on a connection to a channel until the connection ends.
 func forwardAnswers(ctx context.Context, conn *proto.Conn, answers chan<- proto.Answer) {
 	_ = conn.Run(ctx, func(frame proto.Frame) error {
 		var answer proto.Answer
@@ -166,13 +167,13 @@
 	return count
 }
 
-// waitForEvents waits until a node has logged so many events of a kind.
+// waitForEvents waits until a node has logged count events of a kind.
 func waitForEvents(t *testing.T, node *Node, kind Kind, count int) {
 	t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for countEvents(node, kind) < count {
 		if time.Now().After(deadline) {
-			t.Fatalf("not %d events %s within 5 s", count, kind)
+			t.Fatalf("fewer than %d events %s within 5 s", count, kind)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/testbed/node_work.go
+++ b/internal/testbed/node_work.go
@@ -8,7 +8,7 @@
 	"landingpaddle/internal/proto"
 )
 
-// accept lets an operation in or rejects it; one that overloads a cold node ends the process.
+// accept enqueues an operation or rejects it; one that overloads a cold node ends the process.
 func (p *nodeProcess) accept(op *operation) {
 	cfg := &p.node.cfg
 	p.logOperation(KindArrive, op, 0)
@@ -30,7 +30,7 @@
 	}
 }
 
-// enqueue lets an operation wait for a core, unless it is a repeat.
+// enqueue queues an operation for a core, unless it is a repeat or the queue is full.
 func (p *nodeProcess) enqueue(op *operation) {
 	if p.isKeyed(op) && !p.admitKeyed(op) {
 		return
@@ -45,44 +45,45 @@
 	}
 }
 
-// runCore is one core: it works operations off, one after the other.
+// runCore runs one core, which carries out queued operations one after the other until ctx ends.
 func (p *nodeProcess) runCore(ctx context.Context) error {
-	var free time.Time
+	var freeAt time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case op := <-p.queue:
-			free = p.work(ctx, op, free)
+			freeAt = p.work(ctx, op, freeAt)
 		}
 	}
 }
 
-// work carries an operation out on a core that was free from some moment on, and returns when it is free
-// again. That is reckoned, not measured: a timer that fires late must not make the node slower than it is.
-func (p *nodeProcess) work(ctx context.Context, op *operation, free time.Time) time.Time {
+// work carries an operation out on a core that has been free since freeAt, and returns the time at which the
+// core is free again. That time is computed, not measured: a timer that fires late must not make the node
+// slower than its model.
+func (p *nodeProcess) work(ctx context.Context, op *operation, freeAt time.Time) time.Time {
 	if pause := p.node.Faults.pauseLeft(); pause > 0 {
 		sleep(ctx, pause)
-		free = time.Now()
+		freeAt = time.Now()
 	}
 	if ctx.Err() != nil {
-		return free
+		return freeAt
 	}
 	if !p.setState(op, operationRunning) {
 		p.answer(op, KindCancel, proto.Cancelled)
-		return free
+		return freeAt
 	}
 	p.logOperation(KindStart, op, 0)
-	running := ctx
+	runCtx := ctx
 	if p.node.cfg.Model.CancelStopsRunning {
-		running = op.ctx
+		runCtx = op.ctx
 	}
-	if free.Before(op.arrived) {
-		free = op.arrived
+	if freeAt.Before(op.arrived) {
+		freeAt = op.arrived
 	}
-	free = free.Add(p.duration(op))
-	if !sleep(running, time.Until(free)) {
-		free = time.Now()
+	freeAt = freeAt.Add(p.duration(op))
+	if !sleep(runCtx, time.Until(freeAt)) {
+		freeAt = time.Now()
 	}
 	switch {
 	case ctx.Err() != nil:
@@ -93,10 +94,11 @@
 	default:
 		p.answer(op, KindCancel, proto.Cancelled)
 	}
-	return free
+	return freeAt
 }
 
-// duration is how long an operation takes on one core now.
+// duration returns how long an operation takes on one core at present, and records its deferred work and its
+// key.
 func (p *nodeProcess) duration(op *operation) time.Duration {
 	model, request := &p.node.cfg.Model, &op.request
 	p.mu.Lock()
@@ -118,7 +120,8 @@
 	return time.Duration(work * p.node.Faults.workFactor() / p.slowStart.capacity())
 }
 
-// transfer reads or writes the bytes of a ranged operation. Members that were dropped write nothing.
+// transfer reads or writes the bytes of a ranged operation and computes their checksums by member. Dropped
+// members write nothing.
 func (p *nodeProcess) transfer(op *operation) {
 	request := &op.request
 	if !request.Ranged {
--- a/internal/testbed/operation.go
+++ b/internal/testbed/operation.go
@@ -7,17 +7,17 @@
 	"landingpaddle/internal/proto"
 )
 
-// operation is what a node does at once: one attempt, or several merged ones.
+// operation is work that a node carries out as a whole: one attempt, or several merged ones.
 type operation struct {
 	conn     *proto.Conn
 	instance int
 	stream   uint64
 	request  proto.Request
 	members  []member
-	payload  []byte          // of a write
-	data     []byte          // that a read has read
+	payload  []byte          // bytes of a write
+	data     []byte          // bytes that a read has read
 	sums     []uint64        // checksums of the members' bytes, once carried out
-	number   uint64          // among its node's operations, from 1
+	number   uint64          // of this operation among its node's, from 1
 	ctx      context.Context // ends when the operation is cancelled or answered
 	cancel   context.CancelFunc
 	arrived  time.Time
@@ -31,21 +31,21 @@
 const (
 	operationQueued operationState = iota
 	operationRunning
-	operationCancelled // while it waited or ran: it takes no effect
+	operationCancelled // while queued or running: it takes no effect
 	operationDone
 )
 
 // member is one request's part of an operation.
 type member struct {
 	proto.Member
-	dropped bool // the group remembers it, or it was cancelled while it waited
+	dropped bool // it is a repeat, or was cancelled while queued
 }
 
-// effectToken is what a deduplication group remembers a piece of a request by.
+// effectToken returns the key under which a deduplication group registers a piece of a request.
 func (m *member) effectToken() uint64 { return m.Token ^ uint64(m.Piece)<<48 }
 
-// membersOf lists the members of a request's operation; a request that was not merged has one. It returns
-// false where a member's bytes are outside the operation's.
+// membersOf returns the members of a request's operation; a request that was not merged has one. It returns
+// false if a member's bytes are outside the operation's.
 func membersOf(request *proto.Request) ([]member, bool) {
 	if len(request.Members) == 0 {
 		return []member{{Member: proto.Member{
@@ -70,7 +70,7 @@
 	return members, true
 }
 
-// withOnly is an operation as the log has it for one of its members.
+// withOnly returns an operation reduced to one of its members, for the log and the deduplication group.
 func (o *operation) withOnly(m member) *operation {
 	return &operation{
 		instance:   o.instance,
@@ -81,7 +81,7 @@
 	}
 }
 
-// event is an event of one member of an operation, but for what the process adds.
+// event returns an event of one member of an operation, without the fields that the process adds.
 func (o *operation) event(kind Kind, m member, code proto.Code) Event {
 	request := &o.request
 	event := Event{
