--- a/internal/testbed/runner.go
+++ b/internal/testbed/runner.go
@@ -18,35 +18,35 @@
 const (
 	// maxOpenRequests bounds the open requests of all clients; traffic beyond it is suppressed.
 	maxOpenRequests = 20_000
-	// startupTime is left for the fleet to come up, beyond the registry's delay.
+	// startupTime is left for the fleet to start, in addition to twice the registry's delay.
 	startupTime = 300 * time.Millisecond
-	// Every stallCheckInterval the process's own stalls are looked for; one is over minStall.
+	// The process is checked for stalls every stallCheckInterval: a check that takes over minStall is one.
 	stallCheckInterval = 10 * time.Millisecond
 	minStall           = 30 * time.Millisecond
 )
 
-// Options are how a scenario is run.
+// Options configure a run of a scenario.
 type Options struct {
 	Seed  uint64
 	Dir   string       // for the instances' snapshots of the endpoint list
 	Log   *slog.Logger // of the instances and the runner; nil: nothing is logged
-	Hooks daemon.Hooks // of the instances; Gate is the runner's own
+	Hooks daemon.Hooks // of the instances; Gate is set by the runner
 }
 
-// Recording is what a run of a scenario left behind.
+// Recording is the result of a run of a scenario.
 type Recording struct {
 	Events     []Event       // in order of time
-	Suppressed int64         // requests that were not sent, as too many were open
-	CPU        time.Duration // that this process took while traffic lasted; 0: not known
+	Suppressed int64         // requests that were not sent because too many were open
+	CPU        time.Duration // time used by this process while traffic lasted; 0: unknown
 }
 
-// scenarioRunner runs one scenario. Its fleet is set up before traffic starts and read by all goroutines
-// after that.
+// scenarioRunner runs one scenario. Its fleet is set up before traffic starts; after that it is only read, by
+// all goroutines.
 type scenarioRunner struct {
 	scenario     *Scenario
 	options      Options
 	log          *Log
-	group        *errgroup.Group // all goroutines but those of traffic
+	group        *errgroup.Group // of all goroutines except those of traffic
 	registry     *registry.Server
 	registryAddr string
 	nodes        []*Node
@@ -61,7 +61,7 @@
 }
 
 // RunScenario runs a scenario on loopback sockets: instances, nodes, registry and clients in this process.
-// It returns once traffic has ended and its answers are in, or an instance has failed.
+// It returns once traffic and all its requests have ended, or an instance has failed.
 func RunScenario(ctx context.Context, scenario *Scenario, options Options) (*Recording, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -103,7 +103,7 @@
 	}
 }
 
-// play sends the traffic, injects the faults, and returns once all answers are in.
+// play sends the traffic, injects the faults, and returns once all requests have ended.
 func (r *scenarioRunner) play(ctx, traffic context.Context, start time.Time) *Recording {
 	cpuBefore := cpuTime()
 	var streams sync.WaitGroup
@@ -127,14 +127,14 @@
 	return recording
 }
 
-// injectFault brings a fault about and returns when it is over, or traffic ends.
+// injectFault injects a fault and returns when it is over, or traffic ends.
 func (r *scenarioRunner) injectFault(ctx, traffic context.Context, fault *Fault) {
 	for _, form := range fault.forms() {
 		form.inject(ctx, traffic, r)
 	}
 }
 
-// watchForStalls logs stalls of the whole process: a machine short of CPU time is no fault of the
+// watchForStalls logs stalls of the whole process: a machine short of CPU time is not a fault of the
 // scheduler.
 func (r *scenarioRunner) watchForStalls(ctx context.Context) error {
 	for {
@@ -148,7 +148,7 @@
 	}
 }
 
-// cpuTime is what this process has used so far; 0: not known.
+// cpuTime returns the CPU time that this process has used so far; 0: unknown.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/testbed/runner_fleet.go
+++ b/internal/testbed/runner_fleet.go
@@ -16,29 +16,29 @@
 
 const (
 	instanceShutdownTimeout = 5 * time.Second
-	// Factors that keep the seeds of nodes and instances apart.
+	// Factors that make the random seeds of nodes and instances differ.
 	nodeSeedStep       = 7919
 	instanceSeedFactor = 1_000_003
 )
 
-// instanceHost is one instance's machine: its address outlasts the process.
+// instanceHost is the machine of one instance; its address stays the same when the process is restarted.
 type instanceHost struct {
 	number   int
 	addr     string
-	listener net.Listener // of the next process, where it is bound already
+	listener net.Listener // bound for the next process; nil: not bound yet
 	stall    stallGate
 
 	mu   sync.Mutex
 	kill context.CancelFunc // of the running or last process
 }
 
-// stallGate holds a process up while it is stalled.
+// stallGate blocks a process while it is stalled.
 type stallGate struct {
 	mu    sync.Mutex
-	until time.Time
+	until time.Time // end of the latest stall
 }
 
-// wait returns once no stall lasts any more.
+// wait blocks until no stall lasts.
 func (g *stallGate) wait() {
 	for {
 		g.mu.Lock()
@@ -146,28 +146,29 @@
 func (r *scenarioRunner) runNode(ctx context.Context, node *Node) {
 	r.group.Go(func() error {
 		if err := node.Run(ctx); err != nil && ctx.Err() == nil {
-			r.options.Log.Warn("node ended", "node", node.cfg.Number, "error", err)
+			r.options.Log.Warn("node failed", "node", node.cfg.Number, "error", err)
 		}
 		return nil
 	})
 }
 
-// eachNode does something to nodes, by their numbers.
+// eachNode calls do for the nodes with the given numbers.
 func (r *scenarioRunner) eachNode(numbers []int, do func(*Node)) {
 	for _, number := range numbers {
 		do(r.nodes[number])
 	}
 }
 
-// restartNodes kills nodes and, unless the time is 0 or traffic ends before, starts them again after it.
-func (r *scenarioRunner) restartNodes(ctx, traffic context.Context, numbers []int, after time.Duration) {
+// restartNodes kills nodes and starts them again after restartAfter, unless that is 0 or traffic ends before.
+func (r *scenarioRunner) restartNodes(ctx, traffic context.Context, numbers []int,
+	restartAfter time.Duration) {
 	r.eachNode(numbers, (*Node).Kill)
-	if after > 0 && sleep(traffic, after) {
+	if restartAfter > 0 && sleep(traffic, restartAfter) {
 		r.eachNode(numbers, func(node *Node) { r.runNode(ctx, node) })
 	}
 }
 
-// bindInstances makes the instances' machines and returns their addresses.
+// bindInstances creates the instances' hosts, binds an address for each and returns the addresses.
 func (r *scenarioRunner) bindInstances() ([]string, error) {
 	var addrs []string
 	for number := range r.scenario.Instances {
@@ -182,7 +183,7 @@
 	return addrs, nil
 }
 
-// takeListener returns the listener that is bound already, or binds the address again.
+// takeListener returns the listener that is bound for the next process, or binds the address again.
 func (h *instanceHost) takeListener(ctx context.Context) (net.Listener, error) {
 	listener := h.listener
 	h.listener = nil
@@ -237,8 +238,8 @@
 	}
 }
 
-// crashInstance kills an instance and, unless the time is 0 or traffic ends before, starts it again after
-// it.
+// crashInstance kills an instance and starts it again after restartAfter, unless that is 0 or traffic ends
+// before.
 func (r *scenarioRunner) crashInstance(ctx, traffic context.Context, number int, restartAfter time.Duration) {
 	host := r.instances[number]
 	host.mu.Lock()
@@ -249,6 +250,6 @@
 		return
 	}
 	if err := r.startInstance(ctx, host); err != nil && ctx.Err() == nil {
-		r.options.Log.Warn("instance not back", "instance", number, "error", err)
+		r.options.Log.Warn("instance not restarted", "instance", number, "error", err)
 	}
 }
--- a/internal/testbed/runner_test.go
+++ b/internal/testbed/runner_test.go
@@ -62,31 +62,31 @@
 	}
 }
 
-// An instance is stalled for a second and wakes with everything due: nothing is answered twice, nothing is
-// sent for what it has rejected, and it serves again.
+// An instance is stalled for a second and resumes with all its timers due: no request is answered twice,
+// nothing is sent for requests that it has rejected, and it serves again.
 func TestRunner_StalledInstanceServesAgain(t *testing.T) {
 	t.Parallel()
 	scenario := smallScenario(t, readClass+writeClass, "(order-pause 50ms)", reads+
 		`(traffic (class write) (plan free) (rate 80) (volumes 2) (units 1 4) (keys 10) (writers 2))
 		 (at 800ms (stall (instances 0) (for 1s)))`)
-	var wokeAt int64
+	var resumedAt int64
 	servedAfter := 0
 	for _, event := range runKeepingRules(t, scenario) {
 		if event.Kind == KindInstanceStalled {
-			wokeAt = event.Time + event.Wait
+			resumedAt = event.Time + event.Wait
 		}
 		served := event.Kind == KindAnswer && event.Instance == 0 && event.Code == proto.OK
-		if served && wokeAt > 0 && event.Time > wokeAt+int64(time.Second/2) {
+		if served && resumedAt > 0 && event.Time > resumedAt+int64(time.Second/2) {
 			servedAfter++
 		}
 	}
 	if servedAfter == 0 {
-		t.Error("the instance serves nothing after it woke")
+		t.Error("the instance serves nothing after the stall")
 	}
 }
 
-// The clocks of the nodes are ahead by half a minute: nodes that come back still get a slow start, and for
-// no longer than they need.
+// The clocks of the nodes are ahead by half a minute: a restarted node still gets a slow start, which lasts
+// no longer than it needs.
 func TestRunner_NodeClocksAheadKeepTheSlowStart(t *testing.T) {
 	t.Parallel()
 	scenario := smallScenario(t, readClass,
@@ -94,20 +94,20 @@
 		`(traffic (class read) (plan free) (rate 300) (volumes 4) (units 1 4) (writers 2))
 		 (at 500ms (kill-node (nodes 1) (back 200ms)))`)
 	scenario.Nodes.ClockAhead = 30 * time.Second
-	var backAt int64
+	var restartedAt int64
 	coldUnits, warmUnits := 0, 0
 	for _, event := range runKeepingRules(t, scenario) {
-		arrivedBack := event.Kind == KindArrive && event.Node == 1 && backAt > 0
+		afterRestart := event.Kind == KindArrive && event.Node == 1 && restartedAt > 0
 		switch {
 		case event.Kind == KindNodeStarted && event.Node == 1 && event.StartedAt != 0:
-			backAt = event.Time
-		case arrivedBack && event.Time < backAt+int64(time.Second/2):
+			restartedAt = event.Time
+		case afterRestart && event.Time < restartedAt+int64(time.Second/2):
 			coldUnits += event.Units
-		case arrivedBack && event.Time > backAt+int64(1700*time.Millisecond):
+		case afterRestart && event.Time > restartedAt+int64(1700*time.Millisecond):
 			warmUnits += event.Units
 		}
 	}
 	if coldUnits > 120 || warmUnits < 20 {
-		t.Errorf("%d units in the first half second, %d when warm", coldUnits, warmUnits)
+		t.Errorf("%d units in the first half second after the restart, %d when warm", coldUnits, warmUnits)
 	}
 }
--- a/internal/testbed/runner_traffic.go
+++ b/internal/testbed/runner_traffic.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// firstStreamSeed keeps the seeds of streams apart from those of nodes.
+	// firstStreamSeed makes the random seeds of streams differ from those of nodes.
 	firstStreamSeed = 1000
-	// busiestShare is the share of a volume's requests that come through its busiest instance.
+	// busiestShare is the share of a volume's requests that are sent to its busiest instance.
 	busiestShare = 0.6
 )
 
 // clientRequest is a request of a stream, and how its client sends it.
 type clientRequest struct {
 	request   proto.Request
-	instances []int         // in the order in which the client turns to them
-	patience  time.Duration // how long it waits for one answer; 0: as long as the request says
+	instances []int         // in the order in which the client tries them
+	patience  time.Duration // limit of the wait for one answer; 0: the request's timeout
 }
 
-// scheduledRequest is a request of a run.
+// scheduledRequest is a request of a run and when it is sent.
 type scheduledRequest struct {
 	after time.Duration // from the run's start
 	clientRequest
 }
 
-// runStream sends a stream for as long as traffic lasts and waits for all its answers.
+// runStream sends a stream's requests while traffic lasts, and returns once all of them have ended.
 func (r *scenarioRunner) runStream(ctx, traffic context.Context, number int) {
 	stream := &r.scenario.Traffic[number]
 	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(firstStreamSeed+number)))
@@ -55,7 +55,7 @@
 			volume = 0
 		}
 		factor, maxFactor := r.changes.rateFactor(plan, volume), r.changes.maxRateFactor(plan)
-		// Thinned from the highest rate, so that surges of few volumes add to those alone.
+		// Thins draws at the highest rate, so that a surge of a few volumes adds requests for these only.
 		next = next.Add(time.Duration(rng.ExpFloat64() / (stream.Rate * maxFactor) * float64(time.Second)))
 		if !sleep(traffic, time.Until(next)) {
 			return
@@ -74,8 +74,8 @@
 	}
 }
 
-// sendRuns sends requests for all slices of all fields within a moment, again and again, as product jobs do
-// when a model run ends.
+// sendRuns sends requests for all slices of all fields within the stream's spread, once per run interval, as
+// product jobs do when a model run ends.
 func (r *scenarioRunner) sendRuns(ctx, traffic context.Context, requests *sync.WaitGroup, stream *Traffic,
 	rng *rand.Rand) {
 	for start := time.Now(); traffic.Err() == nil; start = start.Add(stream.Fields.Run) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// drawRun makes the requests of one run, in the order in which they are sent.
+// drawRun returns the requests of one run, in the order in which they are sent.
 func (r *scenarioRunner) drawRun(stream *Traffic, rng *rand.Rand) []scheduledRequest {
 	var run []scheduledRequest
 	for volume := range stream.Volumes {
@@ -109,7 +109,7 @@
 	return run
 }
 
-// send lets a client send a request, unless too many are open.
+// send makes a client send a request, unless too many are open.
 func (r *scenarioRunner) send(ctx context.Context, requests *sync.WaitGroup, drawn clientRequest) {
 	if r.openRequests.Add(1) > maxOpenRequests {
 		r.openRequests.Add(-1)
@@ -127,7 +127,7 @@
 	})
 }
 
-// drawRequest makes a request of a stream; false where a stream that reads new objects knows of none yet.
+// drawRequest returns a request of a stream, or false if the stream reads new objects and has none yet.
 func (r *scenarioRunner) drawRequest(stream *Traffic, volume int, rng *rand.Rand) (clientRequest, bool) {
 	site := &r.scenario.Site
 	classNumber, plan := site.ClassNumber(stream.Class), site.PlanNumber(stream.Plan)
@@ -151,7 +151,7 @@
 	return drawn, true
 }
 
-// drawPlace sets a request's key and cell; false where a stream that reads new objects knows of none yet.
+// drawPlace sets a request's key and cell; it returns false if the stream reads new objects and has none yet.
 func (r *scenarioRunner) drawPlace(request *proto.Request, stream *Traffic, rng *rand.Rand) bool {
 	switch {
 	case stream.NewObjects && request.Write:
@@ -171,8 +171,8 @@
 	return true
 }
 
-// drawInstances returns a volume's instances, in the order in which its client turns to them: the busiest
-// one first, or for some requests another.
+// drawInstances returns a volume's instances in the order in which its client tries them: the busiest one
+// first or, for some requests, another.
 func (r *scenarioRunner) drawInstances(request *proto.Request, rng *rand.Rand) []int {
 	count := int(request.VolumeInstances)
 	first := r.changes.rotation(request.Volume)
@@ -186,7 +186,7 @@
 	return instances
 }
 
-// mixBits is a hash that spreads numbers evenly; it is the same on each run.
+// mixBits returns a hash of a number: evenly distributed, and the same on each run.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/testbed/wait.go
+++ b/internal/testbed/wait.go
@@ -12,7 +12,7 @@
 	listenPause    = 20 * time.Millisecond
 )
 
-// sleep waits; it returns false when ctx ended first.
+// sleep waits for d; it returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -27,7 +27,8 @@
 	}
 }
 
-// listenAgain binds the address of an earlier incarnation, which the system may hold back for a moment.
+// listenAgain binds the address of an earlier incarnation. It retries, as the system may keep the address in
+// use for a short time.
 func listenAgain(ctx context.Context, addr netip.AddrPort) (net.Listener, error) {
 	var err error
 	for range listenAttempts {
