--- a/internal/testbed/throughput_test.go
+++ b/internal/testbed/throughput_test.go
@@ -23,11 +23,11 @@
 const (
 	throughputNodes    = 4
 	throughputInFlight = 64
-	throughputRequests = 2000 // unless a measurement asks for more
+	throughputRequests = 2000 // unless LANDINGPADDLE_MEASURE sets the number
 )
 
-// throughputSite has latency objectives so long that nothing is rejected: what is measured is the path, not
-// the decisions to reject.
+// throughputSite returns a site with latency objectives so long that nothing is rejected: the test measures
+// the request path, not decisions to reject.
 func throughputSite() config.Site {
 	site := config.DefaultSite()
 	site.Classes = []config.Class{
@@ -47,24 +47,24 @@
 // loadGenerator sends requests over connections and waits for their answers.
 type loadGenerator struct {
 	conns   []*proto.Conn
-	waiting []sync.Map // by stream: chan proto.Code
+	waiting []sync.Map // by connection: chan proto.Code by stream
 	readers sync.WaitGroup
 }
 
-// load is what a loadGenerator sends.
+// load specifies the requests that a loadGenerator sends.
 type load struct {
 	requests int
 	write    bool
-	gap      time.Duration // between two requests; 0: as fast as answers come
+	gap      time.Duration // between two requests; 0: as fast as answers arrive
 }
 
-// throughput is what a load came to.
+// throughput is the measured result of a load.
 type throughput struct {
 	rate      float64 // requests a second
 	latencies *hdrhistogram.Histogram
 }
 
-// percentile is a latency that so many percent of the requests did not exceed.
+// percentile returns the latency that the given percentage of the requests did not exceed.
 func (m *throughput) percentile(percent float64) time.Duration {
 	return time.Duration(m.latencies.ValueAtQuantile(percent)).Round(time.Microsecond)
 }
@@ -83,7 +83,7 @@
 	return g
 }
 
-// readAnswers passes the answers of one connection to those who wait for them, by stream.
+// readAnswers passes the code of each answer on a connection to the channel that waits for its stream.
 func readAnswers(ctx context.Context, conn *proto.Conn, waiting *sync.Map) {
 	_ = conn.Run(ctx, func(frame proto.Frame) error {
 		conn.CloseStream(frame.Stream)
@@ -96,7 +96,7 @@
 	})
 }
 
-// do sends a request and returns the code of its answer; an error where it was not sent.
+// do sends a request and returns the code of its answer, or an error if it was not sent.
 func (g *loadGenerator) do(number int, write bool, done chan proto.Code) (proto.Code, error) {
 	cell := number % throughputNodes
 	i := cell % len(g.conns)
@@ -123,7 +123,7 @@
 	g.readers.Wait()
 }
 
-// measure sends a load to addresses and returns what it came to.
+// measure sends a load to addresses and returns its throughput.
 func measure(ctx context.Context, tb testing.TB, addrs []string, load load) throughput {
 	tb.Helper()
 	generator := newLoadGenerator(ctx, tb, addrs)
@@ -139,11 +139,11 @@
 				sentAt := time.Now()
 				code, err := generator.do(number, load.write, done)
 				if err != nil {
-					tb.Error("not sent:", err)
+					tb.Error("request not sent:", err)
 					return
 				}
 				if code != proto.OK {
-					tb.Errorf("code %d", code)
+					tb.Errorf("answered with code %d, want OK", code)
 					return
 				}
 				took := time.Since(sentAt)
@@ -167,12 +167,13 @@
 	return throughput{rate, latencies}
 }
 
-// throughputPaths are addresses of the nodes, and as often that of a scheduler before them.
+// throughputPaths are the addresses of the nodes and, the same number of times, that of the instance in front
+// of them.
 type throughputPaths struct{ direct, through []string }
 
-// startThroughputFleet runs a registry, nodes whose work on a unit takes so long, and one scheduler.
+// startThroughputFleet runs a registry, nodes that need workPerUnit for each unit, and one instance.
 func startThroughputFleet(ctx context.Context, t *testing.T, running *sync.WaitGroup,
-	work time.Duration) throughputPaths {
+	workPerUnit time.Duration) throughputPaths {
 	t.Helper()
 	site := throughputSite()
 	registryListener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -182,7 +183,7 @@
 	server := registry.NewServer(registry.ServerConfig{Epoch: 1, MaxWait: time.Second})
 	running.Go(func() { _ = server.Serve(ctx, registryListener) })
 	registryAddr := registryListener.Addr().String()
-	model := config.NodeModel{Cores: 4, Queue: 4096, PerUnit: work, WriteFactor: 1, MaxConnections: 64}
+	model := config.NodeModel{Cores: 4, Queue: 4096, PerUnit: workPerUnit, WriteFactor: 1, MaxConnections: 64}
 	group := NewDedupGroup()
 	var direct []string
 	for i := range throughputNodes {
@@ -206,26 +207,26 @@
 	}
 	running.Go(func() { _ = instance.Run(ctx) })
 	sleep(ctx, 300*time.Millisecond)
-	// As many connections either way: what differs is the scheduler alone.
+	// Both paths have the same number of connections: they differ in the scheduler alone.
 	through := slices.Repeat([]string{listener.Addr().String()}, throughputNodes)
 	return throughputPaths{direct, through}
 }
 
-// TestThroughput_OfASchedulersPathAndTheDirectOne compares the two in one run. It takes part in the tests
-// with few requests; LANDINGPADDLE_MEASURE gives the number for a measurement.
-func TestThroughput_OfASchedulersPathAndTheDirectOne(t *testing.T) {
+// TestThroughput_ThroughSchedulerAndDirect compares the two paths in one run. By default it sends few
+// requests; LANDINGPADDLE_MEASURE sets the number for a measurement.
+func TestThroughput_ThroughSchedulerAndDirect(t *testing.T) {
 	requests := throughputRequests
 	if number, err := strconv.Atoi(os.Getenv("LANDINGPADDLE_MEASURE")); err == nil {
 		requests = min(max(number, 1), 2_000_000)
 	}
-	for _, work := range []time.Duration{0, 4 * time.Millisecond} {
-		t.Run(fmt.Sprintf("work=%v", work), func(t *testing.T) {
+	for _, workPerUnit := range []time.Duration{0, 4 * time.Millisecond} {
+		t.Run(fmt.Sprintf("work=%v", workPerUnit), func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			var running sync.WaitGroup
 			defer running.Wait()
 			defer cancel()
-			paths := startThroughputFleet(ctx, t, &running, work)
-			if work == 0 {
+			paths := startThroughputFleet(ctx, t, &running, workPerUnit)
+			if workPerUnit == 0 {
 				comparePaths(ctx, t, paths, load{requests: requests})
 				return
 			}
@@ -236,7 +237,8 @@
 	}
 }
 
-// comparePaths measures both paths with a load as fast as they go, and with half of it.
+// comparePaths measures both paths at their highest rate, and both at half the rate of the path through the
+// scheduler.
 func comparePaths(ctx context.Context, t *testing.T, paths throughputPaths, full load) {
 	t.Helper()
 	direct := measure(ctx, t, paths.direct, full)
@@ -245,7 +247,7 @@
 		full.write, throughputInFlight, direct.rate, direct.percentile(50), direct.percentile(99),
 		through.rate, through.percentile(50), through.percentile(99), 100*through.rate/direct.rate)
 	half := load{requests: full.requests / 2, write: full.write}
-	half.gap = time.Duration(2 / through.rate * float64(time.Second)) // half the load that the path carries
+	half.gap = time.Duration(2 / through.rate * float64(time.Second)) // half the rate through the scheduler
 	direct = measure(ctx, t, paths.direct, half)
 	through = measure(ctx, t, paths.through, half)
 	t.Logf("write %v, half load: direct p50 %v p99 %v; through p50 %v p99 %v", full.write,
