--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -21,8 +21,8 @@
 	lastStream uint64
 	waiting    map[uint64]chan proto.Answer // by stream
 	sent       map[uint64]proto.Request     // by stream; kept after the answer, to log a second one
-	gone       bool // the connection has ended
-	left       bool // the client itself closed the connection
+	gone       bool                         // the connection has ended
+	left       bool                         // the client itself closed the connection
 }
 
 // pendingRequest is a request that was sent and waits for its answer.
