--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -7,15 +7,15 @@
 	Request
 	class           *class
 	volume          *volume
-	shard           *shardQueue // in whose queue it is, or was until it was sent
+	shard           *shardQueue // in which it is queued, or was until it was sent
 	sequence        uint64      // number in arrival order
-	leader          *request    // of the operation that it joined; nil: it is alone or leads
-	operationUnits  float64     // size of the operation that it leads
+	leader          *request    // of the operation that it joined; nil: it is sent alone or leads one
+	operationUnits  float64     // size of its attempt, with all members if it leads an operation
 	startTag        float64
-	tagAdvance      float64 // by which it advanced its volume's finish tag
-	reservedUnits   float64 // taken from the volume's reserve
-	slotCost        float64
-	backfilledCost  float64       // slot cost of the requests that were backfilled past it
+	tagAdvance      float64       // by which it advanced its volume's finish tag
+	reservedUnits   float64       // taken from the volume's reserve
+	slotCost        float64       // as a leader, of the whole operation
+	backfilledCost  float64       // total slot cost of the requests that were backfilled past it
 	objectiveAt     time.Duration // when its latency objective ends
 	sentAt          time.Duration
 	mayHaveRunSince time.Duration // when the first attempt that may have run was sent
@@ -25,9 +25,9 @@
 	quotaCharged    bool
 	queued          bool
 	answered        bool
-	slotsReleased   bool          // its attempt does not use slots, or no longer does
-	sends           []sendRef     // its attempts, in the send records of their nodes
-	uncertainAt     time.Duration // when an attempt last ended that may still be running; 0: never
+	slotsReleased   bool          // its attempt uses no slots (as a member), or no longer does (as lost)
+	sends           []sendRef     // references to the send records of its attempts
+	uncertainAt     time.Duration // end of its last attempt that may still be running at the node; 0: none
 }
 
 // class is a class's settings and the statistics that this instance has learned of it.
@@ -35,7 +35,7 @@
 	Class
 	meanUnits   float64       // running mean of request sizes
 	count       float64       // of requests
-	longestWait time.Duration // longest client wait so far: assumed to be that of a first try
+	longestWait time.Duration // longest time from arrival to ExpiresAt; taken as that of a first try
 	latency     regression    // latency against size
 }
 
@@ -83,9 +83,9 @@
 
 // objectiveTime returns when a request's latency objective ends. The objective of a client's retry counts
 // from its first try, which is assumed to have had the longest wait that clients of the class allow. It
-// counts from now for a request with less time left than the objective, which is from an impatient client or
-// is a retry so late that little is lost either way; and, where clients mark their retries, for all unmarked
-// requests.
+// counts from now for a request with less time left than the objective, which is a first try with a short
+// timeout or a retry so late that the choice matters little; and, where clients mark their retries, for all
+// unmarked requests.
 func (s *Scheduler) objectiveTime(r *request) time.Duration {
 	at := r.ExpiresAt
 	if objective := r.class.LatencyObjective; objective > 0 {
@@ -94,7 +94,7 @@
 			at = s.now + objective
 		}
 	}
-	// An instance that has received only retries underestimates the longest wait and computes too late an
-	// end: never hold a request beyond its own deadline.
+	// An instance that has received only retries underestimates the longest wait, so the end would be too
+	// late: it is limited to the request's own deadline.
 	return min(at, r.ExpiresAt-timingMargin)
 }
--- a/scheduler/batching.go
+++ b/scheduler/batching.go
@@ -1,11 +1,12 @@
 package scheduler
 
 // Batcher tracks which queued requests could be sent to their node as one operation. It proposes members; the
-// Scheduler decides on each. Request IDs must not be 0 where a Batcher is used.
+// Scheduler decides on each. Request IDs must not be 0 where a Batcher is used, as a Send.Leader of 0 means
+// that the attempt joins no operation.
 type Batcher interface {
-	// Propose is called when a request is sent for the first time. It calls join for each other request that
-	// fits the operation, with the size in units that the whole operation would have with it; join reports
-	// whether the request becomes a member. Propose must not call the Scheduler.
+	// Propose is called when a request is sent for the first time, unless as a member. It calls join for each
+	// other request that fits the operation, with the size in units that the whole operation would have with
+	// it; join reports whether the request becomes a member. Propose must not call the Scheduler.
 	Propose(id uint32, join func(id uint32, units float64) bool)
 }
 
@@ -37,9 +38,11 @@
 }
 
 // mayJoin reports whether a queued request may become a member of an operation whose size would then be the
-// given units. The request must be the next in tag order, or its finish tag must be ahead of the virtual time
-// by no more than one request of maximum size. The operation must be expected to end within the objectives of
-// member and leader, and no later than either would end alone plus the node's mean deviation.
+// given units. The request must be of the leader's shard and class and not have been sent before; slow start,
+// its quota and the order of its key must allow it. It must be the next in tag order, or its finish tag must
+// be ahead of the virtual time by no more than one request of maximum size. The operation must be expected to
+// end within the objectives of member and leader, and no later than the sooner of the two would end alone
+// plus the node's mean deviation.
 func (s *Scheduler) mayJoin(op *operation, r *request, units float64) bool {
 	leader, n, queue := op.leader, op.node, op.leader.shard
 	if !r.queued || r.attempts > 0 || r.shard != queue || r.class != leader.class {
@@ -73,7 +76,7 @@
 	s.sendAttempt(r, op.node, op.leader)
 }
 
-// isMemberOf reports whether a request is in flight as a member, or the leader, of an operation.
+// isMemberOf reports whether a request is in flight as a member, or as the leader, of the leader's operation.
 func (r *request) isMemberOf(leader *request) bool {
 	return r.node != nil && (r == leader || r.leader == leader)
 }
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -10,19 +10,20 @@
 	initialDepth        = 8.0  // slots at a new or restarted node
 	fleetSlots          = 128  // slots that all instances together may use at a node that answers quickly
 	congestionThreshold = 0.3  // of the shortest objective: higher latencies reduce fleetSlots
-	congestionExponent  = 4.0  // fleetSlots is divided by this power of latency over threshold
+	congestionExponent  = 4.0  // fleetSlots is divided by (latency / threshold) to this power
 	maxDepth            = 24.0 // in slots; also the limit of attempts in flight at a node, lost ones included
 	depthGain           = 3.0  // slots that all instances together add to the target depth per period
 	depthStep           = 0.5  // fraction of the difference to the target depth that is applied per period
 	nodeTimeFraction    = 0.1  // target latency at a node, as a fraction of the shortest objective
-	extraSlots          = 8.0  // added to the slot limit at an idle node, for volumes not ahead
-	extraSlotsThreshold = 0.5  // of the shortest objective: latency at which there are no extra slots
+	extraSlots          = 8.0  // added to the limit at latency 0, for start tags up to the virtual time
+	extraSlotsThreshold = 0.5  // of the shortest objective: latency from which there are no extra slots
 	minAdaptPeriod      = 50 * time.Millisecond
 )
 
-// exceedsSlots reports whether a request must wait for slots of its shard's node. Pacing holds back requests
-// whose start tag is beyond the virtual time, and all new objects: they are not bound to this node, and where
-// few nodes are left the new objects of all instances would starve the reads that are bound to it.
+// exceedsSlots reports whether a request must wait for slots of its shard's node. Where none are in use, any
+// slot cost fits. Pacing (isPaced) holds back requests whose start tag is beyond the virtual time, and all
+// new objects: they are not bound to this node, and where few nodes are ready the new objects of all
+// instances would starve the reads that are bound to it.
 func (s *Scheduler) exceedsSlots(queue *shardQueue, r *request) bool {
 	n, limit := queue.node, s.slotLimit(queue, r)
 	if n.slotsUsed > 0 && n.slotsUsed+r.slotCost > limit {
@@ -32,15 +33,15 @@
 	return (ahead && s.isPaced(n, limit)) || len(n.inFlight) >= maxDepth
 }
 
-// slotLimit returns how many slots may be used at the shard's node, those of the request included.
+// slotLimit returns the number of slots that may be used at the shard's node, those of the request included.
 //
 // It is the depth, but no more than this instance's share of the slots of all instances. At any moment most
-// instances have no requests at a given node, so the total is high at first; it falls steeply once the node's
-// latency exceeds the congestion threshold, so that the node recovers even when all instances use it.
+// instances have no requests at a given node, so the total is high at low latency; it falls steeply once the
+// node's latency exceeds the congestion threshold, so that the node recovers even when all instances use it.
 //
-// The execution time, estimated by the running median, counts equally for all requests. The wait beyond it
-// counts more for requests of lower priority weight: otherwise low-priority requests with long objectives
-// fill a slow node, and requests with short objectives expire first.
+// Of that latency, the execution time, estimated by the running median, counts equally for all requests. The
+// wait beyond it counts more for requests of lower priority weight: otherwise low-priority requests with long
+// objectives fill a slow node, and requests with short objectives expire first.
 //
 // A request whose start tag is not beyond the virtual time gets extra slots, as its volume has received no
 // more than its share while others may have filled the node. They shrink to 0 as the latency grows.
@@ -106,11 +107,11 @@
 	return min(initialDepth, s.instanceShare(fleetSlots))
 }
 
-// minDepth returns the least depth: one slot, so that each instance can send a request, or where there are
-// more instances than fleetSlots the instance's share of those.
+// minDepth returns the minimum depth: one slot, so that each instance can send a request, or, where there are
+// more instances than fleetSlots, the instance's share of fleetSlots.
 func (s *Scheduler) minDepth() float64 { return min(1, s.instanceShare(fleetSlots)) }
 
-// releaseLostSlots releases the slots of attempts that are in flight for longer than the node's loss timeout:
+// releaseLostSlots releases the slots of attempts that have been in flight for longer than the loss timeout:
 // lost answers and requests that hang would otherwise use their slots until the client's wait ends, and a few
 // of them block a node's queue. At a node that hangs, this lets a request through from time to time, as a
 // probe.
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -17,8 +17,8 @@
 )
 
 // dispatch sends a shard's requests in tag order while they fit the slot limit of its node. When the first
-// that may be sent does not fit, smaller ones are backfilled, until the slot cost of those sent past it would
-// exceed its own.
+// that may be sent does not fit, smaller ones are backfilled, until the total slot cost of those sent past it
+// would exceed its own.
 func (s *Scheduler) dispatch(queue *shardQueue) {
 	n := queue.node
 	if n == nil {
@@ -46,7 +46,7 @@
 				head.backfilledCost += r.slotCost
 			}
 			i = s.dispatchAt(queue, i)
-			if head != nil && !head.queued {
+			if head != nil && !head.queued { // it joined the operation that was just sent
 				head = nil
 			}
 		}
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Server identifies the process of a storage node by its IPv4 address and port. Nothing else is derived from
-// it.
+// Server identifies the process of a storage node by its IPv4 address and port. No other property of the node
+// is derived from them.
 type Server struct {
 	Addr [4]byte `cbor:"Addr"`
 	Port uint16  `cbor:"Port"`
@@ -38,7 +38,7 @@
 	Cell            uint16 // the shard of data that the node holds
 	Zone            uint8
 	MachineType     uint8
-	StartedAt       time.Duration // clock value of its last start; 0: long ago
+	StartedAt       time.Duration // clock value of its last start; 0: long ago, the node is warm
 	NominalCapacity float64
 }
 
--- a/scheduler/endpoint_view.go
+++ b/scheduler/endpoint_view.go
@@ -21,10 +21,10 @@
 	lastAnswerAt      time.Duration
 	latencyUpdatedAt  time.Duration
 	depthAdaptedAt    time.Duration
-	failures          int     // consecutive
-	consecutiveResets int     // of connections
-	errorRate         float64 // running fraction of answers that were errors
-	retryAt           time.Duration
+	failures          int                       // consecutive
+	consecutiveResets int                       // of connections
+	errorRate         float64                   // running fraction of answers that were errors
+	retryAt           time.Duration             // when a node with failures may be sent a request again
 	sends             slidingWindow[sendRecord] // within the last overload window
 	unitsSent         float64                   // sum over sends, with rounding errors
 	lastSentAt        time.Duration
@@ -98,7 +98,7 @@
 	}
 }
 
-// assignNodes assigns to each shard the ready node that holds it; of two, the one that started last.
+// assignNodes assigns to each shard the ready node that holds it; of several, the one that started last.
 func (v *endpointView) assignNodes() {
 	ready := make([]*node, 0, len(v.nodes))
 	for _, n := range v.nodes {
@@ -150,5 +150,5 @@
 	} else {
 		n.removedAt = 0
 	}
-	s.endpoints.shardFor(int(e.Cell))
+	s.endpoints.shardFor(int(e.Cell)) // creates the shard even if no node is ready for it
 }
--- a/scheduler/endpoint_watch.go
+++ b/scheduler/endpoint_watch.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// watchReopenDelay is the minimum delay before a failed watch is reopened; the maximum is twice as long.
+	// watchReopenDelay is the minimum delay before a failed watch is reopened, unless PushGrace requires a
+	// shorter one; the maximum is twice as long.
 	watchReopenDelay = 750 * time.Millisecond
 	// brokenWatchSpeedup divides the first delay after an established watch broke; the divisor halves with
 	// each further failure.
@@ -47,11 +48,11 @@
 	}
 }
 
-// watchFailed schedules the reopening of the watch, unless that is due within two reopen delays already. The
+// watchFailed schedules the reopening of the watch, unless that is already due within two reopen delays. The
 // failure may be that of a fetch while the watch is still open; the watch is reopened in any case, after a
 // random delay, so that the instances of a fleet do not send their requests in step. A watch that was
-// established and broke can usually be reopened at once, and the first request for that may fail too: the
-// next delays are shorter.
+// established and broke can usually be reopened at once, and the first attempt to reopen it may fail as well:
+// the delays after the break are shorter.
 func (s *Scheduler) watchFailed() {
 	delay := s.watch.reopenDelay
 	pending := !s.watch.heard && s.watch.reopenAt <= s.now+2*delay
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -15,17 +15,17 @@
 // NewObject is the Cell of a request whose data may be placed on any node.
 const NewObject = -1
 
-// Request is a client's request. The scheduler gives it one final answer before ExpiresAt.
+// Request is a client's request. It gets one final answer before ExpiresAt: an attempt's, Reject or Fail.
 type Request struct {
 	ID              uint32
-	Class           int
+	Class           int  // index in Settings.Classes
 	Cell            int  // the shard that holds the data, or NewObject
 	Retry           bool // the client marked it as a retry
 	Write           bool
-	VolumeInstances int // number of instances through which the volume's requests arrive
-	Plan            int
-	Key             uint64 // ordering key, for classes that are ordered by key; 0: none
-	ExpiresAt       time.Duration
+	VolumeInstances int           // number of instances through which the volume's requests arrive
+	Plan            int           // index in Settings.Plans
+	Key             uint64        // ordering key, for classes that are ordered by key; 0: none
+	ExpiresAt       time.Duration // clock value at which the client stops waiting
 	Volume          uint64
 	Units           float64
 	Continuation    bool // a further piece of a split request: the retry budget counts the first only
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -11,7 +11,7 @@
 	latencyHalfLife    = 500 * time.Millisecond // age at which a node's latency counts half
 	regressionMinCount = 16.0                   // answers before latency is corrected for size
 	regressionWindow   = 512.0                  // answers over which a regression averages
-	medianStep         = 0.05                   // fraction of itself by which the running median moves
+	medianStep         = 0.05                   // step of the running median / the larger of it and the mean
 	recentMeanWindow   = 16.0                   // attempts over which the recent mean of all nodes is taken
 )
 
@@ -32,7 +32,8 @@
 	g.meanProduct += (size*time - g.meanProduct) / g.count
 }
 
-// predict returns the expected latency of a request of a size, in seconds.
+// predict returns the expected latency of a request of a size, in seconds. The slope is limited to the range
+// from a latency independent of the size to one proportional to it.
 func (g *regression) predict(size float64) float64 {
 	slope, variance := 0.0, g.meanSquare-g.meanSize*g.meanSize
 	if g.count >= regressionMinCount && variance > 0 {
@@ -42,8 +43,8 @@
 	return g.meanTime + slope*(size-g.meanSize)
 }
 
-// latencyModel is the latency of the average request over all nodes: the one whose latency is the mean of
-// allClasses. Other latencies are normalized to it by subtracting their sizeCorrection.
+// latencyModel is the latency of the average request over all nodes. The average request is one whose latency
+// is the mean of allClasses; other latencies are normalized to it by subtracting their sizeCorrection.
 type latencyModel struct {
 	allClasses    regression    // over all classes and nodes
 	recentMean    time.Duration // over the last recentMeanWindow attempts
@@ -61,7 +62,8 @@
 	m.recentMean += time.Duration(float64(latency-m.recentMean) / window)
 }
 
-// sizeCorrection returns how much longer than the average request one of this class and size takes.
+// sizeCorrection returns by how much the latency of a request of this class and size exceeds that of the
+// average request; 0 while too few answers are recorded.
 func (m *latencyModel) sizeCorrection(c *class, units float64) time.Duration {
 	if m.allClasses.count < regressionMinCount || c.latency.count < regressionMinCount {
 		return 0
@@ -69,8 +71,8 @@
 	return seconds(c.latency.predict(units) - m.allClasses.meanTime)
 }
 
-// ofNode returns the latency of the average request at a node. With age it decays towards the recent mean of
-// all nodes: with many instances, each receives answers of a given node only from time to time.
+// ofNode returns the latency of the average request at a node. As the node's last update ages, it decays
+// towards the recent mean of all nodes: with many instances, each receives answers of a given node rarely.
 func (m *latencyModel) ofNode(n *node, now time.Duration) time.Duration {
 	if m.allClasses.count < regressionMinCount {
 		return n.latency
@@ -86,9 +88,9 @@
 	return max(0, s.recentLatency(n)+s.latency.sizeCorrection(r.class, r.Units))
 }
 
-// learnLoss records an attempt that got no answer, of which only the time waited is known. The model of all
-// nodes records twice its recent mean at most, and nothing from a node that fails repeatedly, as nodes that
-// are cut off from the network must not make all others appear slow.
+// learnLoss records an attempt that got no answer; only the time waited is known. The model of all nodes
+// records at most twice its recent mean, and nothing from a node that fails repeatedly, as nodes that are cut
+// off from the network must not make all others appear slow.
 func (s *Scheduler) learnLoss(n *node, waited time.Duration) {
 	if n.failures <= 1 {
 		s.latency.observe(min(waited, 2*s.latency.recentMean))
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -8,7 +8,7 @@
 // keyQueue holds the requests of one ordering key, oldest first.
 type keyQueue struct {
 	requests     []*request
-	blockedUntil time.Duration // no first attempt is sent before, as an earlier request may still be running
+	blockedUntil time.Duration // earliest time of the next first attempt, as an earlier request may still run
 }
 
 // keyTable keeps requests with the same key in arrival order.
@@ -52,7 +52,7 @@
 }
 
 // remove removes a finished request from its key's queue. If an attempt of it may still be running, the next
-// request waits for the pause.
+// request is not sent until the pause has passed since the attempt ended here.
 func (t *keyTable) remove(r *request, pause, now time.Duration) {
 	queue := t.byKey[r.Key]
 	if !r.isOrdered() || queue == nil {
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	initialBackoff      = 50 * time.Millisecond // mean delay before a failed node is tried again
-	maxBackoff          = time.Second
-	maxBackoffDoublings = 10
+	initialBackoff      = 50 * time.Millisecond // mean backoff after the first failure
+	maxBackoff          = time.Second           // maximum mean backoff
+	maxBackoffDoublings = 10                    // keeps the shift in range after many failures
 	// lossDeviations is the number of mean deviations above the mean latency beyond which an attempt counts
 	// as lost.
 	lossDeviations = 8
@@ -20,7 +20,7 @@
 // lossTimeout returns how long an attempt may be in flight before it counts as lost.
 func (n *node) lossTimeout() time.Duration { return n.latency + lossDeviations*n.deviation }
 
-// learnFromResult updates the failures and the latency of a node from the end of an attempt.
+// learnFromResult updates the failures and the latency of a node from the result of an attempt.
 func (s *Scheduler) learnFromResult(n *node, r *request, result AttemptResult) {
 	lost := s.isLost(n, r, result)
 	silent := lost && result.Latency > min(n.lossTimeout(), s.objectives.shortest/2)
@@ -43,8 +43,9 @@
 }
 
 // detectOutlier counts a node's consecutive failures. An error is an answer and resets the count. Answers of
-// a healthy node may be lost with a connection: one reset does not count as a failure, the second consecutive
-// one does. A timeout counts if silent is true.
+// a healthy node may be lost with a connection: one reset does not count as a failure, further ones without
+// an answer in between do. A timeout counts if silent is true: it indicates a fault of the node and was
+// longer than the loss timeout or half of the shortest objective.
 func (s *Scheduler) detectOutlier(n *node, r *request, code ResultCode, silent bool) {
 	switch {
 	case code == OK || code == Error:
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -7,7 +7,8 @@
 const errorExponent = 3.0
 
 // placeNewObject picks the shard for an object that may be placed anywhere: the one with the least expected
-// wait. Where no node is usable, any shard serves as well, and that of the lowest cell is picked.
+// wait. Shards without a ready node, or whose node has failures or is not allowed by slow start, are avoided;
+// where there are no others, any shard serves as well, and that of the lowest cell is picked.
 func (s *Scheduler) placeNewObject(r *request) *shardQueue {
 	var best *shardQueue
 	least := math.Inf(1)
@@ -24,10 +25,10 @@
 }
 
 // placementWait estimates a new object's wait at a shard, in seconds: the work in flight and queued, in
-// requests, times the node's latency for one. The age of its oldest attempt shows first that a node is stuck.
-// A node that fails most requests quickly appears fast and idle, so errors increase the wait. Nodes that have
-// never answered appear alike, so their waits are randomized: instances that start would otherwise all pick
-// the same one.
+// requests, times the node's latency for one. The age of its oldest attempt is the first sign that a node is
+// stuck. A node that fails most requests quickly appears fast and idle, so errors increase the wait. Nodes
+// that have never answered appear alike, so their waits are randomized: instances that start would otherwise
+// all pick the same one.
 func (s *Scheduler) placementWait(queue *shardQueue, r *request) float64 {
 	n := queue.node
 	wait := s.expectedLatency(n, r).Seconds()
--- a/scheduler/result.go
+++ b/scheduler/result.go
@@ -40,7 +40,7 @@
 }
 
 // recordEffects records from a result whether the request may have run, whether it may still be running, and
-// the units that its volume was served elsewhere.
+// the units served for its volume through other instances.
 func (s *Scheduler) recordEffects(n *node, r *request, result AttemptResult) {
 	if result.Code.MayHaveRun() && r.mayHaveRunOn == nil {
 		r.mayHaveRunOn, r.mayHaveRunSince = n, r.sentAt
@@ -53,8 +53,8 @@
 	}
 }
 
-// requeue queues a request for its next attempt. A new object is placed again if a second copy of it is
-// harmless or cannot exist.
+// requeue queues a request for its next attempt. The shard of a new object is picked again if a second copy
+// of the object is harmless or cannot exist.
 func (s *Scheduler) requeue(r *request) {
 	if r.Cell < 0 && (r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent) {
 		r.shard = s.placeNewObject(r)
@@ -63,7 +63,7 @@
 }
 
 // shedLate ends the queued requests that would miss their objective even if they were sent now, as they would
-// only take slots from requests that can still be in time, and those that may no longer be retried.
+// only take slots from requests that can still meet theirs, and those that may no longer be retried.
 func (s *Scheduler) shedLate(queue *shardQueue) {
 	n := queue.node
 	for _, r := range slices.Clone(queue.requests) {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// retryBudget limits attempts beyond each request's first to floor + ratio * requests admitted within a
-// window.
+// retryBudget limits the attempts within a window beyond each request's first to floor + ratio * requests
+// admitted within that window.
 type retryBudget struct {
 	enabled    bool
 	floor      float64
@@ -48,8 +48,8 @@
 	b.admissions.dropWhile(func(at time.Duration) bool { return at <= now-b.window })
 }
 
-// mayRetry reports whether a request may be sent again, to a node: it must be within MaxAttempts and the
-// retry budget, and a second execution must do no harm.
+// mayRetry reports whether a request may be sent again, to the given node: it must be within MaxAttempts and
+// the retry budget, and a second execution must do no harm.
 func (s *Scheduler) mayRetry(r *request, n *node) bool {
 	if r.attempts >= s.settings.MaxAttempts || !s.retries.allowsRetry(s.now) {
 		return false
@@ -78,7 +78,7 @@
 
 // retryDeadline returns the time after which a request that may have run must not be sent again, however late
 // the connection for its next attempt is established: the end of its deduplication window, less a margin; 0:
-// there is no such window.
+// it cannot have run, or has no such window.
 func (r *request) retryDeadline() time.Duration {
 	if r.mayHaveRunOn == nil || r.class.Idempotency != IdempotentByKey {
 		return 0
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -46,11 +46,11 @@
 	batcher    Batcher // nil: each request is sent alone
 }
 
-// objectives are the extremes of the settings with which single requests are compared.
+// objectives are the shortest latency objective and the largest priority weights of the settings.
 type objectives struct {
 	shortest       time.Duration // latency objective of any class; 0: no class has one
-	maxClassWeight float64       // priority weight
-	maxPlanWeight  float64       // priority weight
+	maxClassWeight float64       // priority weight of any class; 0: none is set
+	maxPlanWeight  float64       // priority weight of any plan; 0: none is set
 }
 
 // reviewTimer keeps one review scheduled while requests wait or are in flight.
@@ -94,8 +94,9 @@
 	return o
 }
 
-// Handle processes one event. The clock value must not be smaller than that of an earlier call. Events that
-// the scheduler does not use (ResponseStarted, HealthCheckResult, PeerMessage) only advance the clock.
+// Handle processes one event. The clock value must not be smaller than that of an earlier call of Handle or
+// Decide. Events that the scheduler does not use (ResponseStarted, HealthCheckResult, PeerMessage) only
+// advance the clock.
 func (s *Scheduler) Handle(now time.Duration, event Event) {
 	s.advanceClock(now)
 	switch event := event.(type) {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -8,11 +8,11 @@
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // a second execution does no harm
-	IdempotentByKey                    // nodes in the class's scope deduplicate a key within its window
+	IdempotentByKey                    // nodes in DedupScope ignore a duplicate of a key within DedupWindow
 	NotIdempotent                      // a second execution does harm
 )
 
-// DedupScope specifies the nodes that deduplicate idempotency keys among each other.
+// DedupScope specifies the nodes among which an idempotency key is deduplicated.
 type DedupScope uint8
 
 // The scopes of deduplication.
@@ -57,7 +57,7 @@
 //
 // They are part of a site's settings. Some are read by drivers only, and no decision depends on them yet:
 // HealthChecks, PeerMessages, Cancellation, HedgedRequests, ConnectTimeout, BatchInterval, MeterPeriod,
-// SpareWeight, DrainGrace, LoadFields, Zone and ReportsElsewhere, and of a Class or Plan Writes,
+// SpareWeight, DrainGrace, LoadFields, Zone and ReportsElsewhere, and of a Class or Plan Deadline, Writes,
 // LateFraction, Rate and LimitSlack.
 type Settings struct {
 	InstanceIndex     int // of this instance, from 0
--- a/scheduler/sfq.go
+++ b/scheduler/sfq.go
@@ -60,7 +60,7 @@
 	r.queued = false
 }
 
-// compareTags orders requests by start tag. At equal tags, requests wholly inside their reserve are first,
+// compareTags orders requests by start tag. At equal tags, requests wholly inside their reserve come first,
 // then the order of arrival decides.
 func compareTags(a, b *request) int {
 	return cmp.Or(cmp.Compare(a.startTag, b.startTag), cmp.Compare(a.beyondReserve(), b.beyondReserve()),
@@ -76,8 +76,8 @@
 }
 
 // assignTags gives a request its start tag and advances its volume's finish tag. Units inside the reserve do
-// not advance it, and a request wholly inside starts at the virtual time: the reserve is served before the
-// fair share.
+// not advance it, and the start tag of a request wholly inside is the virtual time: the reserve is served
+// before the fair share.
 func (s *Scheduler) assignTags(r *request) {
 	queue := r.shard
 	r.reservedUnits = s.takeReserve(r.volume, r.Units)
@@ -99,8 +99,8 @@
 	r.tagAdvance, r.reservedUnits = 0, 0
 }
 
-// chargeElsewhere counts units that other instances sent for a volume as if they had been sent here, so that
-// tags and the reserve follow the volume's total service (as DSFQ does).
+// chargeElsewhere counts units that were served for a volume through other instances as if they had been sent
+// here, so that tags and the reserve follow the volume's total service (as in distributed SFQ, DSFQ).
 func (s *Scheduler) chargeElsewhere(r *request, units float64) {
 	beyond := units - s.takeReserve(r.volume, units)
 	queue := r.shard
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -29,7 +29,7 @@
 		return true
 	}
 	if n.StartedAt < s.startedAt && s.now-s.startedAt < window {
-		return false // earlier sends of a restarted instance are unknown: assume its whole share
+		return false // earlier sends of a restarted instance are unknown: assume they took its whole share
 	}
 	if s.instanceShare(s.settings.ColdCapacity) >= 1 {
 		return s.fitsOverloadWindow(n, units, s.instanceShare(s.slowStartCapacity(age-window)))
@@ -38,10 +38,10 @@
 }
 
 // slowStartTurnAllows is slowStartAllows where there are more instances than units of cold capacity, so that
-// the share of each is less than a request. They take turns of one window each; as many instances share a
-// turn as can send a request of mean size each. Any window overlaps two turns at most, which share the
-// capacity: all instances together stay within it, at the price that many instances reject most of a cold
-// shard's requests.
+// the share of each is less than a request. They take turns of one window each. Any window overlaps two turns
+// at most, so each turn gets half of the capacity; a turn is shared by the number of instances that can each
+// send a request of mean size in it. All instances together stay within the capacity, at the price that many
+// instances reject most of a cold shard's requests.
 func (s *Scheduler) slowStartTurnAllows(n *node, units float64) bool {
 	age, window := s.now-n.StartedAt, s.overloadWindow()
 	instances := float64(max(s.settings.Instances, 1))
@@ -63,6 +63,7 @@
 	return s.settings.ColdCapacity * (1 + (1/s.settings.ColdFraction-1)*progress)
 }
 
+// overloadWindow returns OverloadWindow, but at least 1 ns, as ages are divided by it.
 func (s *Scheduler) overloadWindow() time.Duration { return max(s.settings.OverloadWindow, 1) }
 
 // fitsOverloadWindow reports whether a node's sends of one window and the given units stay within a capacity.
--- a/scheduler/statistics.go
+++ b/scheduler/statistics.go
@@ -18,7 +18,8 @@
 	Deviation time.Duration `cbor:"Deviation"`
 }
 
-// ClassStatistics are a class's mean size in units over a count of requests, and its latencies against sizes.
+// ClassStatistics are a class's mean size in units over a count of requests, and the regression of its
+// latencies against sizes.
 type ClassStatistics struct {
 	MeanUnits float64    `cbor:"Mean"`
 	Count     float64    `cbor:"Seen"`
@@ -52,8 +53,8 @@
 }
 
 // RestoreStatistics restores the statistics of an earlier incarnation, each only where none were learned here
-// yet, so that it may be called again as nodes are listed. It returns the number of nodes whose statistics it
-// restored.
+// yet, so that it may be called again as nodes are listed. There must not be more saved classes than the
+// settings have. It returns the number of nodes whose statistics it restored.
 func (s *Scheduler) RestoreStatistics(saved Statistics) (nodes int) {
 	for server, learned := range saved.Nodes {
 		n := s.endpoints.nodes[server]
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -1,7 +1,7 @@
 package scheduler
 
 const (
-	maxVolumes      = 1 << 16 // above this number, idle ones keep no finish tags
+	maxVolumes      = 1 << 16 // above this number, idle ones are deleted with their finish tags
 	volumesPerSweep = 2       // inspected for each request admitted
 )
 
@@ -9,14 +9,15 @@
 type volume struct {
 	id           uint64
 	plan         Plan
-	instances    float64 // number of instances through which its requests arrive
+	instances    float64 // through which its requests arrive: the largest number stated so far
 	reserve      tokenBucket
-	limit        tokenBucket
+	limit        tokenBucket             // of the quota
 	finishTags   map[*shardQueue]float64 // of its last request in each shard
 	openRequests int
 }
 
-// volumeTable holds the volumes that have open requests or whose state differs from that of a new one.
+// volumeTable holds the volumes that have open requests or whose state differs from that of a new one, and
+// others until a sweep deletes them.
 type volumeTable struct {
 	byID       map[uint64]*volume
 	order      []*volume // the same, in the order in which sweeps inspect them
@@ -46,9 +47,9 @@
 	}
 }
 
-// volumeFor returns a request's volume and creates it on first use. The bucket of its quota starts empty: an
-// instance that was killed may have spent it before, and units that other instances rely on must not be
-// granted twice.
+// volumeFor returns a request's volume and creates it on first use. The bucket of its quota is empty at the
+// start of this instance: an earlier incarnation that was killed may have spent it, and units that other
+// instances rely on must not be granted twice.
 func (s *Scheduler) volumeFor(r Request) *volume {
 	v := s.volumes.byID[r.Volume]
 	if v == nil {
@@ -77,7 +78,7 @@
 	if v.openRequests > 0 {
 		return false
 	}
-	// A new bucket must hold as much as this one: both must be full.
+	// A new bucket must contain as many units as this one, so both must be full.
 	rate, burst := v.quota()
 	fresh := tokenBucket{filledAt: s.startedAt}
 	if v.plan.Limit > 0 && !(v.limit.isFullAt(s.now, rate, burst) && fresh.isFullAt(s.now, rate, burst)) {
