--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A restarted instance may have received only client retries, which have little time left. It then computes a
-// latency objective that ends after their deadline, but must still answer by the deadline.
+// A restarted instance may have received only client retries, which have little time left. It then computes
+// an end of the latency objective that is after their deadline, but must still answer by the deadline.
 func TestAdmission_HoldsNoRetryBeyondItsDeadline(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
 	driver.handle(EndpointUpdate{Kind: UpdateFull})
@@ -16,7 +16,7 @@
 		driver.advance(10 * ms)
 	}
 	driver.advance(5 * ms)
-	wantEqual(t, "answers", finalAnswers(driver.actions), "reject 1")
+	wantEqual(t, "answers 5 ms before the deadline", finalAnswers(driver.actions), "reject 1")
 }
 
 // A first try with less time left than the latency objective comes from a client with a short timeout and is
@@ -25,7 +25,7 @@
 	settings := smallSiteSettings()
 	settings.Classes[0].LatencyObjective = 200 * ms
 	driver := startDriver(t, settings, 2)
-	driver.handle(driver.newRequest(nil)) // sets the longest wait that clients grant
+	driver.handle(driver.newRequest(nil)) // sets the class's longest wait
 	n := driver.node(1)
 	n.latency, n.depth = 10*ms, 8
 	for i := range 40 {
--- a/scheduler/batching_test.go
+++ b/scheduler/batching_test.go
@@ -159,7 +159,7 @@
 		withShortDeadline := func(r *Request) { r.ExpiresAt = driver.now + 40*ms }
 		driver.handle(driver.newBatchable(nil), driver.newBatchable(withShortDeadline))
 		if got := membersByLeader(driver.actions); len(got[1]) != 0 {
-			t.Errorf("members by leader: got %v, want none with 40 ms left for 100 ms", got)
+			t.Errorf("members by leader: got %v, want none, as 100 ms do not fit into 40 ms", got)
 		}
 	})
 	t.Run("key", func(t *testing.T) {
@@ -179,8 +179,8 @@
 	})
 }
 
-// A member joins only if the operation is expected to end no later than each of its requests would end alone,
-// plus the node's mean deviation.
+// A request joins only if the operation is expected to end no later than it and the leader would each end
+// alone, plus the node's mean deviation.
 func TestBatching_MemberIsNotDelayed(t *testing.T) {
 	driver := startBatchingDriver(t, smallSiteSettings())
 	for i := range 64 { // each unit takes 10 ms
@@ -280,8 +280,9 @@
 	b.now += ms
 }
 
-// checkShares compares the service of each pair of volumes. SFQ lets two backlogged flows differ by a largest
-// request of each; merging adds less than one such request of the volume that is ahead.
+// checkShares compares the service of each pair of volumes, divided by their weights. SFQ lets two backlogged
+// flows differ by a largest request of each; merging adds less than one such request of the volume that is
+// ahead.
 func (b *fullBacklog) checkShares(t *rapid.T) {
 	for v := range b.served {
 		for w := range b.served {
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -18,6 +18,7 @@
 	wantEqual(t, "sent, one request of each volume", sentIDs(driver.handle(requests...)), 1, 5)
 }
 
+// A node whose latency stays far above the target gets the minimum depth.
 func TestConcurrency_DepthFallsAtSlowNode(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Instances = 6
@@ -44,7 +45,7 @@
 }
 
 // Where one request of each instance is more than a node can serve in time, the slot limit falls below one,
-// so that instances pace the requests whose start tag is after the virtual time.
+// so that instances pace the requests whose start tag is beyond the virtual time.
 func TestConcurrency_SlotLimitFallsWithLatency(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Instances = 256
@@ -131,6 +132,9 @@
 	}
 }
 
+// Where there are more instances than fleetSlots, the minimum depth is less than one slot. An instance then
+// spaces the sends of a volume that is ahead by the node's latency divided by the slot limit, and sends at
+// once for a volume that is not ahead.
 func TestConcurrency_ManyInstancesPaceTheirSends(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Instances = 512
@@ -144,7 +148,7 @@
 	driver.handle(driver.newRequest(nil), driver.newRequest(nil))
 	driver.now += 200 * ms
 	sent := sentIDs(driver.finishAttempt(1, 0, 0, OK, 200*ms))
-	wantEqual(t, "sent after one of the four latencies that a volume ahead waits", sent)
+	wantEqual(t, "sent for a volume ahead after one of the four latencies that it must wait", sent)
 	notAhead := driver.newRequest(func(r *Request) { r.Volume = 2 })
 	wantEqual(t, "sent at once for a volume that is not ahead", sentIDs(driver.handle(notAhead)), 3)
 }
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Small requests may be backfilled past a head that does not fit the slot limit, until their total slot cost
-// reaches the head's.
+// Small requests may be backfilled past a queue head that does not fit the slot limit, until their total slot
+// cost reaches the head's.
 func TestDispatch_BackfillsUpToCostOfHead(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Classes[0].LatencyObjective = 100 * time.Second
@@ -34,6 +34,8 @@
 	wantEqual(t, "sent once the head fits, the head and then the fourth", finish(1), 2, 6)
 }
 
+// The queued request of a client that disconnects is not sent; a result or a disconnect after the end of its
+// request is ignored.
 func TestDispatch_SendsNothingAfterClientDisconnects(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
 	driver.fixDepth(1)
@@ -70,7 +72,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			driver := startDriver(t, settings, 1)
-			driver.handle(driver.newRequest(nil)) // sets the longest wait that clients grant
+			driver.handle(driver.newRequest(nil)) // sets the class's longest wait
 			actions := driver.handle(driver.newRequest(test.change))
 			wantEqual(t, "sent", sentIDs(actions), test.sent...)
 			for _, action := range actions {
--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -85,7 +85,8 @@
 	return r
 }
 
-// finishAttempt passes the result of an attempt at the node of a cell to the scheduler.
+// finishAttempt passes the result of an attempt at the node of a cell to the scheduler and returns the
+// resulting actions.
 func (d *testDriver) finishAttempt(id uint32, attempt, cell int, code ResultCode,
 	latency time.Duration) []Action {
 	// The reviews due before the current time were skipped. Without this reset, the scheduler would treat the
@@ -95,7 +96,8 @@
 		Latency: latency, RequestDone: code == OK})
 }
 
-// fixDepth gives the node of cell 0 a depth that does not adapt, so that a test covers only the queue.
+// fixDepth gives the node of cell 0 a depth that does not adapt, so that a test covers only the queue. Its
+// latency is half of the shortest objective, its deviation so large that no attempt counts as lost.
 func (d *testDriver) fixDepth(depth float64) *node {
 	n := d.node(0)
 	n.depth, n.depthAdaptedAt = depth, math.MaxInt64
--- a/scheduler/endpoint_view_test.go
+++ b/scheduler/endpoint_view_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestEndpointView_SendsNothingToDrainingOrGoneNodes(t *testing.T) {
+func TestEndpointView_SendsNothingToDrainingOrRemovedNodes(t *testing.T) {
 	for _, status := range []Status{Draining, Gone} {
 		t.Run(status.String(), func(t *testing.T) {
 			driver := startDriver(t, smallSiteSettings(), 1)
@@ -23,8 +23,8 @@
 	})
 }
 
-// With a drain grace of 250 ms, requests that are queued, placed or waiting for a retry when a drain is
-// announced must not be sent to the node, nor may health checks.
+// Requests that are queued, placed or waiting for a retry when a drain is announced must not be sent to the
+// node, nor may health checks, not even within the drain grace of 250 ms.
 func TestEndpointView_DrainStopsQueuedRequests(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.DrainGrace, settings.HealthChecks = 250*ms, true
--- a/scheduler/endpoint_watch_test.go
+++ b/scheduler/endpoint_watch_test.go
@@ -28,6 +28,8 @@
 	return delays
 }
 
+// The watch is opened at the start and reopened after a failure, with one timer for two failures in a row. It
+// is not reopened while it is established.
 func TestEndpointWatch_IsOpenedAndReopened(t *testing.T) {
 	driver := startDriver(t, pollingSettings(), 1)
 	if !opensWatch(driver.actions) {
@@ -62,9 +64,10 @@
 }
 
 // A watch that was established and broke can mostly be reopened at once, and until then the list is out of
-// date, so it is reopened after a short delay. An update that the watch missed counts as notified soon after
-// it was made, so failed calls are also repeated sooner, after delays that double up to the usual one. A
-// watch that was never established is reopened after the usual delay, as the registry is down or overloaded.
+// date, so it is reopened after a short delay. An instance counts as notified soon after an update was made,
+// even of one that its watch missed, so failed requests are also repeated sooner, after delays that double up
+// to the usual one. A watch that was never established is reopened after the usual delay, as the registry is
+// down or overloaded.
 func TestEndpointWatch_BrokenWatchIsReopenedSooner(t *testing.T) {
 	settings := pollingSettings()
 	settings.PollTimeout = 10 * time.Second
@@ -82,7 +85,7 @@
 				t.Fatalf("got %v, want a timer for a new watch", actions)
 			}
 			if delay := delays[0]; delay < watchReopenDelay/divisor || delay > 2*watchReopenDelay/divisor {
-				t.Errorf("established %v, failure %d: got a reopen delay of %v, want 1 to 2 shortened delays",
+				t.Errorf("established %v, failure %d: got a delay of %v, want 1 to 2 times the minimum",
 					established, failure, delay)
 			}
 			driver.now += 2 * watchReopenDelay
@@ -91,8 +94,8 @@
 	}
 }
 
-// Where the list is pushed, a change counts at once: a watch that failed or received nothing is reopened well
-// within the drain's grace, after any number of failures.
+// Where the list is pushed, an instance counts as notified as soon as a change is made: a watch that failed
+// or received nothing is reopened well within the drain's grace, after any number of failures.
 func TestEndpointWatch_PushedWatchIsReopenedWithinGrace(t *testing.T) {
 	settings := pollingSettings()
 	settings.DrainGrace, settings.PushGrace = 700*ms, 700*ms
--- a/scheduler/ordering_test.go
+++ b/scheduler/ordering_test.go
@@ -9,6 +9,8 @@
 	return settings
 }
 
+// A request waits until the previous one of its key is finished, also if that one's client has disconnected,
+// and for OrderingPause after an attempt of uncertain outcome.
 func TestOrdering_OneRequestPerKeyAtATime(t *testing.T) {
 	driver := startDriver(t, orderingSettings(), 1)
 	keyed := func() Event { return driver.newRequest(func(r *Request) { r.Key = 5 }) }
--- a/scheduler/random_driver_test.go
+++ b/scheduler/random_driver_test.go
@@ -56,7 +56,7 @@
 	Request
 	attempts   int
 	answered   bool          // or its client has disconnected
-	goneAt     time.Duration // when its client disconnected; the same batch may still answer it
+	goneAt     time.Duration // when its client disconnected; the actions of that batch may still answer it
 	mayHaveRun bool
 }
 
@@ -309,7 +309,7 @@
 	d.t.Helper()
 	r := d.requests[id]
 	if r == nil || r.answered && r.goneAt != d.now {
-		d.t.Fatalf("request %d: got a second answer or one to no request, want one answer", id)
+		d.t.Fatalf("request %d: got a second answer, or one to an unknown request, want one answer", id)
 	}
 	r.answered = true
 	return r
@@ -338,8 +338,8 @@
 	r.attempts++
 }
 
-// checkOperation checks that a member of an operation directly follows its leader, is of the same class, goes
-// to the same node and is not a retry.
+// checkOperation checks that a member of an operation follows its leader, with no other leader in between, is
+// of the same class, is sent to the same node and is not a retry.
 func (d *randomDriver) checkOperation(send Send, r *trackedRequest) {
 	d.t.Helper()
 	if send.Leader == 0 {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -104,8 +104,7 @@
 }
 
 // Where writes are not idempotent and rejections state no Retry-After, a write that may have run fails as
-// soon as its attempt ends: it is neither rejected nor retried. A write that never ran is rejected in the
-// end.
+// soon as its attempt ends: it is neither rejected nor retried. A write that never ran is finally rejected.
 func TestRetry_NonIdempotentWriteThatMayHaveRunFails(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.RetryAfter = false
@@ -188,8 +187,8 @@
 	return count
 }
 
-// The budget holds in any window from the start of the instance on. A restarted instance does not know which
-// retries it sent before.
+// Retries stay within the budget in any window that begins after the start of the instance. A restarted
+// instance has no record of the retries that it sent before.
 func TestRetryBudget_HoldsInAnyWindow(t *testing.T) {
 	for _, name := range []string{"first start", "restart"} {
 		t.Run(name, func(t *testing.T) {
@@ -213,7 +212,7 @@
 	}
 }
 
-// failAttempts ends the attempts of the requests sent with an error, records those that are retries, and
+// failAttempts ends the attempts of the sent requests with an error, records those that are retries, and
 // returns the resulting actions.
 func failAttempts(t *testing.T, driver *testDriver, sent []uint32, check *retryBudgetCheck) (next []Action) {
 	t.Helper()
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Without any node, each request is answered once and no state of it remains after its deadline.
 func TestScheduler_AnswersEveryRequestOnceInTime(t *testing.T) {
 	driver := startDriver(t, smallSiteSettings(), 1)
 	driver.handle(EndpointUpdate{Kind: UpdateFull}) // the list is empty
@@ -22,6 +23,8 @@
 	}
 }
 
+// Settings that are empty or lack values, unusual requests and unused events do not stop the scheduler: each
+// request is sent or answered.
 func TestScheduler_ToleratesUnusualSettingsAndRequests(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -75,8 +78,8 @@
 	return requests
 }
 
-// Each request of unusual traffic in a large fleet is answered or in flight: volumes with more instances than
-// exist, cells that no node holds, a very long batch, and an hour without events.
+// In a large fleet, each request is answered or in flight after unusual traffic: volumes with more instances
+// than exist, cells that no node holds, a very long batch, and an hour without events.
 func TestScheduler_AnswersUnusualTrafficAtFullSize(t *testing.T) {
 	settings := smallSiteSettings()
 	settings.Instances, settings.InstanceIndex = 220, 219
@@ -132,7 +135,7 @@
 // code in any order, endpoint updates of every kind, client disconnects and late timers. Each request must
 // get one final answer within overdueAfter of its deadline and no attempt after it, the number of attempts
 // must stay within MaxAttempts, a request that is not idempotent must not be sent again once it may have run,
-// nothing may be sent to a node listed as draining or gone, and no state of the requests may remain at the
+// nothing may be sent to a node that is not listed as ready, and no state of the requests may remain at the
 // end.
 func FuzzScheduler(f *testing.F) {
 	for seed := range uint64(8) {
--- a/scheduler/sliding_window_test.go
+++ b/scheduler/sliding_window_test.go
@@ -14,7 +14,7 @@
 		}
 		if i > 20 {
 			if window.at(i-20) != nil || *window.at(i - 5) != i-5 {
-				t.Fatalf("after %d: got the wrong item at an index, want its own or nil", i)
+				t.Fatalf("after %d: got the wrong item at an index, want its own, nil if dropped", i)
 			}
 		}
 	}
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -61,7 +61,7 @@
 	return units
 }
 
-// A restarted instance does not know what it sent to a cold node before, so it sends nothing for one window.
+// A restarted instance has no record of its earlier sends to a cold node, so it sends nothing for one window.
 func TestSlowStart_RestartedInstanceWaitsOneWindow(t *testing.T) {
 	driver := startDriver(t, coldSettings(), 0)
 	cold := Endpoint{Server: testServer(0), Status: Ready, StartedAt: driver.now - time.Second}
@@ -163,7 +163,7 @@
 	}
 }
 
-// All instances together, each sending as much as slow start allows, must stay within the stated capacity in
+// All instances together, each sending whenever slow start allows it, must stay within the stated capacity in
 // any window, for any number of instances; some requests must still be sent.
 func TestSlowStart_AllInstancesStayWithinCapacity(t *testing.T) {
 	for _, instances := range []int{2, 10, 19, 30, 57, 170, 230, 300} {
--- a/scheduler/volume_test.go
+++ b/scheduler/volume_test.go
@@ -15,7 +15,7 @@
 }
 
 // Volumes that were seen once are deleted, so that a million of them take no more memory than the recent
-// ones; so are the records of admitted requests, of sends and of keys.
+// ones; so are the records of admitted requests and of sends.
 func TestVolumes_SeenOnceAreDeleted(t *testing.T) {
 	load := newSteadyLoad(fleetSettings(), 100_000, 10, 0)
 	for range 200_000 {
@@ -27,7 +27,7 @@
 		load.step(uint64(load.nextID))
 	}
 	if count := len(volumes.byID); count > 2*countBefore+1000 || count > 500_000 {
-		t.Errorf("volumes: got %d after 1,000,000, %d after 200,000, want 500,000, double plus 1000 at most",
+		t.Errorf("volumes: got %d after 1,000,000, %d after 200,000, want 500,000 and double + 1000 at most",
 			count, countBefore)
 	}
 	if len(volumes.byID) != len(volumes.order) {
