--- a/extent/answer.go
+++ b/extent/answer.go
@@ -14,17 +14,17 @@
 type Answer struct {
 	Request uint64
 	Outcome Outcome
-	Data    [][]byte // of a read that was served, by offset
+	Data    [][]byte // of a read that was served: one element per piece, by offset
 	// Of a request that was not served: the numbers of its pieces that were served, that may have run or may
 	// still run, and that were not sent or not executed.
 	Done, Uncertain, Unsent int
 }
 
 // Resolve records a piece's final outcome as decided by the scheduler, with the bytes of a read that was
-// served. It returns the request's answer if this outcome decides it, and the request's pieces that are still
-// queued or in flight and need no result any more: the caller reports them to the scheduler as pieces whose
-// client has disconnected. The first piece that is not served ends its request. A rejection is returned as a
-// failure if a piece may have run and running it again is not safe.
+// served. It returns the request's answer if this outcome decides it, and the request's unresolved pieces,
+// which need no result any more: the caller reports them to the scheduler as pieces whose client has
+// disconnected. The first piece that is not served ends its request. A rejection is returned as a failure if
+// a piece may have run and a retry of the request is not safe.
 func (p *Planner) Resolve(id uint32, outcome Outcome, data []byte) (answer *Answer, withdrawn []uint32) {
 	x := p.pieces[id]
 	if x == nil || x.resolved {
--- a/extent/merge.go
+++ b/extent/merge.go
@@ -5,11 +5,13 @@
 	"math"
 )
 
-// scanFactor limits the queued pieces inspected in each direction to this multiple of Settings.MaxMembers.
+// scanFactor limits the queued pieces inspected in each direction to this multiple of Settings.MaxMembers, so
+// that a send does not inspect the whole queue.
 const scanFactor = 4
 
-// compareKind returns 0 for pieces that may share an operation: those of one extent, direction and class, and
-// for writes also of one plan. Reads charged to different volumes may share one: each is charged to its own.
+// compareKind orders pieces by kind. It returns 0 for pieces that may share an operation: those of one
+// extent, direction and class, and for writes also of one plan. Reads charged to different volumes may share
+// one: each is charged to its own.
 func (x *piece) compareKind(other *piece) int {
 	a, b := x.request, other.request
 	plans := 0
@@ -39,8 +41,9 @@
 
 // Propose calls join for the queued pieces that touch or overlap the operation of a piece that is sent for
 // the first time: first for those after it, by ascending offset, then for those before it, by descending
-// offset. Writes must only touch, since of two writes to the same bytes the later must win. Pieces that join
-// are removed from the queue.
+// offset. Writes must only touch, since of two writes to the same bytes the later must win. The units passed
+// to join are those of the whole operation with the piece; join reports whether the piece becomes a member.
+// Members are removed from the queue.
 func (p *Planner) Propose(id uint32, join func(id uint32, units float64) bool) {
 	leader := p.pieces[id]
 	if leader == nil || !leader.queued || p.settings.MaxMembers < 2 {
@@ -58,7 +61,7 @@
 	p.queued.DescendLessOrEqual(leader, func(x *piece) bool {
 		return m.operation.Range.Offset-x.Range.Offset <= p.settings.MaxOperation && m.consider(x)
 	})
-	for _, x := range m.joined {
+	for _, x := range m.joined { // only now: the queue must not change while it is iterated
 		p.dequeue(x)
 	}
 }
@@ -105,12 +108,13 @@
 	return p.settings.Window > 0 && max(difference, -difference) > p.settings.Window
 }
 
-// operationSize is the sum of the members' bytes and units, and the units of the whole operation (work).
+// operationSize is the sum of the members' bytes and units, and the units of the whole operation.
 type operationSize struct{ bytes, units, work float64 }
 
-// add returns the size with one more member, when the operation covers the given range. The work is the
-// members' units, scaled down to the covered bytes, since bytes that members share are processed once. It is
-// never less than without the member: one with few units for its bytes must not make the others cheaper.
+// add returns the size with one more member, when the operation covers the given range. The operation's
+// units are the members' units, scaled down to the covered bytes, since bytes that members share are
+// processed once. They are never fewer than without the member: one with few units for its bytes must not
+// make the others cheaper.
 func (s operationSize) add(member Piece, covered Range) operationSize {
 	s.bytes += float64(member.Range.Length)
 	s.units += float64(member.chargedUnits())
--- a/extent/operation.go
+++ b/extent/operation.go
@@ -10,7 +10,7 @@
 	Members    []Piece // the leader first
 }
 
-// SealOperation records that the attempts just sent for these pieces, the leader first, form one operation,
+// SealOperation records that the last attempts of these pieces, the leader first, form one operation,
 // and returns it.
 func (p *Planner) SealOperation(ids []uint32) Operation {
 	p.Stats.Operations++
@@ -55,14 +55,14 @@
 // Part is one member's part of an operation's answer.
 type Part struct {
 	OK   bool
-	Data []byte // of a read: shared by overlapping members, must not be modified
+	Data []byte // of a read; overlapping members share the bytes, which must not be modified
 }
 
-// Distribute returns each member's part of a served operation's answer. Unreadable are the ranges, relative
-// to the operation's first byte, that the node could not serve: only members that overlap one of them fail.
-// A node executes writes in the order of the members and stops at the first that fails, so those after it
-// fail too: a later write of the same key must not be executed before it. A read with incomplete data fails
-// as a whole.
+// Distribute returns each member's part of a served operation's answer. The node could not serve the
+// unreadable ranges, which are relative to the operation's first byte: only members that overlap one of them
+// fail. A node executes writes in the order of the members and stops at the first that fails, so those after
+// it fail too: a later write of the same key must not be executed before it. A read with incomplete data
+// fails as a whole.
 func (o *Operation) Distribute(unreadable []Range, data []byte) []Part {
 	parts := make([]Part, len(o.Members))
 	complete := o.Write || uint64(len(data)) == o.Range.Length
--- a/extent/planner.go
+++ b/extent/planner.go
@@ -14,11 +14,11 @@
 
 // Planner tracks all requests in progress: which pieces are queued and could be sent together, to which
 // request a piece belongs, and when a request's single answer is complete. It is a scheduler.Batcher: when a
-// request is sent, the scheduler polls the planner for requests to send with it.
+// piece is sent, the scheduler queries the planner for pieces to send with it.
 //
 // The caller reports the events of each piece in this order: Add, then any number of AttemptSent and
 // AttemptEnded, then Resolve once the scheduler has returned the final result, or Abandon for the whole
-// request; last Forget, when no attempt of the piece is in flight any more.
+// request; finally Forget, when no attempt of the piece is in flight any more.
 type Planner struct {
 	settings Settings
 	requests map[uint64]*request
@@ -35,8 +35,8 @@
 	Merged     uint64 // operations of two members or more
 	Members    uint64 // pieces in merged operations
 	Saved      uint64 // operations saved by merging
-	Withdrawn  uint64 // pieces not executed, as another of their request failed or it was abandoned
-	Partial    uint64 // writes that were not served although some of their pieces were
+	Withdrawn  uint64 // pieces never executed, as their request failed or was abandoned first
+	Partial    uint64 // writes that were not served as a whole although some pieces were
 }
 
 // request is a client's request and the state of its pieces.
@@ -52,7 +52,7 @@
 	request    *request
 	queued     bool // waits for its first attempt
 	inFlight   int  // attempts in flight
-	mayHaveRun bool
+	mayHaveRun bool // an attempt that has ended may have run
 	resolved   bool // its outcome is final
 	served     bool
 	data       []byte // of a read that was served
--- a/extent/planner_checks_test.go
+++ b/extent/planner_checks_test.go
@@ -9,7 +9,7 @@
 	lastExtent := (operation.Range.End() - 1) / d.settings.ExtentSize
 	isOutsideExtent := firstExtent != operation.Extent || lastExtent != operation.Extent
 	if isTooLarge || isOutsideExtent || len(operation.Members) != members {
-		d.t.Fatalf("operation out of bounds: %+v", operation)
+		d.t.Fatalf("operation is outside its extent, exceeds a limit or lacks a member: %+v", operation)
 	}
 }
 
@@ -22,7 +22,7 @@
 	}
 	apart := (member.ReceivedAt - leader.ReceivedAt).Abs()
 	if d.settings.Window > 0 && apart > d.settings.Window {
-		d.t.Fatal("members arrived too far apart")
+		d.t.Fatal("members arrived further apart than the window")
 	}
 }
 
@@ -40,15 +40,15 @@
 	}
 	for _, n := range covered {
 		if n == 0 || operation.Write && n > 1 {
-			d.t.Fatalf("a byte of the operation belongs to %d members: %+v", n, operation)
+			d.t.Fatalf("a byte belongs to %d members, want 1 (reads: 1 or more): %+v", n, operation)
 		}
 	}
 	if operation.Units < 1 || operation.Units > units {
-		d.t.Fatalf("operation counts %d units, its members %d", operation.Units, units)
+		d.t.Fatalf("operation got %d units, want 1 to its members' %d", operation.Units, units)
 	}
 }
 
-// checkWithdrawn checks that all withdrawn pieces belong to the request.
+// checkWithdrawn checks that all withdrawn pieces belong to the request, and marks them as not queued.
 func (d *plannerDriver) checkWithdrawn(request *expectedRequest, ids []uint32) {
 	for _, id := range ids {
 		if d.requestOf[id] != request {
@@ -58,10 +58,11 @@
 	}
 }
 
-// checkServed checks the answer to a request that was served when its last piece had the given outcome.
+// checkServed checks the answer to a served request: its last piece was served, it counts no pieces, and a
+// read has its full length and only bytes that are initial or may have been written at their offset.
 func (d *plannerDriver) checkServed(request *expectedRequest, answer *Answer, last Outcome) {
 	if last != Served || answer.Done+answer.Uncertain+answer.Unsent != 0 {
-		d.t.Fatalf("served after %v: %+v", last, answer)
+		d.t.Fatalf("last piece %v, want served and no pieces counted: %+v", last, answer)
 	}
 	data := bytes.Join(answer.Data, nil)
 	if !request.Write && uint64(len(data)) != request.Range.Length {
@@ -91,7 +92,8 @@
 // initialByte returns the byte of a volume at an offset before any write.
 func initialByte(volume, offset uint64) byte { return byte(offset*7 + volume) }
 
-// couldBeWritten reports whether the request whose ID is the byte may have written it at an offset.
+// couldBeWritten reports whether a byte may have been written at an offset of a volume: each write writes its
+// request's ID.
 func (d *plannerDriver) couldBeWritten(volume, offset uint64, b byte) bool {
 	writer := d.requests[uint64(b)]
 	if writer == nil || !writer.Write || writer.DataVolume != volume {
@@ -100,7 +102,7 @@
 	return offset >= writer.Range.Offset && offset < writer.Range.End()
 }
 
-// checkNothingIsLeft abandons all requests and checks that the planner is empty.
+// checkNothingIsLeft abandons all requests, ends all operations and checks that the planner is empty.
 func (d *plannerDriver) checkNothingIsLeft() {
 	for id, request := range d.requests {
 		d.planner.Abandon(id)
--- a/extent/planner_model_test.go
+++ b/extent/planner_model_test.go
@@ -15,15 +15,15 @@
 // expectedRequest is the model's copy of a request with the state of its pieces.
 type expectedRequest struct {
 	Request
-	written    []byte // the bytes that it writes
+	written    []byte // the bytes that a write writes: its ID, repeated
 	pieces     map[uint32]Piece
 	queued     map[uint32]bool // by piece
 	mayHaveRun map[uint32]bool // by piece
 	answered   bool
 }
 
-// plannerDriver drives a planner with random events in the order of the daemon, and compares each answer with
-// a model that neither merges nor splits: the bytes on the disks.
+// plannerDriver drives a planner with random events in the order in which the daemon reports them, and checks
+// each answer against a model that neither merges nor splits requests.
 type plannerDriver struct {
 	t          *rapid.T
 	planner    *Planner
@@ -50,9 +50,9 @@
 	}
 }
 
-// For any order of events: each request gets one answer, with the bytes that it would get without merging and
-// splitting; a rejected request has not run or is safe to retry; operations stay within their limits; in the
-// end the planner is empty.
+// For any order of events: each request gets at most one answer, and a failure of a piece answers it at once;
+// bytes that are read were stored at their offset; a rejected request has not run or is safe to retry;
+// operations stay within their limits; in the end the planner is empty.
 func TestPlanner_MatchesAModelWithoutMerging(t *testing.T) {
 	merged := 0
 	rapid.Check(t, playRandomCase(&merged))
@@ -169,13 +169,13 @@
 	lastUnits := 0.0
 	d.planner.Propose(leader, func(id uint32, units float64) bool {
 		if !d.isQueued(id) || slices.Contains(ids, id) {
-			d.t.Fatalf("proposed piece %d is not queued", id)
+			d.t.Fatalf("proposed piece %d is not queued, or is a member already", id)
 		}
 		if rapid.IntRange(0, 3).Draw(d.t, "refuse") == 0 {
 			return false
 		}
 		if units < lastUnits {
-			d.t.Fatalf("an operation decreased from %v to %v units", lastUnits, units)
+			d.t.Fatalf("a joining piece reduced the operation from %v to %v units", lastUnits, units)
 		}
 		lastUnits = units
 		ids = append(ids, id)
@@ -186,11 +186,11 @@
 		d.requestOf[id].queued[id] = false
 	}
 	if operation := d.seal(ids); len(ids) > 1 && float64(operation.Units) != lastUnits {
-		d.t.Fatalf("%d units were sent, %v were proposed", operation.Units, lastUnits)
+		d.t.Fatalf("operation got %d units, want the %v proposed", operation.Units, lastUnits)
 	}
 }
 
-// seal seals an operation of pieces that were just sent, and checks it.
+// seal seals an operation of the pieces of one send, and checks it.
 func (d *plannerDriver) seal(ids []uint32) Operation {
 	operation := d.planner.SealOperation(ids)
 	d.checkBounds(operation, len(ids))
@@ -212,8 +212,8 @@
 const (
 	endServed     operationEnd = iota
 	endUnreadable              // served except for one byte
-	endLost
-	endRejected // before it was executed
+	endLost                    // no answer; may have run
+	endRejected                // before it was executed
 )
 
 // endOperation ends a random operation.
@@ -255,7 +255,7 @@
 		fails := writeFailed || at.Offset <= unreadableAt && unreadableAt < at.End()
 		writeFailed = operation.Write && fails
 		if parts[n].OK == fails {
-			d.t.Fatalf("unreadable %v: member %+v got OK %v", unreadable, at, parts[n].OK)
+			d.t.Fatalf("unreadable %v: member %+v got OK %v, want the opposite", unreadable, at, parts[n].OK)
 		}
 		if operation.Write && parts[n].OK {
 			copy(disk[member.Range.Offset:member.Range.End()], d.requestOf[member.ID].written)
@@ -332,7 +332,7 @@
 		return
 	}
 	if answer.Outcome == Rejected && d.mayHaveRun(request) && !request.RetrySafe {
-		d.t.Fatalf("request %d was rejected although a piece may have run", request.ID)
+		d.t.Fatalf("request %d was rejected although a retry may run a piece twice", request.ID)
 	}
 	if counted := answer.Done + answer.Uncertain + answer.Unsent; counted != len(request.pieces) {
 		d.t.Fatalf("%+v counts %d pieces, want %d", answer, counted, len(request.pieces))
--- a/extent/planner_test.go
+++ b/extent/planner_test.go
@@ -40,6 +40,8 @@
 	Cells:        2,
 }
 
+// Pieces of the leader's extent that touch its operation join it; reads may also overlap it, writes must not.
+// Wanted are the members' IDs and the operation's units.
 func TestPropose_JoinsNeighboursOnly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -58,13 +60,13 @@
 	} {
 		ids, units := joinedBy(plannerWith(t, wideSettings, c.write, c.ranges...), c.leader)
 		if got := fmt.Sprint(ids, " ", units); got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
 // Only pieces that arrived within the window of the leader may join it.
-func TestPropose_KeepsTheWindow(t *testing.T) {
+func TestPropose_RequiresArrivalWithinTheWindow(t *testing.T) {
 	s := wideSettings
 	s.Window = 5
 	p, id := New(s), uint32(0)
@@ -79,8 +81,8 @@
 	}
 }
 
-// A thousand reads of the same 4 KiB become as few operations as the limit of members allows, each with the
-// units of one read.
+// A thousand queued reads of the same 4 KiB are merged into as few operations as the limit of members allows,
+// each with the units of one read.
 func TestPropose_MergesAThousandIdenticalReads(t *testing.T) {
 	s := Settings{ExtentSize: 4096, MaxOperation: 4096, MaxMembers: MaxMembers, MaxPieces: 1, Cells: 1}
 	p := plannerWith(t, s, false, slices.Repeat([]Range{{0, 4096}}, 1000)...)
@@ -93,11 +95,12 @@
 		ops++
 		op := p.SealOperation(append([]uint32{id}, ids...))
 		if len(op.Members) > MaxMembers || units > 1 || op.Units != 1 || op.Range != (Range{0, 4096}) {
-			t.Fatalf("%d members, %v and %d units, %+v", len(op.Members), units, op.Units, op.Range)
+			t.Fatalf("got %d members, %v and %d units, %+v; want up to 64 members, 1 unit, 4096 bytes",
+				len(op.Members), units, op.Units, op.Range)
 		}
 	}
 	if ops != 16 || p.Stats.Saved != 984 {
-		t.Errorf("%d operations, %d saved", ops, p.Stats.Saved)
+		t.Errorf("got %d operations, %d saved; want 16 and 984", ops, p.Stats.Saved)
 	}
 }
 
@@ -117,10 +120,10 @@
 		}
 		got, withdrawn := p.Resolve(2, Rejected, nil)
 		if fmt.Sprint(*got) != fmt.Sprint(want) {
-			t.Errorf("ran %v: %+v, want %+v", ran, *got, want)
+			t.Errorf("ran %v: got %+v, want %+v", ran, *got, want)
 		}
 		if len(withdrawn) == 0 || slices.Contains(withdrawn, 2) || slices.Contains(withdrawn, 1) != !ran {
-			t.Errorf("ran %v: withdrawn %v", ran, withdrawn)
+			t.Errorf("ran %v: withdrawn %v; want never 2, and 1 only if it has not run", ran, withdrawn)
 		}
 	}
 }
@@ -151,13 +154,14 @@
 		{[]Range{{2, 1}}, data, "- klmnopqrst fghijklmno"},
 		{[]Range{{16, 4}}, data, "abcdefghij - fghijklmno"},
 		{[]Range{{7, 1}}, data, "- klmnopqrst -"},
+		// Ranges that end beyond the operation; the end of the second overflows.
 		{[]Range{{3, 1 << 63}, {1, 1<<64 - 1}}, data, "- - -"},
 		{nil, data[:19], "- - -"},
 		{nil, nil, "- - -"},
 	} {
 		got := formatParts(op.Distribute(c.unreadable, c.data))
 		if order := fmt.Sprint(ids); order != "[2 3]" || got != c.want {
-			t.Errorf("unreadable %v: %q, want %q", c.unreadable, got, c.want)
+			t.Errorf("unreadable %v: got %q, want %q", c.unreadable, got, c.want)
 		}
 	}
 }
@@ -168,6 +172,6 @@
 	ids, _ := joinedBy(p, 1)
 	op := p.SealOperation(append([]uint32{1}, ids...))
 	if got := fmt.Sprint(op.Distribute([]Range{{12, 1}}, nil)); got != "[{true []} {false []} {false []}]" {
-		t.Errorf("got %s", got)
+		t.Errorf("got %s, want the first write alone served", got)
 	}
 }
--- a/extent/scheduler_test.go
+++ b/extent/scheduler_test.go
@@ -13,7 +13,7 @@
 
 const (
 	ms          = time.Millisecond
-	longestStep = 30 * ms
+	longestStep = 30 * ms // of the simulated clock
 	cells       = 2
 )
 
@@ -68,8 +68,9 @@
 	lost   bool // the node does not answer it
 }
 
-// For any requests and lost operations, with and without merging: pieces of one key are sent in arrival
-// order, one operation at a time, request by request; each request gets one answer by its deadline.
+// For any requests and lost operations, with and without merging: the writes of one key are sent
+// in arrival order, one operation at a time, and a later one only after or together with the last pieces of
+// the earlier ones; each request gets one answer, no later than one step after its deadline.
 func TestPlannerAndScheduler_KeepOrderAndAnswerOnce(t *testing.T) {
 	merged := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -295,7 +296,8 @@
 	}
 }
 
-// step advances the clock: it ends due operations, cancels expired members one by one and fires due timers.
+// step advances the clock, ends due operations and expired members, fires due timers and executes the
+// scheduler's actions.
 func (d *jointDriver) step(elapsed time.Duration) {
 	d.now += elapsed
 	operations := d.operations
--- a/extent/split.go
+++ b/extent/split.go
@@ -18,8 +18,8 @@
 	return Range{from, max(r.End(), other.End()) - from}
 }
 
-// overlaps reports whether the ranges share a byte. If the end of other overflows, it extends to the last
-// byte.
+// overlaps reports whether the ranges share a byte. If the end of other overflows, other extends to the
+// last byte: the ranges in a node's answer are not checked before.
 func (r Range) overlaps(other Range) bool {
 	overflows := other.End() < other.Offset
 	return other.Offset < r.End() && (r.Offset < other.End() || overflows)
@@ -28,7 +28,7 @@
 // Request is a client's request for a range of bytes.
 type Request struct {
 	ID         uint64
-	DataVolume uint64 // the volume of the bytes; plan and quota are those of the client's own volume
+	DataVolume uint64 // the volume that stores the bytes; plan and quota are those of the client's own volume
 	Range      Range
 	Write      bool
 	Class      int
@@ -46,21 +46,21 @@
 	ErrUnits  = errors.New("a request must have at least one unit")
 )
 
-// Piece is the part of a request that lies within one extent and one operation's size.
+// Piece is a part of a request that is within one extent and not larger than the largest operation.
 type Piece struct {
-	ID     uint32 // identifies it at the scheduler
+	ID     uint32 // identifies the piece in the scheduler
 	Index  int    // among the request's pieces, by offset
 	Extent uint64
 	Cell   int // cell that stores the extent
 	Range  Range
-	Units  int // may be 0 if the request has fewer units than pieces
+	Units  int // may be 0, as units are distributed by bytes
 }
 
-// chargedUnits returns the units that the piece counts in an operation, at least 1.
+// chargedUnits returns the units for which the piece counts in an operation: at least 1.
 func (p Piece) chargedUnits() int { return max(1, p.Units) }
 
 // Split returns the pieces of a request, by offset. Their ranges cover the request's without gap or overlap,
-// and their units add up to its units; if there are fewer units than pieces, some pieces have none.
+// and their units add up to its units. Units are distributed by bytes, so that a short piece may have none.
 func Split(settings Settings, request Request) ([]Piece, error) {
 	switch {
 	case request.Range.Length == 0:
--- a/extent/split_test.go
+++ b/extent/split_test.go
@@ -31,7 +31,7 @@
 				p.Index != i ||
 				p.Extent != at/s.ExtentSize || (p.Range.End()-1)/s.ExtentSize != p.Extent ||
 				p.Units < 0 {
-				t.Fatalf("piece %d is %+v", i, p)
+				t.Fatalf("piece %d: got %+v, want the next bytes, in one extent and operation", i, p)
 			}
 			at, units = p.Range.End(), units+p.Units
 		}
@@ -41,6 +41,7 @@
 	})
 }
 
+// Split returns the error for each kind of request that it cannot split; Check rejects invalid settings.
 func TestSplit_RejectsInvalidRequests(t *testing.T) {
 	s := Settings{ExtentSize: 10, MaxOperation: 10, MaxMembers: 1, MaxPieces: 3, Cells: 1}
 	for _, c := range []struct {
@@ -53,7 +54,7 @@
 		{Range{0, 30}, 1, nil}, {Range{5, 26}, 1, ErrPieces}, {Range{0, 1}, 0, ErrUnits},
 	} {
 		if _, err := Split(s, Request{Range: c.r, Units: c.units}); !errors.Is(err, c.want) {
-			t.Errorf("%+v: %v, want %v", c.r, err, c.want)
+			t.Errorf("%+v: got %v, want %v", c.r, err, c.want)
 		}
 	}
 	for _, bad := range []Settings{{}, {ExtentSize: 1, MaxOperation: 2, MaxMembers: 1, MaxPieces: 1,
