--- a/endpoints/start_time.go
+++ b/endpoints/start_time.go
@@ -20,8 +20,8 @@
 // startTime converts a node's start time to this instance's clock; 0 means long ago. Each start is converted
 // once and the result is kept: a repeated start must not look like a new one when the clocks drift. A node
 // whose clock is behind appears to have started earlier than it did and would be treated as warm too soon, so
-// the skew is added: a node counts as cold for slightly too long rather than too short. The result is never
-// in the future.
+// the skew is added to its start: a node counts as cold for slightly too long rather than too short. The
+// result is later than the current time only by nanoseconds, where starts of one node are kept in order.
 func (v *View) startTime(clock Clock, endpoint Endpoint) time.Duration {
 	if endpoint.StartedAt == 0 {
 		return 0
--- a/endpoints/view.go
+++ b/endpoints/view.go
@@ -15,7 +15,7 @@
 	version      uint64
 	trusted      bool // changes may build on the current list
 	listed       map[scheduler.Server]Endpoint
-	drainNotices map[scheduler.Server]int64 // start of the incarnation that sent the notice
+	drainNotices map[scheduler.Server]int64 // Unix nanoseconds: start of the incarnation that sent it
 	startTimes   map[scheduler.Server]startTimes
 }
 
@@ -36,7 +36,7 @@
 const (
 	Applied ApplyResult = iota
 	Stale               // older than the current list: ignored
-	Gap                 // a change whose base version is missing: the full list must be fetched
+	Gap                 // a change that does not build on the current list: the full list must be fetched
 )
 
 // Restore sets the list to a snapshot from before a restart and returns the update for the scheduler. Changes
@@ -72,13 +72,14 @@
 	return converted, Applied
 }
 
-// isHeld reports whether the list is at the base version of a change or later in the same epoch.
+// isHeld reports whether a change builds on the current list: the list is trusted, of the same epoch and at
+// the change's base version or later.
 func (v *View) isHeld(change Update) bool {
 	return v.trusted && change.Epoch == v.epoch && change.BaseVersion <= v.version
 }
 
-// merge writes an update into the list and returns the update's endpoints as merged. A start that a node
-// reported itself is kept if it is later than the update's: the node is still cold.
+// merge writes an update into the list and returns the update's endpoints as merged. A listed start that
+// is later than the update's is kept: the node itself has reported a restart, and is still cold.
 func (v *View) merge(update Update) []Endpoint {
 	before, merged := v.listed, make([]Endpoint, 0, len(update.Endpoints))
 	if update.Full {
@@ -99,8 +100,8 @@
 }
 
 // ApplyDrainNotice records a node's own notice that it is draining. The start is the one that the node stated
-// in its handshake; the notice applies to that incarnation only. The second result is false if nothing
-// changes.
+// in its handshake; the notice applies to that incarnation only. The second result is false if the scheduler
+// needs no update.
 func (v *View) ApplyDrainNotice(clock Clock, server scheduler.Server,
 	startedAt int64) (scheduler.EndpointUpdate, bool) {
 
@@ -134,8 +135,8 @@
 	return v.schedulerUpdate(clock, scheduler.UpdateDelta, []Endpoint{endpoint}), true
 }
 
-// Snapshot returns the list for the next incarnation. It does not include drain notices: a restarted instance
-// receives them again from the nodes.
+// Snapshot returns the list to save for the next incarnation. It does not include drain notices: a restarted
+// instance receives them again from the nodes.
 func (v *View) Snapshot() Snapshot { return Snapshot{v.epoch, v.version, v.sorted()} }
 
 // Version returns the epoch and version of the list, for requesting later changes from the registry. Both are
--- a/endpoints/view_properties_test.go
+++ b/endpoints/view_properties_test.go
@@ -20,9 +20,9 @@
 	elapsed  time.Duration
 	version  uint64 // of the registry's list
 	listed   map[scheduler.Server]Endpoint
-	starts   map[scheduler.Server]int64                   // wall clock of a node's last start
+	starts   map[scheduler.Server]int64                   // last start of a node, in Unix nanoseconds
 	noticed  map[scheduler.Server]int64                   // the start stated in the last drain notice
-	reported map[scheduler.Server]map[int64]time.Duration // by start: its time in this instance's clock
+	reported map[scheduler.Server]map[int64]time.Duration // by start: its converted time
 }
 
 // For any order of inputs: no update has a start in the future; a repeated start is always converted to the
@@ -116,7 +116,7 @@
 		startedAt := m.starts[endpoint.Server]
 		noticed, hasNotice := m.noticed[endpoint.Server]
 		if hasNotice && startedAt <= noticed && endpoint.Status == scheduler.Ready {
-			t.Fatal("node is ready after its drain notice")
+			t.Fatal("a node is ready again in the incarnation that sent a drain notice")
 		}
 	}
 }
@@ -125,7 +125,7 @@
 // later start has a later time.
 func (m *viewModel) checkStart(t *rapid.T, endpoint scheduler.Endpoint) {
 	now := time.Hour + m.elapsed
-	if endpoint.StartedAt > now+time.Microsecond { // simultaneous starts differ by nanoseconds
+	if endpoint.StartedAt > now+time.Microsecond { // converted starts of a node differ by 1 ns or more
 		t.Fatalf("start in the future: %v at %v", endpoint.StartedAt, now)
 	}
 	reported := m.reported[endpoint.Server]
@@ -138,7 +138,8 @@
 		hasMoved := other == startedAt && at != endpoint.StartedAt
 		isReversed := other < startedAt && at >= endpoint.StartedAt && at != 0
 		if hasMoved || isReversed {
-			t.Fatalf("start %d reported as %v, start %d as %v", other, at, startedAt, endpoint.StartedAt)
+			t.Fatalf("start %d converted to %v, start %d to %v; want a start unchanged, a later one later",
+				other, at, startedAt, endpoint.StartedAt)
 		}
 	}
 	reported[startedAt] = endpoint.StartedAt
--- a/endpoints/view_test.go
+++ b/endpoints/view_test.go
@@ -41,8 +41,9 @@
 	return converted
 }
 
-func status(m scheduler.EndpointUpdate, i int) scheduler.Status {
-	for _, e := range m.Endpoints {
+// status returns the status of a node in an update; Gone if the update does not contain the node.
+func status(update scheduler.EndpointUpdate, i int) scheduler.Status {
+	for _, e := range update.Endpoints {
 		if e.Server == server(i) {
 			return e.Status
 		}
@@ -60,12 +61,12 @@
 	apply(t, view, 0, change(6, 7, Endpoint{Server: server(1), Status: scheduler.Gone}), Applied)
 	apply(t, view, 0, change(8, 9, ready(1, 0)), Gap)
 	apply(t, view, 0, fullList(3), Stale)
-	other := change(7, 8, ready(3, 0))
-	other.Epoch = 2
-	apply(t, view, 0, other, Gap)
+	otherEpoch := change(7, 8, ready(3, 0))
+	otherEpoch.Epoch = 2
+	apply(t, view, 0, otherEpoch, Gap)
 	if snapshot := view.Snapshot(); len(snapshot.Endpoints) != 1 ||
 		snapshot.Endpoints[0].Server != server(2) || snapshot.Version != 7 {
-		t.Errorf("snapshot %+v", snapshot)
+		t.Errorf("got snapshot %+v, want version 7 with node 2 alone", snapshot)
 	}
 }
 
@@ -74,17 +75,19 @@
 	view := New(skew)
 	startedAt := wall - int64(time.Minute)
 	apply(t, view, 0, fullList(1, ready(1, startedAt)), Applied)
-	m, ok := view.ApplyDrainNotice(clock(0), server(1), startedAt)
-	if !ok || status(m, 1) != scheduler.Draining {
-		t.Fatalf("the notice changed nothing: %+v", m)
+	update, ok := view.ApplyDrainNotice(clock(0), server(1), startedAt)
+	if !ok || status(update, 1) != scheduler.Draining {
+		t.Fatalf("got %+v after the notice, want status draining", update)
 	}
 	if _, ok := view.ApplyDrainNotice(clock(0), server(1), startedAt); ok {
 		t.Error("a repeated notice changed the state")
 	}
-	if m := apply(t, view, 0, fullList(2, ready(1, startedAt)), Applied); status(m, 1) != scheduler.Draining {
-		t.Error("a late list ended the drain")
+	if update := apply(t, view, 0, fullList(2, ready(1, startedAt)),
+		Applied); status(update, 1) != scheduler.Draining {
+		t.Error("a list from before the drain ended it")
 	}
-	if m := apply(t, view, 0, change(2, 3, ready(1, wall)), Applied); status(m, 1) != scheduler.Ready {
+	if update := apply(t, view, 0, change(2, 3, ready(1, wall)),
+		Applied); status(update, 1) != scheduler.Ready {
 		t.Error("a drain notice was applied to the next incarnation")
 	}
 	if _, ok := view.ApplyDrainNotice(clock(0), server(1), startedAt); ok {
@@ -95,19 +98,21 @@
 	}
 }
 
-// A handshake reports a restart before the list does; a late list does not make the node warm again.
+// A handshake reports a restart before the list does; a list from before the restart does not make the node
+// warm again.
 func TestView_HandshakeReportsARestart(t *testing.T) {
 	view := New(skew)
 	old := wall - int64(time.Minute)
 	apply(t, view, 0, fullList(1, ready(1, old)), Applied)
-	m, ok := view.ApplyGreeting(clock(time.Second), server(1), wall+int64(900*time.Millisecond))
-	if !ok || m.Endpoints[0].StartedAt < time.Hour {
-		t.Fatalf("handshake: %+v, %v", m, ok)
+	update, ok := view.ApplyGreeting(clock(time.Second), server(1), wall+int64(900*time.Millisecond))
+	if !ok || update.Endpoints[0].StartedAt < time.Hour {
+		t.Fatalf("got %+v, changed %v; want a later start", update, ok)
 	}
-	fresh := m.Endpoints[0].StartedAt
-	if m := apply(t, view, time.Second, fullList(2, ready(1, old)),
-		Applied); m.Endpoints[0].StartedAt != fresh {
-		t.Errorf("a late list changed the start from %v to %v", fresh, m.Endpoints[0].StartedAt)
+	fresh := update.Endpoints[0].StartedAt
+	if update := apply(t, view, time.Second, fullList(2, ready(1, old)),
+		Applied); update.Endpoints[0].StartedAt != fresh {
+		t.Errorf("a list from before the restart changed the start from %v to %v",
+			fresh, update.Endpoints[0].StartedAt)
 	}
 	if _, ok := view.ApplyGreeting(clock(time.Second), server(1), old); ok {
 		t.Error("an older start changed the state")
@@ -120,37 +125,39 @@
 	draining := ready(1, wall-int64(time.Minute))
 	draining.Status = scheduler.Draining
 	apply(t, view, 0, fullList(1, draining), Applied)
-	if m, _ := view.ApplyGreeting(clock(0), server(1), wall); status(m, 1) != scheduler.Draining {
-		t.Errorf("got %+v, want status draining", m)
+	if update, _ := view.ApplyGreeting(clock(0), server(1), wall); status(update, 1) != scheduler.Draining {
+		t.Errorf("got %+v, want status draining", update)
 	}
 }
 
-// With a node's clock ahead, its start is not converted to a time in the future; with one behind, a cold node
-// is not treated as warm; a repeated start converts to the same time even when the clocks drift.
+// If a node's clock is ahead, its start is not converted to a time in the future; if it is behind, a cold
+// node is not treated as warm. A repeated start converts to the same time even when the clocks drift, and a
+// start long ago to 0.
 func TestView_ConvertsStartsOfOtherClocks(t *testing.T) {
 	view := New(skew)
 	ahead := wall + int64(time.Hour)
-	m := apply(t, view, 0, fullList(1, ready(1, ahead)), Applied)
-	first := m.Endpoints[0].StartedAt
+	update := apply(t, view, 0, fullList(1, ready(1, ahead)), Applied)
+	first := update.Endpoints[0].StartedAt
 	if first > time.Hour {
-		t.Errorf("start in the future: %v", first)
+		t.Errorf("got start %v, want none after the current time", first)
 	}
 	drifted := Clock{time.Hour + time.Minute, wall + int64(time.Minute) + int64(50*time.Millisecond)}
-	m, _ = view.Apply(drifted, fullList(2, ready(1, ahead)))
-	if m.Endpoints[0].StartedAt != first {
-		t.Errorf("a repeated start changed from %v to %v", first, m.Endpoints[0].StartedAt)
+	update, _ = view.Apply(drifted, fullList(2, ready(1, ahead)))
+	if update.Endpoints[0].StartedAt != first {
+		t.Errorf("a repeated start changed from %v to %v", first, update.Endpoints[0].StartedAt)
 	}
-	m, _ = view.Apply(drifted, fullList(3, ready(1, ahead+1)))
-	if m.Endpoints[0].StartedAt <= first {
+	update, _ = view.Apply(drifted, fullList(3, ready(1, ahead+1)))
+	if update.Endpoints[0].StartedAt <= first {
 		t.Error("a restart of a node whose clock is ahead was not detected")
 	}
-	behind := wall - int64(skew) // a node whose clock is behind by the skew, started just now
-	m = apply(t, New(skew), 0, fullList(1, ready(2, behind)), Applied)
-	if m.Endpoints[0].StartedAt < time.Hour {
-		t.Errorf("a node that started now is reported as started %v ago", time.Hour-m.Endpoints[0].StartedAt)
+	behind := wall - int64(skew) // a node whose clock is behind by the skew, started at the current time
+	update = apply(t, New(skew), 0, fullList(1, ready(2, behind)), Applied)
+	if update.Endpoints[0].StartedAt < time.Hour {
+		t.Errorf("a node that started now is reported as started %v ago",
+			time.Hour-update.Endpoints[0].StartedAt)
 	}
-	if m = apply(t, New(skew), 0, fullList(1, ready(2, wall-int64(2*maxStartAge))),
-		Applied); m.Endpoints[0].StartedAt != 0 {
+	if update = apply(t, New(skew), 0, fullList(1, ready(2, wall-int64(2*maxStartAge))),
+		Applied); update.Endpoints[0].StartedAt != 0 {
 		t.Error("a start long ago was not converted to 0")
 	}
 }
