--- a/checkpoint/record.go
+++ b/checkpoint/record.go
@@ -60,8 +60,8 @@
 	return record
 }
 
-// Restore returns the statistics of a valid record that still apply under the current settings and to the
-// listed nodes.
+// Restore returns the statistics that are still valid under the current settings and for the listed nodes.
+// The record must have passed Validate.
 func (r Record) Restore(current Fingerprint, listed []endpoints.Endpoint) scheduler.Statistics {
 	restored := scheduler.Statistics{Nodes: map[scheduler.Server]scheduler.NodeStatistics{}}
 	if r.Fingerprint.MeanUnits != current.MeanUnits || r.Fingerprint.MaxUnits != current.MaxUnits {
--- a/checkpoint/record_test.go
+++ b/checkpoint/record_test.go
@@ -48,7 +48,7 @@
 	if len(restored.Nodes) != 3 || restored.AllClasses.Count != 20 || restored.MedianLatency == 0 ||
 		restored.RecentLatency == 0 ||
 		restored.Classes[1].MeanUnits != 3 {
-		t.Errorf("got %+v", restored)
+		t.Errorf("got %+v, want all statistics of the record", restored)
 	}
 }
 
@@ -66,29 +66,30 @@
 // Statistics of classes are matched by name. A class that is new or has changed its direction starts without
 // statistics; then those over all classes are not restored either.
 func TestRestore_MatchesClassesByName(t *testing.T) {
-	now := fingerprint()
-	now.Classes = []Class{{"write", true}, {"read", true}, {"scan", false}}
-	restored := record().Restore(now, listed())
+	current := fingerprint()
+	current.Classes = []Class{{"write", true}, {"read", true}, {"scan", false}}
+	restored := record().Restore(current, listed())
 	if restored.Classes[0].MeanUnits != 3 || restored.Classes[1].Count != 0 ||
 		restored.Classes[2].Count != 0 {
-		t.Errorf("classes %+v", restored.Classes)
+		t.Errorf("got classes %+v, want statistics of write alone", restored.Classes)
 	}
 	if restored.AllClasses.Count != 0 || restored.MedianLatency != 0 || restored.RecentLatency != 0 ||
 		len(restored.Nodes) != 3 {
-		t.Errorf("got %+v", restored)
+		t.Errorf("got %+v, want those of 3 nodes and none over all classes", restored)
 	}
 }
 
 // If the unit has changed, no size and no latency is valid any more.
 func TestRestore_ReturnsNothingForOtherUnits(t *testing.T) {
-	now := fingerprint()
-	now.MeanUnits = 3
-	if restored := record().Restore(now, listed()); len(restored.Nodes) != 0 || len(restored.Classes) != 0 ||
-		restored.AllClasses.Count != 0 {
-		t.Errorf("got %+v", restored)
+	current := fingerprint()
+	current.MeanUnits = 3
+	if restored := record().Restore(current, listed()); len(restored.Nodes) != 0 ||
+		len(restored.Classes) != 0 || restored.AllClasses.Count != 0 {
+		t.Errorf("got %+v, want no statistics", restored)
 	}
 }
 
+// Each key is a part of the error text that is expected after the change.
 func TestValidate_RejectsUnusableRecords(t *testing.T) {
 	for want, spoil := range map[string]func(r *Record){
 		"no time":              func(r *Record) { r.WrittenAt = 0 },
--- a/checkpoint/validate.go
+++ b/checkpoint/validate.go
@@ -11,9 +11,9 @@
 const (
 	// MaxAge is the age beyond which a record is not restored.
 	MaxAge = time.Hour
-	// maxLatency is an upper bound of plausible latencies.
+	// maxLatency is the largest plausible latency.
 	maxLatency = time.Hour
-	// maxRegressionValue is an upper bound of plausible values in a regression.
+	// maxRegressionValue is the largest plausible value in a regression.
 	maxRegressionValue = 1e12
 	// maxClockAhead is the longest time by which a record may be ahead of this machine's clock.
 	maxClockAhead = time.Minute
@@ -32,8 +32,8 @@
 	return &InvalidRecordError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate checks a record against the wall time, in Unix nanoseconds, and the current settings. The error is
-// an *InvalidRecordError.
+// Validate checks that a record is of the current instance, neither too old nor in the future, complete and
+// plausible. The wall time is in Unix nanoseconds. The error is an *InvalidRecordError.
 func (r Record) Validate(wall int64, current Fingerprint) error {
 	if err := r.validateOrigin(wall, current); err != nil {
 		return err
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// validateOrigin checks the record's age and instance, and that it has statistics of every class it names.
+// validateOrigin checks the record's age and instance, and that it has statistics of as many classes as it
+// names.
 func (r Record) validateOrigin(wall int64, current Fingerprint) error {
 	age := time.Duration(wall - r.WrittenAt)
 	classes, named := len(r.Classes), len(r.Fingerprint.Classes)
@@ -91,5 +92,5 @@
 	return g.Count == 0 || g.MeanTime > 0
 }
 
-// inRange reports whether a value is from 0 to a maximum; false for NaN.
+// inRange reports whether a value is between 0 and a maximum, inclusive; false for NaN.
 func inRange(value, maximum float64) bool { return value >= 0 && value <= maximum }
