--- a/expect/check.go
+++ b/expect/check.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxCases is the largest number of combinations of missing nodes or zones that are checked.
+	// maxCases is the largest number of combinations of missing nodes or zones checked for one expectation.
 	maxCases = 100_000
 	// tolerance is the rounding error by which a value may miss its bound.
 	tolerance = 1e-9
@@ -22,7 +22,8 @@
 	return findings
 }
 
-// check measures every case of one expectation and returns the worst as its finding.
+// check measures every case of one expectation and returns the worst as its finding, or an undecided one if
+// nothing can be measured.
 func (m *Model) check(e Expectation) Finding {
 	if e.Measure == Send {
 		return undecided(e, "the send order depends on the scheduler's behaviour, which is not explored yet")
@@ -38,9 +39,9 @@
 	}
 	finding := m.worstCase(e, groups, count)
 	if math.IsInf(finding.Value, 0) {
-		undecided := undecided(e, "there is nothing to measure in any case")
-		undecided.CasesChecked = finding.CasesChecked
-		return undecided
+		result := undecided(e, "there is nothing to measure in any case")
+		result.CasesChecked = finding.CasesChecked
+		return result
 	}
 	bound := e.Bound - tolerance
 	if e.AtMost {
@@ -88,6 +89,7 @@
 	nodes []int
 }
 
+// failureGroups returns the selected zones or nodes as groups; none if no nodes are missing.
 func (m *Model) failureGroups(missing *Missing) (groups []failureGroup) {
 	if missing == nil {
 		return nil
@@ -122,7 +124,7 @@
 }
 
 // eachCombination calls f with each choice of k numbers from 0 to n-1, in lexicographic order. The slice is
-// reused.
+// valid only during the call.
 func eachCombination(n, k int, f func(chosen []int)) {
 	chosen := make([]int, k)
 	var choose func(position, lowest int)
--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -22,7 +22,7 @@
 				Cells: []int{1, 3}}}}
 }
 
-// Each finding has the verdict, the value and the missing nodes of its worst case.
+// Each finding has the verdict, the value and the missing nodes of its worst case, and the number of cases.
 func TestCheck_ReportsTheWorstCase(t *testing.T) {
 	missing := func(n int, k Kind, name string) *Missing { return &Missing{n, Selector{k, name}} }
 	for _, c := range []struct {
@@ -40,7 +40,8 @@
 			"broken 0.50 node a-2 of 5"},
 		{Expectation{Measure: Reach, Of: Selector{Plans, "operational"}, Bound: 0.5,
 			Missing: missing(1, Zones, "*")}, "holds 0.50 zone b of 2"},
-		// cell 0: charts 10, model 15; cells 1 and 3: 5 and 15; cell 2: 15
+		// Reserves in units per second: cell 0: charts 10, model 15; cells 1 and 3: archive 5, model 15;
+		// cell 2: model 15.
 		{Expectation{Measure: Reserve, Of: Selector{Nodes, "*"}, AtMost: true, Bound: 0.25},
 			"holds 0.25  of 1"},
 		{Expectation{Measure: Reserve, Of: Selector{Nodes, "*"}, AtMost: true, Bound: 0.24},
@@ -64,7 +65,7 @@
 		finding := New(twoZones()).Check([]Expectation{c.e})[0]
 		if got := fmt.Sprintf("%s %.2f %s of %d", finding.Verdict, finding.Value, finding.MissingNodes,
 			finding.CasesChecked); got != c.want {
-			t.Errorf("%s %v: %s; want %s", c.e.Measure, c.e.Of, got, c.want)
+			t.Errorf("%s %v: got %s; want %s", c.e.Measure, c.e.Of, got, c.want)
 		}
 		if (finding.Verdict == Undecided) != (finding.Reason != "") {
 			t.Errorf("%s: undecided without a reason, or decided with one: %+v", c.e.Measure, finding)
@@ -78,11 +79,11 @@
 	e := Expectation{Measure: Reserve, Of: Selector{Nodes, "b-spare"}, AtMost: true, Bound: 0.2,
 		Missing: &Missing{1, Selector{Nodes, "*"}}}
 	if got := New(f).Check([]Expectation{e})[0]; got.Verdict != Broken || got.MissingNodes != "node a-1" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want broken without node a-1", got)
 	}
 	e.Missing = nil
 	if got := New(f).Check([]Expectation{e})[0]; got.Verdict != Holds {
-		t.Errorf("with all nodes up: %+v", got)
+		t.Errorf("with all nodes up: got %+v, want holds", got)
 	}
 }
 
@@ -95,27 +96,28 @@
 	e := Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Missing: &Missing{4, Selector{Nodes, "*"}}}
 	got := New(f).Check([]Expectation{e})[0]
 	if got.Verdict != Undecided || got.CasesChecked != 0 || !strings.Contains(got.Reason, "6.47e+07 cases") {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want undecided, no case checked, and their number", got)
 	}
 }
 
-func TestContradictions_FindsPairsThatCannotBothHold(t *testing.T) {
+// A lower bound above an upper bound is a contradiction only for the same failure; equal bounds are none.
+func TestContradictions_FindsPairsThatCannotBothBeTrue(t *testing.T) {
 	a := Expectation{Name: "a", Measure: Share, Of: Selector{Volumes, "x"}, Bound: 0.5}
 	b := Expectation{Name: "b", Measure: Share, Of: Selector{Volumes, "x"}, AtMost: true, Bound: 0.4}
 	c := b
 	c.Missing = &Missing{1, Selector{Nodes, "*"}}
 	if got := Contradictions([]Expectation{a, b, c}); len(got) != 1 || got[0][0].Name != "a" ||
 		got[0][1].Name != "b" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want the pair of a and b alone", got)
 	}
 	b.Bound = 0.5
 	if got := Contradictions([]Expectation{a, b, c}); len(got) != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want no pair for equal bounds", got)
 	}
 }
 
-// With more nodes missing, reachability never increases; the shares of a node add up to 1; the number of
-// checked cases is the number of combinations.
+// With more nodes missing, reachability never increases, and with all missing it is 0; the volumes' shares at
+// each cell add up to 1; the number of checked cases is the number of combinations.
 func TestModel_Properties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &Fleet{Instances: 3, Plans: []Plan{{Name: "p", Weight: 1, Reserve: 1}, {Name: "q", Weight: 3}}}
@@ -140,7 +142,8 @@
 			}
 			got := New(f).Check([]Expectation{e})[0]
 			if got.Value > last || float64(got.CasesChecked) != combinations(len(f.Nodes), n) {
-				t.Fatalf("%d nodes missing: %v after %v, %d cases", n, got.Value, last, got.CasesChecked)
+				t.Fatalf("%d nodes missing: got %v, want up to %v; %d cases",
+					n, got.Value, last, got.CasesChecked)
 			}
 			last = got.Value
 		}
@@ -158,7 +161,7 @@
 				}
 			}
 			if m.weight[c] > 0 && math.Abs(sum-1) > 1e-9 {
-				t.Fatalf("shares at cell %d add up to %v", c, sum)
+				t.Fatalf("shares at cell %d add up to %v, want 1", c, sum)
 			}
 		}
 	})
--- a/expect/expectation.go
+++ b/expect/expectation.go
@@ -32,12 +32,12 @@
 
 // The measures. Each is a fraction: 1 is the whole.
 const (
-	Reach   Measure = "reachable" // of a volume's cells that are served by a node
-	Reserve Measure = "reserve"   // reserves on a node or in a zone, of its capacity
-	Share   Measure = "share"     // of a node, granted by a volume's weight when all volumes there are active
-	Limit   Measure = "limit"     // rate that all instances together grant a volume, of its plan's limit
-	Cold    Measure = "cold"      // one mean-sized request per instance, of a cold node's window capacity
-	Send    Measure = "send"      // attempts sent to nodes in a state; undecided: depends on the scheduler
+	Reach   Measure = "reachable" // part of a volume's cells that nodes serve
+	Reserve Measure = "reserve"   // reserves on a node or in a zone, relative to its capacity
+	Share   Measure = "share"     // a volume's share of a node on which all volumes are active, by weight
+	Limit   Measure = "limit"     // rate that all instances grant a volume, relative to its plan's limit
+	Cold    Measure = "cold"      // one mean-sized request per instance, relative to a cold node's window
+	Send    Measure = "send"      // attempts sent; always undecided: the send order depends on the scheduler
 )
 
 // Takes lists the kinds of selectors that each measure accepts.
@@ -92,7 +92,8 @@
 	Reason       string      `json:"Why"` // why the verdict is Undecided; "" otherwise
 }
 
-// Contradictions returns pairs of expectations of one measure, selector and failure that cannot both be true.
+// Contradictions returns the pairs of expectations of the same measure, selector and failure that cannot both
+// be true, ordered by the place of the first.
 func Contradictions(all []Expectation) (pairs [][2]Expectation) {
 	for i, later := range all {
 		for _, earlier := range all[:i] {
--- a/expect/fleet.go
+++ b/expect/fleet.go
@@ -1,6 +1,7 @@
 package expect
 
-// Plan is a service plan. Reserve and Limit are in units per second over all instances and nodes.
+// Plan is a service plan. Reserve and Limit are in units per second over all instances and nodes; Limit 0
+// means no limit.
 type Plan struct {
 	Name                   string
 	Reserve, Weight, Limit float64
@@ -19,8 +20,8 @@
 	Name    string
 	Plan    int   // index in Fleet.Plans
 	Count   int   // number of identical volumes; 0: one
-	Writers int   // instances that its requests state; 0: one
-	Paths   int   // instances through which its requests may arrive; 0: one
+	Writers int   // number of instances that its requests state; 0: one
+	Paths   int   // number of instances through which its requests may arrive; 0: one
 	Cells   []int // cells that store its data; empty: all cells
 }
 
@@ -30,6 +31,6 @@
 	Plans     []Plan
 	Nodes     []Node // if several have the same cell, the first that is not missing serves it
 	Volumes   []Volume
-	ColdUnits float64 // capacity of a warming node within a window, over all instances
-	MeanUnits float64 // of a request
+	ColdUnits float64 // units that a cold node accepts from all instances within a window
+	MeanUnits float64 // mean units of a request
 }
--- a/expect/forms_test.go
+++ b/expect/forms_test.go
@@ -7,7 +7,7 @@
 )
 
 // Other programs read findings as JSON: the keys, kinds, measures and verdicts must not change.
-func TestFinding_KeepsItsJSONForm(t *testing.T) {
+func TestFinding_KeepsItsJSONEncoding(t *testing.T) {
 	const path = "testdata/findings.json"
 	got, err := json.Marshal([]Finding{
 		{
--- a/expect/measure.go
+++ b/expect/measure.go
@@ -23,14 +23,14 @@
 
 // measureReach reports the fraction of each volume's cells that are served by a node that is up.
 func (m *Model) measureReach(e Expectation, down []bool, report reportFunc) {
-	held := map[int]bool{}
+	served := map[int]bool{}
 	for _, cell := range m.cells {
-		held[cell] = m.isHeld(cell, down)
+		served[cell] = m.isHeld(cell, down)
 	}
 	for _, i := range m.selectVolumes(e.Of) {
 		cells, reached := m.cellsOf(&m.Volumes[i]), 0
 		for _, cell := range cells {
-			if held[cell] {
+			if served[cell] {
 				reached++
 			}
 		}
@@ -38,8 +38,8 @@
 	}
 }
 
-// measureReserve reports the reserves on each node that is up, or on such nodes of each zone, as a fraction
-// of their capacity.
+// measureReserve reports the reserves on each node that is up, or on all nodes of each zone that are up, as a
+// fraction of their capacity.
 func (m *Model) measureReserve(of Selector, down []bool, report reportFunc) {
 	reserved := make([]float64, len(m.Nodes))
 	for _, cell := range m.cells {
@@ -68,7 +68,7 @@
 	}
 }
 
-// measureShare reports each volume's worst share of a node that serves one of its cells; 0 if no node does.
+// measureShare reports each volume's worst share over the nodes that serve its cells; 0 if there is none.
 func (m *Model) measureShare(e Expectation, down []bool, report reportFunc) {
 	for _, i := range m.selectVolumes(e.Of) {
 		volume := &m.Volumes[i]
@@ -98,8 +98,8 @@
 	}
 }
 
-// measureCold reports the fraction of a warming node's capacity in a window that is used by one request of
-// mean size from each instance.
+// measureCold reports the fraction of a cold node's capacity in a window that one request of mean size from
+// each instance uses.
 func (m *Model) measureCold(e Expectation, down []bool, report reportFunc) {
 	units := m.MeanUnits * float64(max(1, m.Instances))
 	for _, node := range m.selectNodes(e.Of) {
@@ -110,7 +110,7 @@
 }
 
 // ratio returns a as a fraction of b. If b is not positive, it returns a value above any bound for a positive
-// a, and 0 otherwise.
+// a, and 0 otherwise. It returns no infinity: that means that nothing was measured.
 func ratio(a, b float64) float64 {
 	switch {
 	case b > 0:
--- a/expect/model.go
+++ b/expect/model.go
@@ -10,13 +10,13 @@
 // once.
 type Model struct {
 	*Fleet
-	cells       []int            // in order
-	holders     map[int][]int    // nodes by cell, in order
-	reserve     map[int]float64  // by cell, of all volumes there
-	weight      map[int]float64  // by cell, of all volumes there
-	selected    map[string][]int // volumes by selector; filled on first use
-	nodesByZone map[string][]int
-	zoneNames   []string // in order
+	cells       []int            // of all nodes, ascending
+	holders     map[int][]int    // indices of nodes by cell, ascending
+	reserve     map[int]float64  // sum over all volumes, by cell
+	weight      map[int]float64  // sum over all volumes, by cell
+	selected    map[string][]int // indices of volumes by selector; filled on first use
+	nodesByZone map[string][]int // indices of nodes
+	zoneNames   []string         // in the order of the nodes
 }
 
 // New returns a model of a fleet, which must not change afterwards.
@@ -102,8 +102,8 @@
 }
 
 // selectVolumes returns the volumes that a selector selects by their own names or their plans' names. Of
-// several that differ only in name and count it returns the first: thousands of volumes are mostly of few
-// kinds.
+// several that differ only in name and count it returns the first, since all their measures are equal: fleets
+// have thousands of volumes with few different properties.
 func (m *Model) selectVolumes(s Selector) []int {
 	key := s.String()
 	if volumes, ok := m.selected[key]; ok {
@@ -116,9 +116,9 @@
 		if s.Kind == Plans {
 			name = m.Plans[volume.Plan].Name
 		}
-		kind := fmt.Sprint(volume.Plan, volume.Writers, volume.Paths, volume.Cells)
-		if matches(s.Name, name) && !seen[kind] {
-			seen[kind] = true
+		properties := fmt.Sprint(volume.Plan, volume.Writers, volume.Paths, volume.Cells)
+		if matches(s.Name, name) && !seen[properties] {
+			seen[properties] = true
 			volumes = append(volumes, i)
 		}
 	}
@@ -126,7 +126,7 @@
 	return volumes
 }
 
-// holder returns the node that serves a cell while some nodes are down; -1: none.
+// holder returns the index of the node that serves a cell while some nodes are down; -1: none.
 func (m *Model) holder(cell int, down []bool) int {
 	for _, node := range m.holders[cell] {
 		if !down[node] {
