--- a/expect/expectation.go
+++ b/expect/expectation.go
@@ -35,7 +35,7 @@
 	Reach   Measure = "reachable" // part of a volume's cells that nodes serve
 	Reserve Measure = "reserve"   // reserves on a node or in a zone, relative to its capacity
 	Share   Measure = "share"     // a volume's share of a node on which all volumes are active, by weight
-	Limit   Measure = "limit"     // rate that all instances grant a volume, relative to its plan's limit
+	Limit   Measure = "limit"     // rate that all instances together grant a volume, relative to its limit
 	Cold    Measure = "cold"      // one mean-sized request per instance, relative to a cold node's window
 	Send    Measure = "send"      // attempts sent; always undecided: the send order depends on the scheduler
 )
