--- a/internal/daemon/actions.go
+++ b/internal/daemon/actions.go
@@ -52,7 +52,7 @@
 	if r == nil {
 		return
 	}
-	for _, a := range slices.Clone(r.inFlight) {
+	for _, a := range slices.Clone(r.inFlight) { // abort removes the attempt from r.inFlight
 		if a.number == action.Attempt {
 			l.abort(a, scheduler.Cancelled)
 		}
--- a/internal/daemon/attempt.go
+++ b/internal/daemon/attempt.go
@@ -52,8 +52,8 @@
 	a.timeout = l.timers.set(a.deadline, func() { l.abort(a, scheduler.TimedOut) })
 }
 
-// joinOperation adds an attempt to the last undispatched operation if the request leader leads it; otherwise,
-// or if leader is 0, the attempt starts a new operation.
+// joinOperation adds an attempt to the last undispatched operation if leader is the ID of that operation's
+// first request. Otherwise, or if leader is 0, the attempt starts a new operation.
 func (l *loop) joinOperation(a *attempt, leader uint32) {
 	if last := len(l.undispatched) - 1; leader != 0 && last >= 0 {
 		if operation := l.undispatched[last]; operation.members[0].request.id == leader {
@@ -66,10 +66,10 @@
 	l.undispatched = append(l.undispatched, a.operation)
 }
 
-// abort ends an attempt in the instance: its time is up or it was cancelled. The operation is cancelled at
-// its node once none of its members waits any more; until then only the one member is cancelled: a write
-// that was aborted here but stayed in an operation at its node was once executed after a later write of its
-// key.
+// abort ends an attempt that has no result yet, because its time is up or it was cancelled. The operation is
+// cancelled at its node once none of its members waits any more. Until then only the one member is cancelled,
+// at once: a write that is aborted here but stays in an operation at its node can be executed after a later
+// write of its key.
 func (l *loop) abort(a *attempt, code scheduler.ResultCode) {
 	if a.ended {
 		return
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -81,8 +81,8 @@
 // error: it is a bug of the scheduler or the loop.
 func (l *loop) answerOverdue(call *Call) {
 	if !call.answered && l.notified {
-		// If the loop's goroutine did not run for a long period, an attempt's end and this timer come in
-		// one batch. The scheduler has received the end but not decided yet; it decides first.
+		// If the loop's goroutine did not run for a long period, an attempt's end and this timer may be
+		// processed in one batch. The scheduler has received the end but not decided yet; it decides first.
 		l.decide()
 	}
 	if call.answered {
@@ -98,7 +98,8 @@
 	l.failCall(call, ReasonOverdue)
 }
 
-// endCallOfGoneClient ends a call whose client has disconnected or cancelled it.
+// endCallOfGoneClient ends a call whose client has disconnected or cancelled it. It does nothing if the call
+// is answered or not started.
 func (l *loop) endCallOfGoneClient(call *Call) {
 	if call.answered || call.requests == nil {
 		return
--- a/internal/daemon/client_request.go
+++ b/internal/daemon/client_request.go
@@ -13,7 +13,7 @@
 const (
 	// maxClientTimeout is the longest time-out that a client may state.
 	maxClientTimeout = time.Hour
-	maxCell          = 1<<16 - 1
+	maxCell          = 1<<16 - 1 // the endpoint list states cells in 16 bits
 )
 
 // clientRequest is a client's request as received on its connection, and the Responder of its call.
@@ -109,5 +109,5 @@
 	if onAnswer := r.listener.instance.cfg.Hooks.OnAnswer; onAnswer != nil {
 		onAnswer(conn, r.stream, answer, payload)
 	}
-	r.payload = nil
+	r.payload = nil // frees the memory while attempts in flight still refer to the request
 }
--- a/internal/daemon/counters.go
+++ b/internal/daemon/counters.go
@@ -10,13 +10,14 @@
 
 // Stats counts what an instance did since its start. All counters may be read at any time.
 type Stats struct {
-	// Calls admitted; their answers by kind; calls whose client disconnected or cancelled; calls that the
-	// loop answered because the scheduler did not.
+	// Calls admitted; answers by kind, where Rejected includes the native protocol's requests that were not
+	// admitted; calls whose client disconnected or cancelled; calls that the loop failed because the
+	// scheduler did not answer them.
 	Admitted, Served, Rejected, Failed, ClientGone, Overdue atomic.Uint64
 
-	// Attempts dispatched; results that came after their attempt had ended, which are ignored; attempts not
-	// sent because their request had ended or their time was up; batches; endpoint snapshots that could not
-	// be saved.
+	// Attempts dispatched; results that arrived after their attempt had ended, which are ignored; attempts
+	// not sent because their request had ended or their time was up; batches; endpoint snapshots that could
+	// not be saved.
 	Attempts, LateResults, Withheld, Batches, SnapshotFailures atomic.Uint64
 
 	// Attempts that ended, by result code.
@@ -24,7 +25,8 @@
 
 	// Ranged calls: calls split; pieces of all calls; operations sent to nodes, including retries; operations
 	// merged from two or more pieces; pieces in merged operations; operations saved by merging; pieces
-	// withdrawn before they were sent; writes that failed with some of their pieces done; bytes copied.
+	// withdrawn that no node can have executed; writes that failed with some of their pieces done; payload
+	// bytes copied.
 	Split, Pieces, Operations, Merged, Members, Saved, Withdrawn, Partial, Copied atomic.Uint64
 }
 
--- a/internal/daemon/drivers.go
+++ b/internal/daemon/drivers.go
@@ -45,7 +45,9 @@
 // EndpointSource watches and fetches the endpoint list. EventLoop.ReceiveUpdate receives the updates,
 // EventLoop.ReportListFailure the failures.
 type EndpointSource interface {
+	// Watch starts or ends the watch.
 	Watch(on bool)
+	// Fetch fetches the changes since EventLoop.ListVersion, or the full list.
 	Fetch()
 	// FetchFull fetches the full list, after a change that could not be applied.
 	FetchFull()
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -14,8 +14,8 @@
 	"landingpaddle/scheduler"
 )
 
-// clockStart is the scheduler's clock at an instance's start. It keeps earlier times, such as the starts of
-// nodes, positive.
+// clockStart is the scheduler's clock at an instance's start. It keeps the times of recent starts of nodes
+// above 0, which would mean a start long ago.
 const clockStart = time.Hour
 
 // EventLoopConfig configures an event loop, independently of the protocols of its drivers.
@@ -27,7 +27,7 @@
 	BatchInterval time.Duration
 	// ResponseMargin is the part of a client's time-out that is reserved for the return latency.
 	ResponseMargin time.Duration
-	// AnswerSlack is how long after a call's deadline the loop itself fails it.
+	// AnswerSlack is the time from a call's expiry until the loop fails it if the scheduler has not answered.
 	AnswerSlack time.Duration
 	// ClockSkew is the largest difference between the clocks of a node and of the instance.
 	ClockSkew time.Duration
@@ -41,8 +41,8 @@
 	Snapshot registry.SnapshotFile
 	// InitialList is the endpoint list at the start, used if Snapshot has no path.
 	InitialList endpoints.Snapshot
-	// TrustInitialList means that the registry continues the list of the start, so that changes to that list
-	// can be applied.
+	// TrustInitialList states that the registry's updates build on the initial list, so that changes can be
+	// applied to it before a full list was received.
 	TrustInitialList bool
 
 	// StatisticsFile is the path of the checkpoint of statistics; "": none is kept.
@@ -106,17 +106,17 @@
 	return newLoop(e, drivers).run(ctx)
 }
 
-// Ready returns a channel that is closed once the scheduler has the endpoint list of the start.
+// Ready returns a channel that is closed once the scheduler has received the initial endpoint list.
 func (e *EventLoop) Ready() <-chan struct{} { return e.ready }
 
-// IsReady reports whether the scheduler has the endpoint list of the start.
+// IsReady reports whether the scheduler has received the initial endpoint list.
 func (e *EventLoop) IsReady() bool { return isClosed(e.ready) }
 
 // Stop begins the graceful shutdown: no new calls are admitted, the loop answers all open ones within the
 // shutdown timeout, then Run returns.
 func (e *EventLoop) Stop() { e.stopOnce.Do(func() { close(e.stopping) }) }
 
-// Stopping reports whether Stop was called: no new calls are admitted any more.
+// Stopping reports whether Stop was called, after which no new calls are admitted.
 func (e *EventLoop) Stopping() bool { return isClosed(e.stopping) }
 
 func isClosed(channel <-chan struct{}) bool {
--- a/internal/daemon/event_loop_input.go
+++ b/internal/daemon/event_loop_input.go
@@ -9,7 +9,8 @@
 // Admit counts one more call as open and returns "", unless the instance is stopping or maxOpen calls are
 // open: then it returns the reason of the rejection. An admitted call must be passed to Submit.
 func (e *EventLoop) Admit(maxOpen int) (reason string) {
-	// The call is counted before Stopping is checked: the loop ends only when no call is counted.
+	// The call is counted before Stopping is checked. Otherwise the loop, which ends when no call is counted,
+	// could end between the check and the count.
 	open := e.openCalls.Add(1)
 	switch {
 	case e.Stopping():
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -17,7 +17,7 @@
 	mu           sync.Mutex
 	messages     []message
 	peerMessages int           // number among messages
-	wake         chan struct{} // holds a value if there may be messages
+	wake         chan struct{} // holds a value if messages or undecided events may be pending
 }
 
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
--- a/internal/daemon/instance.go
+++ b/internal/daemon/instance.go
@@ -28,17 +28,17 @@
 
 // Config is the configuration of one instance.
 type Config struct {
-	Number          int // index of this instance, from 0
-	Instances       int
-	Zone            uint8
-	Seed            uint64
+	Number          int    // index of this instance, from 0
+	Instances       int    // number of instances of the fleet
+	Zone            uint8  // index of the instance's zone in Site.Zones
+	Seed            uint64 // of the scheduler's random delays; different for each instance
 	Site            config.Site
 	Listener        net.Listener // for clients; owned by the instance
 	Registry        string       // address
 	Snapshot        registry.SnapshotFile
-	StatisticsFile  string // path of the checkpoint of statistics; "": none is kept
-	PeerListen      string // "": no messages between instances
-	Peers           map[uint32]netip.AddrPort
+	StatisticsFile  string                    // path of the checkpoint of statistics; "": none is kept
+	PeerListen      string                    // address for messages from other instances; "": there are none
+	Peers           map[uint32]netip.AddrPort // by instance number
 	ShutdownTimeout time.Duration
 	Log             *slog.Logger // nil: nothing is logged
 	Hooks           Hooks
@@ -53,7 +53,8 @@
 	peers    *peer.Link // nil: no messages between instances
 }
 
-// New returns an instance; Run starts it. If peers are configured, New begins to listen for them.
+// New returns an instance; Run starts it. If PeerListen is set, New opens the socket for messages from other
+// instances.
 func New(cfg Config) (*Instance, error) {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// counterLogInterval is the minimum time between two logs of the counters, which follow a batch.
+	// counterLogInterval is the minimum time between two log messages with the counters. They are logged
+	// after a batch.
 	counterLogInterval = time.Minute
 	// idleWakeup is the longest wait of the loop when no timer is set.
 	idleWakeup = time.Hour
@@ -68,7 +69,7 @@
 	close(l.shared.ready)
 	wakeup := time.NewTimer(idleWakeup)
 	defer wakeup.Stop()
-	stopRequested := l.shared.stopping // nil once a stop was requested
+	stopRequested := l.shared.stopping // nil once the stop was processed
 	var shutdownTimeout <-chan time.Time
 	for {
 		if stopRequested == nil && len(l.requests) == 0 && l.shared.openCalls.Load() == 0 {
@@ -127,8 +128,8 @@
 	}
 }
 
-// runBatch processes all queued messages and due timers and executes the scheduler's actions. Messages come
-// before timers, so that an answer takes precedence over a time-out that is due in the same batch.
+// runBatch processes all queued messages and due timers and executes the scheduler's actions. Messages are
+// processed before timers, so that an answer takes precedence over a time-out due in the same batch.
 func (l *loop) runBatch() {
 	l.now = l.shared.Now()
 	messages := l.shared.inbox.takeAll(l.spareMessages)
--- a/internal/daemon/preconditions.go
+++ b/internal/daemon/preconditions.go
@@ -20,7 +20,7 @@
 	byServer map[scheduler.Server]notifiedEndpoint
 }
 
-// get returns an endpoint; the zero value if it is not among them.
+// get returns the state of an endpoint; the zero value if it is not listed.
 func (n *notifiedEndpoints) get(server scheduler.Server) notifiedEndpoint {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -52,10 +52,11 @@
 }
 
 // CheckPreconditions returns OK if the conditions under which the scheduler decided to send an operation are
-// still true. Drivers call it, on any goroutine, right before the first byte, as establishing a connection
-// may take long. NotApplicable means that no member's client waits any more or that the deadline has passed.
-// ConnectFailed, as nothing was sent, means that the node drains, that it is another process, which is cold,
-// or that the window in which the node deduplicates a repeated request may have passed.
+// still true. Drivers that do not send at once call it, on any goroutine, right before the first byte, as
+// establishing a connection may take long. NotApplicable means that no member's client waits any more or that
+// the deadline has passed. ConnectFailed, as nothing was sent, means that the node is no longer ready, that
+// it is another process, which is cold, or that the window in which the node deduplicates a repeated request
+// may have passed.
 func (e *EventLoop) CheckPreconditions(operation *Operation) scheduler.ResultCode {
 	hasWaitingClient, isTooLate, now := false, false, e.Now()
 	for _, member := range operation.members {
--- a/internal/daemon/reasons.go
+++ b/internal/daemon/reasons.go
@@ -10,7 +10,7 @@
 const (
 	// ReasonBadRequest: a field is out of the site's bounds.
 	ReasonBadRequest = "bad-request"
-	// ReasonBadRange: the range is empty, overflows, or is out of the site's bounds.
+	// ReasonBadRange: the range is empty, overflows, exceeds the site's bounds or does not match the payload.
 	ReasonBadRange = "bad-range"
 	// ReasonOverload: the instance's limit of open calls is reached.
 	ReasonOverload = "overload"
@@ -30,7 +30,7 @@
 	ReasonNodeError = "node-error"
 	// ReasonCancelled: the last attempt was cancelled.
 	ReasonCancelled = "cancelled"
-	// ReasonNotApplicable: the node does not hold the cell, or the last attempt was no longer needed.
+	// ReasonNotApplicable: the node does not serve the cell, or the last attempt was no longer needed.
 	ReasonNotApplicable = "not-there"
 	// ReasonClientGone: the client has disconnected or has cancelled the call.
 	ReasonClientGone = "client-gone"
--- a/internal/daemon/statistics.go
+++ b/internal/daemon/statistics.go
@@ -52,7 +52,7 @@
 }
 
 // restoreStatistics passes the scheduler the saved statistics that are still valid for the listed endpoints.
-// It keeps its own statistics of nodes from which it has received results since.
+// The scheduler keeps its own statistics of nodes from which it has received results since the start.
 func (l *loop) restoreStatistics(listed []endpoints.Endpoint) {
 	if l.savedStatistics == nil || len(listed) == 0 {
 		return
@@ -76,7 +76,7 @@
 	record := checkpoint.Capture(l.shared.clock().Wall, l.shared.cfg.Fingerprint, l.scheduler.Statistics(),
 		l.view.Snapshot().Endpoints)
 	if len(record.Nodes) == 0 {
-		return // an incarnation without results must not overwrite what an earlier one saved
+		return // an incarnation without results must not overwrite the statistics of an earlier one
 	}
 	data, err := statefile.Encode(statisticsMagic, record)
 	if err == nil {
--- a/internal/daemon/upstream_connection.go
+++ b/internal/daemon/upstream_connection.go
@@ -85,6 +85,7 @@
 	}
 	p.instance.log.Warn("request not sent", keyNode, serverAddress(operation.server), keyError, err)
 	connection.conn.CloseStream(stream) // no answer will arrive that would close it
+	// If the operation is not found, connectionEnded has reported it.
 	if connection.remove(stream) != nil {
 		p.instance.inbox.put(unsent)
 	}
--- a/internal/daemon/upstream_pool.go
+++ b/internal/daemon/upstream_pool.go
@@ -60,9 +60,9 @@
 	return node
 }
 
-// Send writes an operation to the connection with the fewest requests in flight, or queues it for one being
-// established. If all connections that the limit allows are at their stream limit, the operation ends as
-// ConnectFailed.
+// Send writes an operation to the connection with the fewest requests in flight. If all are at their stream
+// limit, it queues the operation for a connection being established, and dials another if necessary. If the
+// limit of connections is reached and none of them has a stream left, the operation ends as ConnectFailed.
 func (p *upstreamPool) Send(operation *Operation) {
 	node := p.node(operation.server)
 	if connection := node.leastLoaded(); connection != nil {
@@ -70,6 +70,7 @@
 		return
 	}
 	limits := p.instance.cfg.Site.Limits
+	// The connections being established have no stream left for another operation.
 	if len(node.waiting) >= node.dialing*limits.Streams {
 		if len(node.connections)+node.dialing >= limits.NodeConnections {
 			p.instance.inbox.put(operationResult{operation: operation, code: scheduler.ConnectFailed})
