--- a/internal/daemon/actions_test.go
+++ b/internal/daemon/actions_test.go
@@ -73,7 +73,8 @@
 	return server, cancels
 }
 
-// The loop executes CheckHealth, CloseIdle, WriteLog, FetchEndpoints, SetTimer and Cancel.
+// The loop executes Send, CheckHealth, WriteLog, FetchEndpoints, SetTimer, Cancel and Fail. CloseIdle is
+// scripted too, but its effect is not checked.
 func TestEventLoop_ExecutesScriptedActions(t *testing.T) {
 	env := newTestEnvironment(t)
 	server, cancels := cancellableNode(env)
@@ -82,7 +83,7 @@
 		cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return decider }
 	})
 	observed := observedEvents{events: decider.events}
-	// An attempt to a node that is not on the endpoint list fails its preconditions.
+	// Waits for the endpoint list: an attempt to a node that is not on it fails its preconditions.
 	observed.awaitUntil(t, func() bool { return observed.lists >= 1 })
 	client := env.client()
 	id := client.sendRequest(nil)
@@ -92,7 +93,7 @@
 	})
 	env.awaitLog("hello operators")
 	answer := client.awaitAnswer(id)
-	for by := time.Now().Add(5 * time.Second); cancels.Load() == 0 && time.Now().Before(by); {
+	for end := time.Now().Add(5 * time.Second); cancels.Load() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // the cancel frame may still be in transit
 	}
 	if answer.Reason != ReasonCancelled || cancels.Load() != 1 {
--- a/internal/daemon/client_listener_test.go
+++ b/internal/daemon/client_listener_test.go
@@ -37,14 +37,14 @@
 	env.node(0, echo)
 	instance := env.start(func(cfg *Config) { cfg.Site.Limits.MaxOpenRequests = 2000 })
 	env.awaitLog("node listed")
-	callers := []*testClient{env.client(), env.client()} // a connection allows at most 8,192 in flight
+	clients := []*testClient{env.client(), env.client()} // each allows 128 * 64 requests in flight
 	for range 5000 {
-		for _, client := range callers {
+		for _, client := range clients {
 			client.sendRequest(nil)
 		}
 	}
 	overload := 0
-	for _, client := range callers {
+	for _, client := range clients {
 		for stream := uint64(1); stream <= 5000; stream++ {
 			if answer := client.awaitAnswer(stream); answer.Reason == ReasonOverload {
 				if overload++; answer.RetryAfter <= 0 {
@@ -106,7 +106,8 @@
 			ReasonStopping: stopping,
 		} {
 			if answer.Reason != reason || (answer.RetryAfter > 0) != allowed {
-				t.Errorf("RetryAfter allowed %v: got %+v; want the call's reason, RetryAfter only if allowed",
+				t.Errorf("RetryAfter allowed %v: got %+v; "+
+					"want reason overload before Stop, stopping after it, and RetryAfter only if allowed",
 					allowed, answer)
 			}
 		}
--- a/internal/daemon/deciders_test.go
+++ b/internal/daemon/deciders_test.go
@@ -71,7 +71,7 @@
 // fires, and fails the request when the attempt ends.
 type scriptedDecider struct {
 	server  scheduler.Server
-	events  chan scheduler.Event // all events, as far as the buffer has room
+	events  chan scheduler.Event // all events, up to the buffer's capacity
 	actions []scheduler.Action
 }
 
--- a/internal/daemon/environment_test.go
+++ b/internal/daemon/environment_test.go
@@ -48,7 +48,7 @@
 type fakeNode struct {
 	listener     net.Listener
 	requestCount atomic.Int64     // request frames received
-	connections  chan *proto.Conn // accepted ones, as far as the buffer has room
+	connections  chan *proto.Conn // accepted ones, up to the buffer's capacity
 }
 
 // testEnvironment is an instance with a registry and fake nodes.
@@ -103,22 +103,22 @@
 	return ln
 }
 
-// node starts a fake node and registers it for a cell.
-func (e *testEnvironment) node(cell uint16, serve frameHandler) *fakeNode {
-	return e.nodeWithConfig(proto.Config{}, cell, serve)
+// node starts a fake node, whose frames are passed to handle, and registers it for a cell.
+func (e *testEnvironment) node(cell uint16, handle frameHandler) *fakeNode {
+	return e.nodeWithConfig(proto.Config{}, cell, handle)
 }
 
 func (e *testEnvironment) nodeWithConfig(cfg proto.Config, cell uint16,
-	serve frameHandler) *fakeNode {
+	handle frameHandler) *fakeNode {
 	node := &fakeNode{listener: e.listen(), connections: make(chan *proto.Conn, 64)}
-	e.serve(node, cfg, serve)
+	e.serve(node, cfg, handle)
 	e.registry.Put(node.endpoint(cell, scheduler.Ready))
 	return node
 }
 
 // serve accepts connections to a fake node in the background.
 func (e *testEnvironment) serve(node *fakeNode, cfg proto.Config,
-	serve frameHandler) {
+	handle frameHandler) {
 	e.goroutines.Go(func() {
 		_ = proto.Serve(e.ctx, node.listener, cfg, 64, func(ctx context.Context, conn *proto.Conn) {
 			select {
@@ -133,7 +133,7 @@
 						return err
 					}
 				}
-				return serve(conn, frame, request)
+				return handle(conn, frame, request)
 			})
 		})
 	})
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -96,7 +96,7 @@
 	l.now = eventLoop.Now()
 	l.updateEndpoints(l.view.Restore(eventLoop.clock(), eventLoop.cfg.InitialList))
 	if reason := eventLoop.Admit(1); reason != "" {
-		t.Fatal(reason)
+		t.Fatal("call not admitted:", reason)
 	}
 	l.startCall(
 		&Call{
--- a/internal/daemon/merging_failures_test.go
+++ b/internal/daemon/merging_failures_test.go
@@ -109,8 +109,9 @@
 	env.defaultClient.expectOneAnswerEach()
 }
 
-// Members of a merged read are cancelled while queued, while in flight, and after their answer. Each ends
-// alone, the others are served, and the operation is not cancelled while one of them waits.
+// Members of a merged read are cancelled while queued, while in flight, and after their answer. Each
+// cancellation ends only its own call, the other members are served, and the operation is not cancelled while
+// a member waits.
 func TestMerging_ServesOthersWhenMembersAreCancelled(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
--- a/internal/daemon/merging_test.go
+++ b/internal/daemon/merging_test.go
@@ -87,7 +87,7 @@
 		time.AfterFunc(60*time.Millisecond, func() { _ = disk.carryOut(conn, frame, request, nil) })
 		return true
 	}
-	for range 24 { // until the scheduler has learned the latency of reads
+	for range 24 { // until the scheduler has statistics of the latency of reads
 		env.defaultClient.awaitAnswer(env.read(volume, 0, 10, nil))
 	}
 	var ids []uint64
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -28,8 +28,8 @@
 	var received atomic.Int64
 	instance := env.start(func(cfg *Config) {
 		cfg.Instances, cfg.PeerListen, cfg.Peers = 2, "127.0.0.1:0", peers
-		cfg.Hooks.Decider = func(_ scheduler.Settings, host Decider) Decider {
-			return peerCountingDecider{host,
+		cfg.Hooks.Decider = func(_ scheduler.Settings, original Decider) Decider {
+			return peerCountingDecider{original,
 				&received}
 		}
 	})
@@ -61,6 +61,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
+	// Closes the other instance's socket.
 	_ = other.Run(ctx, func(scheduler.PeerMessage) {})
 }
 
--- a/internal/daemon/ranged_environment_test.go
+++ b/internal/daemon/ranged_environment_test.go
@@ -19,8 +19,8 @@
 	bytes      map[uint64][]byte // by volume
 	operations []proto.Request
 	cancelled  [][]uint16 // members of each cancel frame
-	// intercept is called before the disk executes its nth operation, and reports whether it has handled the
-	// operation itself. It may be nil.
+	// intercept is called before the disk executes its nth operation, counted from 1, and reports whether it
+	// has handled the operation itself. It may be nil.
 	intercept func(n int, c *proto.Conn, f proto.Frame, q proto.Request) bool
 }
 
@@ -161,7 +161,7 @@
 	}
 }
 
-// volumeAt returns the nth volume, from 0, whose first extent is located in a cell.
+// volumeAt returns the nth volume, counted from 0, whose first extent is located in a cell.
 func (e *rangedEnvironment) volumeAt(cell, nth int) uint64 {
 	settings := e.instance.cfg.Site.Extents.Planner()
 	for volume := uint64(100); ; volume++ {
--- a/internal/daemon/ranged_write_test.go
+++ b/internal/daemon/ranged_write_test.go
@@ -56,7 +56,7 @@
 	}
 	for i, disk := range env.disks {
 		if at := 12<<10 + i*4<<10; disk.bytes[volume][at] != 3 || disk.bytes[volume][at+4<<10-1] != 3 {
-			t.Errorf("node %d: got other bytes than those of the last write", i)
+			t.Errorf("node %d: got bytes other than those of the last write", i)
 		}
 	}
 	env.defaultClient.expectOneAnswerEach()
@@ -134,7 +134,7 @@
 	slow := &fakeDisk{bytes: map[uint64][]byte{}}
 	slow.fakeNode = &fakeNode{listener: env.listen(), connections: make(chan *proto.Conn, 64)}
 	endpoint := slow.endpoint(0, scheduler.Ready)
-	endpoint.StartedAt = time.Now().UnixNano()
+	endpoint.StartedAt = time.Now().UnixNano() // the last node of the cell to start serves it
 	env.registry.Put(endpoint)
 	env.awaitLog("node=" + slow.listener.Addr().String())
 	var mu sync.Mutex
@@ -164,7 +164,7 @@
 	for env.instance.Stats.ClientGone.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	env.serve(slow.fakeNode, proto.Config{}, slow.serve)
+	env.serve(slow.fakeNode, proto.Config{}, slow.serve) // completes the handshake that the writes wait for
 	for _, id := range ids[1:] {
 		if answer := env.defaultClient.awaitAnswer(id); answer.Code != proto.OK {
 			t.Errorf("write %d: got %+v; want OK", id, answer)
@@ -177,7 +177,8 @@
 }
 
 // The second piece of a split write is rejected permanently after the first was executed: the write fails,
-// and the state of its pieces is answered and logged. If the first is rejected as well, so is the write.
+// and the state of its pieces is reported in the answer and logged. If the first is rejected as well, so is
+// the write.
 func TestRangedCall_ReportsPartlyDoneWrite(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume := env.volumeAt(0, 0)
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -83,7 +83,7 @@
 		l := newLoop(eventLoop, Drivers{Upstream: drivers, Endpoints: drivers})
 		l.now = eventLoop.Now()
 		if reason := eventLoop.Admit(1); reason != "" {
-			t.Fatal(reason)
+			t.Fatal("call not admitted:", reason)
 		}
 		eventLoop.Stop()
 		call := &Call{
@@ -114,7 +114,7 @@
 	}
 }
 
-// A graceful shutdown answers all calls, those of merged operations in flight and those still queued.
+// A graceful shutdown answers all calls of a merged operation that is in flight at the stop.
 func TestInstance_AnswersMergedCallsBeforeStopping(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
@@ -132,10 +132,10 @@
 	env.instance.Stop()
 	env.awaitLog("instance stopping")
 	if err := <-env.ended; err != nil {
-		t.Error(err)
+		t.Error("got an error from Run; want nil:", err)
 	}
 	<-env.defaultClient.ended
-	env.awaitLog("all.admitted=14 all.served=14")
+	env.awaitLog("all.admitted=14 all.served=14") // 12 reads, and one request to each node at the start
 	env.awaitLog("all.saved=11")
 	for i, id := range ids {
 		env.expectRead(id, volume, uint64(i)*1000, 1000)
--- a/internal/daemon/snapshot_test.go
+++ b/internal/daemon/snapshot_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// A restarted instance applies an update that contains only the changes since its snapshot if the registry is
-// the same as before, and otherwise does not.
+// A view restored from a snapshot applies an update that contains only the changes since that snapshot if the
+// snapshot is trusted, and otherwise does not.
 func TestView_AppliesChangesToTrustedSnapshot(t *testing.T) {
 	for _, trusted := range []bool{true, false} {
 		view := endpoints.New(0)
--- a/internal/daemon/statistics_test.go
+++ b/internal/daemon/statistics_test.go
@@ -69,15 +69,15 @@
 	return env, env.client()
 }
 
-// After a restart with changed settings the instance restores its statistics, serves reads and writes that
-// are not idempotent, and stops gracefully.
+// After a restart with changed settings the instance restores its statistics, serves reads and non-idempotent
+// writes, and stops gracefully.
 func TestStatistics_AreRestoredAfterSettingsChange(t *testing.T) {
 	env, client := restartWithChangedSite(t, nil)
 	env.awaitLog("statistics saved")
 	env.awaitLog("saved statistics restored")
 	text := env.logs.String()
 	if !strings.Contains(text, "nodes=2 saved_nodes=2 classes=1 all_classes=true") {
-		t.Errorf("got a log without the restored nodes and classes:\n%s", text)
+		t.Errorf("got this log; want one with 2 of 2 nodes, 1 class and all_classes restored:\n%s", text)
 	}
 	for i := range 20 {
 		class := uint16(i % 2)
@@ -95,7 +95,7 @@
 	}
 	env.instance.Stop()
 	if err := <-env.ended; err != nil {
-		t.Error(err)
+		t.Error("got an error from Run; want nil:", err)
 	}
 	<-client.ended
 	client.expectOneAnswerEach()
@@ -158,7 +158,8 @@
 	}
 }
 
-// Invalid statistics are logged in one line and ignored; the instance still serves requests.
+// A missing statistics file is logged, an invalid one is logged in one line and ignored; the instance serves
+// requests in both cases.
 func TestStatistics_IgnoresInvalidFiles(t *testing.T) {
 	remove := func(path string) { _ = os.Remove(path) }
 	flipLastByte := func(data []byte) []byte {
--- a/internal/daemon/stored_test.go
+++ b/internal/daemon/stored_test.go
@@ -72,6 +72,8 @@
 		MedianLatency: 19 * time.Millisecond, RecentLatency: 23 * time.Millisecond}
 }
 
+// A file with every field set is read as the record that was written, and the record is still encoded to the
+// same bytes.
 func TestStoredStatistics_ReadAndWriteAsBefore(t *testing.T) {
 	var got checkpoint.Record
 	if err := statefile.Read(storedFigures, statisticsMagic, &got); err != nil {
@@ -83,7 +85,9 @@
 	sameBytes(t, storedFigures, storedRecord())
 }
 
-func TestStoredStatistics_OfStoppedProcessReadAsBefore(t *testing.T) {
+// A file that an instance wrote at a graceful shutdown is valid, has no field that was lost and read as zero,
+// and is still encoded to the same bytes.
+func TestStoredStatistics_OfGracefulShutdownReadAndWriteAsBefore(t *testing.T) {
 	var got checkpoint.Record
 	if err := statefile.Read(stoppedLearnt, statisticsMagic, &got); err != nil {
 		t.Fatal(err)
@@ -117,7 +121,7 @@
 	sameBytes(t, stoppedLearnt, got)
 }
 
-// sameBytes checks that a record is encoded to the bytes of the file that it was read from.
+// sameBytes checks that a record is encoded to the bytes of a file.
 func sameBytes(t *testing.T, path string, record checkpoint.Record) {
 	t.Helper()
 	want, err := os.ReadFile(path)
@@ -129,6 +133,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(data, want) {
-		t.Errorf("%s: got the record encoded to %d other bytes:\n%x\nwant\n%x", path, len(data), data, want)
+		t.Errorf("%s: got another encoding of %d bytes:\n%x\nwant\n%x", path, len(data), data, want)
 	}
 }
