--- a/internal/platform/address_table.go
+++ b/internal/platform/address_table.go
@@ -11,8 +11,8 @@
 	"landingpaddle/scheduler"
 )
 
-// goneRetention is how long the address of a removed disk server stays available: attempts that were decided
-// on before the removal was received may not be connected yet.
+// goneRetention is how long the address of a removed disk server stays available: attempts that the scheduler
+// decided on before it received the removal may not be connected yet.
 const goneRetention = time.Minute
 
 // addressTable stores the address at which this scheduler reaches each disk server. A disk server is
@@ -47,7 +47,8 @@
 	return entry, known
 }
 
-// nodeName returns the name of a disk server in logs: its id, or its scheduler.Server if the table lacks it.
+// nodeName returns the name of a disk server in logs: its id, or its scheduler.Server if it is not in the
+// table.
 func (t *addressTable) nodeName(server scheduler.Server) string {
 	if entry, known := t.find(server); known {
 		return entry.id
--- a/internal/platform/address_table_test.go
+++ b/internal/platform/address_table_test.go
@@ -28,7 +28,7 @@
 	server := serverOf("s-1")
 	entry, found := table.find(server)
 	if !found || !entry.isGone() {
-		t.Fatalf("got %+v, found %v; attempts in transit must still find it", entry, found)
+		t.Fatalf("got %+v, found %v; want it found and marked as removed", entry, found)
 	}
 	entry.goneAt = entry.goneAt.Add(-2 * goneRetention)
 	table.entries[server] = entry
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -19,6 +19,7 @@
 	// minReadTimeout is the least timeout for reading a response; the scheduler ends an attempt long before
 	// that.
 	minReadTimeout = time.Minute
+	// budgetDecimals is the precision of X-Budget, in decimals of a second.
 	budgetDecimals = 4
 	// maxUsageFigure bounds the usage values that disk servers report.
 	maxUsageFigure = 1e6
@@ -86,8 +87,8 @@
 	return a.roundTrip(connection, entry)
 }
 
-// bind ties an attempt to its connection if the attempt preconditions are still true: dialing may have taken
-// long. This is the only check before the first byte is written.
+// bind assigns a connection to an attempt if the attempt preconditions are still true, as dialing may have
+// taken long. They are not checked again before the first byte is written.
 func (a *attempt) bind(connection *upstreamConn) scheduler.ResultCode {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,7 +107,7 @@
 	timeLeft := a.operation.Deadline() - a.pool.loop.Now()
 	if _, err := connection.conn.Write(a.encodeRequest(entry.address, timeLeft)); err != nil {
 		a.pool.discard(connection)
-		return attemptResult{code: scheduler.ConnectFailed} // its last byte was not written
+		return attemptResult{code: scheduler.ConnectFailed} // the request's last byte was not written
 	}
 	connection.conn.SetReadDeadline(time.Now().Add(max(2*timeLeft, minReadTimeout)))
 	response, err := connection.reader.ReadResponse()
@@ -166,7 +167,7 @@
 	return result
 }
 
-// parseUsageField parses a usage value and rounds it. A value that cannot be parsed counts as missing.
+// parseUsageField parses a usage value and rounds it. A value that is invalid or too large counts as missing.
 func parseUsageField(header http1.Header, name string) (uint32, bool) {
 	text, count := header.Get(name)
 	if count != 1 || text == "" || !isDecimal(text) {
--- a/internal/platform/attempt_preconditions_test.go
+++ b/internal/platform/attempt_preconditions_test.go
@@ -47,7 +47,7 @@
 			discovery := newFakeDiscovery(t,
 				List{Generation: 7, Reset: true, Instances: []ListedServer{server}})
 			fixture := startGatewayAt(t, discovery.address(), diskServer, func(config string) string {
-				// Long enough on a slow machine.
+				// The connect timeout must not expire, even on a slow machine.
 				config = replaceOnce(t, config, `"dial_timeout_ns":250000000`,
 					`"dial_timeout_ns":9000000000`)
 				if !isRestart { // a restart needs a longer objective, else the retry is rejected
@@ -118,10 +118,11 @@
 	sent := time.Now()
 	held.release <- struct{}{}
 	<-held.requested // for the retry
+	// The window of 200 ms must have ended.
 	time.Sleep(time.Until(sent.Add(215 * time.Millisecond)))
 	held.release <- struct{}{}
 	if status, _, _ := client.readAnswer(); status != 502 {
-		t.Errorf("got status %d, want 502: it may have run and cannot be retried", status)
+		t.Errorf("got status %d, want 502: the request may have run and cannot be retried", status)
 	}
 	if n := len(diskServer.received()); n != 1 {
 		t.Errorf("got %d sends, want 1: the retry was sent outside the window", n)
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -93,12 +93,12 @@
 		if status, _, body := client.readAnswer(); status != 200 || body != id {
 			t.Fatalf("request %s: got %d %q, want 200 with its id", id, status, body)
 		}
-		time.Sleep(15 * time.Millisecond)
+		time.Sleep(15 * time.Millisecond) // longer than settleTime: an idle connection could be reused
 	}
 	for i, request := range diskServer.received() {
 		if request.connection != i {
-			t.Errorf("request %d: got connection %d, on which unsolicited bytes had arrived", i,
-				request.connection)
+			t.Errorf("request %d: got connection %d, on which unsolicited bytes had arrived; want a new one",
+				i, request.connection)
 		}
 	}
 }
@@ -168,7 +168,8 @@
 	}
 }
 
-// An attempt's X-Budget is the time left when its first byte is written, not when it was dispatched.
+// An attempt's X-Budget is the time left when its first byte is written, not when it was dispatched: a
+// connection that takes 0.1 s to establish leaves at most 1.4 s of 1.5 s.
 func TestAttempt_StatesTimeLeftAtFirstByte(t *testing.T) {
 	diskServer := newOKDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
@@ -185,6 +186,7 @@
 	text, _ := diskServer.received()[0].head.Header.Get("X-Budget")
 	left, err := strconv.ParseFloat(text, 64)
 	if limit := 1.5 - 0.1; err != nil || left > limit || left < 1.5-time.Since(sent).Seconds()-0.02 {
-		t.Errorf("got X-Budget %q, error %v; want at most %v left", text, err, limit)
+		t.Errorf("got X-Budget %q, error %v; want at most %v, at least 1.5 less the time since the send",
+			text, err, limit)
 	}
 }
--- a/internal/platform/config_file.go
+++ b/internal/platform/config_file.go
@@ -123,8 +123,9 @@
 	if c.Site, err = wire.ParseNested(file.Settings); err != nil {
 		return err
 	}
-	// The machine's agent pushes its list on a watch that must be kept open like any other, so the scheduler
-	// has to poll.
+	// The machine's agent pushes its list on a watch, which the scheduler opens and keeps open only if
+	// PollEndpoints is set. A broken watch must be reopened within the drain grace period. With PollTimeout
+	// 0, one that delivers no update is reopened early.
 	settings := &c.Site.Settings
 	if c.PushedList = !settings.PollEndpoints; c.PushedList {
 		settings.PollEndpoints, settings.PollTimeout = true, 0
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -165,12 +165,12 @@
 	if err := json.Unmarshal(document, &list); err != nil {
 		return err
 	}
-	list.Reset = true // whatever the document states
+	list.Reset = true // a fetch returns the full list, whatever the document states
 	return d.applyList(list, 0)
 }
 
-// followList applies the messages of a watch until it breaks or sends nothing for heartbeatTimeout. A message
-// ends with its JSON value, not with a line: it may be indented.
+// followList applies the messages of a watch until it breaks or nothing arrives for heartbeatTimeout, and
+// returns the reason. A message ends with its JSON value, not with a line: it may be indented.
 func (d *discovery) followList(ctx context.Context, address string) error {
 	_, version := d.loop.ListVersion()
 	url := "http://" + address + pathServers + "?stream=1&index=" + strconv.FormatUint(version, 10)
@@ -179,7 +179,7 @@
 		return err
 	}
 	defer response.close()
-	if version > 0 { // the watch is established: without changes, only heartbeats arrive
+	if version > 0 { // reports that the watch is established: without changes, only heartbeats arrive
 		d.loop.ReceiveUpdate(endpoints.Update{Version: version, BaseVersion: version})
 	}
 	for messages := json.NewDecoder(response); ; {
@@ -198,7 +198,7 @@
 	}
 }
 
-// applyList records a list or a change of it and hands it to the loop.
+// applyList records the addresses of a list, or of a change of it, and passes it to the loop.
 func (d *discovery) applyList(list List, baseVersion uint64) error {
 	update, err := d.addresses.applyList(list, baseVersion, d.site)
 	if err != nil {
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -6,7 +6,8 @@
 // makes no decision on a request: health, retries, quotas, ordering, draining and every timeout except
 // those of connections are decided in package scheduler.
 //
-// A [Gateway] owns its goroutines and ends them before [Gateway.Run] returns. Each client connection is
-// read and closed by one session goroutine, each attempt at a disk server runs in its own goroutine, and the
-// state that they share is guarded by the mutex of the frontend or of the upstream pool.
+// [Gateway.Run] waits for the goroutines that it starts, except those of sessions, attempts and health
+// checks. Each client connection is read and closed by one session goroutine, each attempt at a disk server
+// runs in its own goroutine, and the state that they share is guarded by the mutex of the frontend or of the
+// upstream pool.
 package platform
--- a/internal/platform/endpoint_list.go
+++ b/internal/platform/endpoint_list.go
@@ -25,9 +25,9 @@
 	HostPort    string  `json:"hostPort"`
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"machineType"`
-	Cell        int     `json:"cell"`
-	Lifecycle   string  `json:"lifecycle"` // ready, draining or gone
-	Weight      float64 `json:"weight"`
+	Cell        int     `json:"cell"`        // the shard of data that it serves
+	Lifecycle   string  `json:"lifecycle"`   // ready, draining or gone
+	Weight      float64 `json:"weight"`      // its nominal capacity
 	StartedAtMS float64 `json:"startedAtMs"` // milliseconds since the Unix epoch
 }
 
@@ -45,7 +45,8 @@
 	errHostPortMissing = errors.New("hostPort is missing")
 )
 
-// serverOf returns the scheduler's name of a disk server: a hash of its id, the same at every scheduler.
+// serverOf returns the value that identifies a disk server to the scheduler: a hash of its id, the same at
+// every scheduler.
 func serverOf(id string) (server scheduler.Server) {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
--- a/internal/platform/eviction.go
+++ b/internal/platform/eviction.go
@@ -10,11 +10,12 @@
 const (
 	// clientSweepInterval is how often idle connections are checked.
 	clientSweepInterval = 100 * time.Millisecond
-	// maxIdleTime is how long a connection may idle. Some clients never close a connection, and the number
-	// that a client holds is limited.
+	// maxIdleTime is how long a connection may idle. Some clients never close a connection, and the number of
+	// connections that a client may have open is limited.
 	maxIdleTime = 2 * time.Second
 
 	// Time in a state after which a connection may be closed because the limit of connections is reached.
+	// evictIdleAfter also applies while more than resourceLimits.keptIdle connections have sent a request.
 	evictIdleAfter    = 200 * time.Millisecond
 	evictSilentAfter  = 5 * time.Millisecond
 	evictReadingAfter = 700 * time.Millisecond
@@ -73,10 +74,10 @@
 	return candidates
 }
 
-// makeRoom closes the connection of the lowest rank: one that has sent nothing since it was accepted, else
+// makeRoom evicts the connection of the lowest rank: one that has sent nothing since it was accepted, else
 // one that is slow to send its request, else the one that has idled for the longest. It reports whether it
-// closed one. An idle connection with an unread request stays open. With force, neither the time in a state
-// nor the number of lingering connections matters.
+// evicted one. A connection with unread data stays open. Without force, it evicts none while the limit of
+// lingering connections is reached, and none before it has been in its state for the time of its rank.
 func (f *frontend) makeRoom(force bool) bool {
 	if f.isLingeringFull() && !force {
 		return false // lingering connections end shortly
@@ -94,9 +95,10 @@
 	return false
 }
 
-// evict requests that a connection's session end it, and reports whether it will. A connection with a request
-// in flight, or with an unread one, stays open. With countAsLingering it counts as lingering from now on, so
-// that a new connection can be accepted at once.
+// evict requests that a connection's session end it, and reports whether it did. It does nothing to a
+// connection with a request in flight or with unread data, nor to one whose close is already requested. With
+// countAsLingering the connection counts as lingering from now on, so that a new one can be accepted at
+// once.
 func (f *frontend) evict(client *clientConn, countAsLingering bool) bool {
 	if !isOpenAndEmpty(client.conn) {
 		return false
--- a/internal/platform/eviction_test.go
+++ b/internal/platform/eviction_test.go
@@ -24,8 +24,8 @@
 		connection.closeRequested = true
 		connection.conn.SetReadDeadline(wakeDeadline)
 		client.send(text[:len(text)/pieces])
-		// The request has arrived: it is unread, or, as bytes may overtake a deadline, it has been read and
-		// its session waits for the lock.
+		// Waits until the request or its first piece has arrived: it is unread, or the session read it before
+		// the deadline took effect and waits for the lock.
 		deadline := time.Now().Add(100 * time.Millisecond)
 		for isOpenAndEmpty(connection.conn) && time.Now().Before(deadline) {
 			time.Sleep(time.Millisecond)
@@ -105,7 +105,7 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 	}
-	time.Sleep(20 * time.Millisecond)
+	time.Sleep(20 * time.Millisecond) // longer than evictSilentAfter
 	for i := range 3 * fixture.gateway.limits.clients {
 		client := fixture.dial()
 		client.send(readText(fmt.Sprintf("a%d", i)))
@@ -113,7 +113,7 @@
 			t.Fatalf("client %d: got status %d, want 200", i, status)
 		}
 		if i%(fixture.gateway.limits.clients/2) == 0 {
-			time.Sleep(evictIdleAfter + 50*time.Millisecond)
+			time.Sleep(evictIdleAfter + 50*time.Millisecond) // idle connections may be evicted now
 		}
 	}
 	eventually(t, "the idle connections are closed", func() bool {
--- a/internal/platform/fake_discovery_test.go
+++ b/internal/platform/fake_discovery_test.go
@@ -75,7 +75,7 @@
 // awaitWatches waits until count watches are open.
 func (d *fakeDiscovery) awaitWatches(t *testing.T, count int) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%d watches", count), func() bool {
+	eventually(t, fmt.Sprintf("%d watches are open", count), func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return len(d.watchers) == count
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -55,9 +55,10 @@
 	})
 }
 
-// testdata/forms.txt pins what clients and disk servers receive: answers by outcome and reason, answers of
-// the health endpoint, and the names of header fields, query parameters and paths.
-func TestForms_MatchGoldenFile(t *testing.T) {
+// The bytes that clients and disk servers receive must not change: answers by outcome and reason, answers of
+// the health endpoint, and the names of header fields, query parameters and paths. testdata/forms.txt
+// contains them.
+func TestWireFormat_MatchesGoldenFile(t *testing.T) {
 	loop := daemon.NewEventLoop(daemon.EventLoopConfig{})
 	recorder := newFormsRecorder(loop)
 	recorder.recordHealth("health before the list is there")
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -29,8 +29,8 @@
 	log    *slog.Logger
 	limits resourceLimits
 
-	keepIdle  atomic.Bool  // set by a shutdown: idle connections stay open, as no new ones arrive
-	bodyBytes atomic.Int64 // of request bodies in flight and of data that clients sent ahead
+	keepIdle  atomic.Bool  // set by a shutdown: idle connections stay open, as no new ones are expected
+	bodyBytes atomic.Int64 // of request bodies in flight, and of read buffers beyond maxClientHead
 
 	mu          sync.Mutex
 	closing     bool // connections end as soon as no request is in flight on them
@@ -46,8 +46,8 @@
 	accepted     atomic.Uint64 // connections
 	refused      atomic.Uint64 // connections that could not be accepted, or were closed at once
 	evicted      atomic.Uint64 // connections closed to make room for others
-	silent       atomic.Uint64 // connections that ended without a request
-	invalid      atomic.Uint64 // requests answered with an error while they were read
+	silent       atomic.Uint64 // connections that ended before a byte of a request arrived
+	invalid      atomic.Uint64 // invalid, late or duplicate requests, and those over the limit of body bytes
 	duplicateIDs atomic.Uint64 // requests with the id of one in flight
 	overLimit    atomic.Uint64 // requests rejected because a limit was reached, or during a shutdown
 }
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// answerSlackMargin is the part of the platform's tolerance beyond every time limit that stays unused, as
-	// sockets and processors may be late.
+	// answerSlackMargin is added to the answer slack of the settings, as sockets and processors may be late.
+	// The platform tolerates answers a little beyond every time limit.
 	answerSlackMargin = 30 * time.Millisecond
 	// responseMargin is the part of a client's wait that is reserved for the network delay of the response.
 	responseMargin = 5 * time.Millisecond
@@ -87,9 +87,9 @@
 	return endpoints.Snapshot{Version: update.Version, Endpoints: update.Endpoints}, nil
 }
 
-// Run serves until a graceful shutdown is complete or ctx ends; both return nil. All goroutines that it
-// started have ended by then. If it cannot listen on the address for clients or for datagrams, the error is a
-// [*ConfigError].
+// Run serves until a graceful shutdown is complete or ctx is cancelled; both return nil. It waits for the
+// goroutines that it started, except those of sessions, attempts and health checks. If it cannot listen on
+// the address for clients or for datagrams, the error is a [*ConfigError].
 func (g *Gateway) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -147,8 +147,8 @@
 	return drivers, nil
 }
 
-// serveClients accepts clients. If lists are pushed, it first waits for a list or a failed call; an agent
-// that is connected and has nothing new sends nothing, so the wait is bounded.
+// serveClients accepts clients. If lists are pushed, it first waits for a list or a failed call, and then
+// until the loop is ready. The first wait is bounded, as an agent without a newer list sends no list.
 func (g *Gateway) serveClients(ctx context.Context, listener net.Listener) {
 	if g.config.PushedList {
 		select {
--- a/internal/platform/gateway_test.go
+++ b/internal/platform/gateway_test.go
@@ -35,7 +35,7 @@
 		fixture.serveOnce(-1 - i)
 	}
 	openBefore, _ := upstream.countConnections()
-	eventually(t, "the first clients have disconnected", func() bool {
+	eventually(t, "no connection of the first clients is idle or working", func() bool {
 		counts := frontend.countByState()
 		return counts.idle+counts.working == 0
 	})
@@ -49,7 +49,7 @@
 			fixture.discovery.push(listed)
 		}
 	}
-	eventually(t, "all clients have disconnected", func() bool {
+	eventually(t, "all clients have disconnected and their goroutines have ended", func() bool {
 		return frontend.countByState() == connectionCounts{} && runtime.NumGoroutine() <= goroutinesBefore+2
 	})
 	diskServer.forgetRequests()
--- a/internal/platform/gossip.go
+++ b/internal/platform/gossip.go
@@ -39,7 +39,7 @@
 	return &gossip{config: config, conn: conn}, nil
 }
 
-// receive hands datagrams to the loop until ctx ends, and then closes the socket. It ignores datagrams from
+// receive passes datagrams to the loop until ctx ends, and then closes the socket. It ignores datagrams from
 // unknown senders and datagrams longer than maxDatagram.
 func (g *gossip) receive(ctx context.Context, loop *daemon.EventLoop) {
 	stop := context.AfterFunc(ctx, func() { g.conn.Close() })
--- a/internal/platform/http_fields.go
+++ b/internal/platform/http_fields.go
@@ -8,13 +8,13 @@
 	fieldClass    = "X-Call-Class"
 	fieldPlan     = "X-Storage-Class"
 	fieldBudget   = "X-Budget" // the time left for the request, in seconds
-	fieldExtent   = "X-Extent"
-	fieldRetry    = "X-Again"
+	fieldExtent   = "X-Extent" // volume, units, shard and number of instances
+	fieldRetry    = "X-Again"  // "1": the client marks its request as a retry
 	fieldKey      = "Idempotency-Key"
 	fieldReason   = "X-Reason"
-	fieldMeter    = "X-Meter"
-	fieldDelta    = "X-Delta"
-	fieldRejected = "X-Rejected"
+	fieldMeter    = "X-Meter"    // percent of the plan's rate at which the volume was served
+	fieldDelta    = "X-Delta"    // units served for the volume through other instances
+	fieldRejected = "X-Rejected" // "1": the disk server has rejected the request, which has not run
 
 	fieldConnection  = "Connection"
 	fieldContentType = "Content-Type"
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -20,7 +20,7 @@
 	keptIdle     int   // client connections that may idle for maxIdleTime
 	upstream     int   // connections to disk servers
 	openRequests int   // requests in flight
-	bodyBytes    int64 // of request bodies in flight
+	bodyBytes    int64 // limit of frontend.bodyBytes
 	memoryBytes  int64 // soft memory limit of the Go runtime
 }
 
@@ -33,9 +33,9 @@
 	// lingeringDivisor divides the client connections; the quotient is the number that may linger.
 	lingeringDivisor = 16
 	minLingering     = 2
-	// keptIdleDivisor divides all sockets; the quotient is the number of connections that may idle. Clients
-	// hold at most a third of the descriptors, and a connection that a client never closes is not available
-	// to the next request.
+	// keptIdleDivisor divides all sockets; the quotient is the number of connections that may idle for
+	// maxIdleTime. Clients hold at most a third of the sockets, and a connection that a client never closes
+	// is not available to the next request, so less than a third may idle.
 	keptIdleDivisor = 4
 	// bodyMemoryDivisor divides the memory; the quotient is the limit of request bodies in flight.
 	bodyMemoryDivisor = 8
--- a/internal/platform/linger.go
+++ b/internal/platform/linger.go
@@ -7,17 +7,17 @@
 
 const (
 	// Data that arrives after the last answer is drained and discarded, so that the answer is delivered: at
-	// most maxLingerBytes, for at most lingerTimeout. If the limit of lingering connections is reached,
-	// crowdedLingerTimeout covers only data that has already arrived.
+	// most maxLingerBytes, for at most lingerTimeout. If the limit of lingering connections is reached, the
+	// timeout is crowdedLingerTimeout, which is enough only for data that has already arrived.
 	maxLingerBytes       = 1 << 20
 	lingerTimeout        = 300 * time.Millisecond
 	crowdedLingerTimeout = time.Millisecond
 )
 
-// linger ends a client's connection. It is the only way to do so while the client may still be connected:
-// closing a socket with unread bytes resets the connection, and the answer written last is lost with it. So
-// the sending side is shut down first, and data that still arrives is drained and discarded, within bounds,
-// and never read as a request.
+// linger ends a client's connection gracefully; its session closes it afterwards. A connection whose client
+// may still be connected must end this way: closing a socket with unread bytes resets the connection, and
+// the answer written last is lost with it. So the sending side is shut down first, and data that still
+// arrives is drained and discarded, within bounds, and never read as a request.
 func (f *frontend) linger(client *clientConn) {
 	f.mu.Lock()
 	f.moveToLingering(client)
--- a/internal/platform/pushed_list_test.go
+++ b/internal/platform/pushed_list_test.go
@@ -44,7 +44,7 @@
 			client.send(healthRequest + payText("a1", ""))
 			eventually(t, "the agent is called", func() bool { return discovery.calls() > 0 })
 			if sent == list && fixture.gateway.frontend.counters.accepted.Load() > 0 {
-				t.Error("got a client accepted before the list")
+				t.Error("got a client accepted before the list, want none")
 			}
 			close(release)
 			want := 200
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -27,8 +27,8 @@
 	isLast      bool          // it was the connection's last answer; valid once answered is closed
 }
 
-// readRequest reads a request whose head has arrived: the head is validated before the body is read. The
-// error of an invalid request is an *http1.Error.
+// readRequest validates a request's head, which has arrived, and then reads the body. The error of an invalid
+// request is an *http1.Error.
 func (f *frontend) readRequest(client *clientConn, head *http1.Request) (*inFlightRequest, error) {
 	if head.Method != http.MethodGet && head.Method != http.MethodPut {
 		return nil, &http1.Error{Status: http.StatusMethodNotAllowed, Reason: "reads are GET, writes are PUT"}
@@ -68,8 +68,8 @@
 	return body, nil
 }
 
-// process submits a request to the loop and waits for its answer, or until the client has disconnected. It
-// reports whether the connection stays open.
+// process submits a request to the loop and waits for its answer. If the client disconnects, it reports that
+// to the loop, which then ends the call. process reports whether the connection stays open.
 func (f *frontend) process(request *inFlightRequest) bool {
 	client := request.client
 	defer f.bodyBytes.Add(-int64(len(request.body)))
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -44,8 +44,8 @@
 	return path == pathHealth && head.Method == http.MethodGet
 }
 
-// awaitRequest waits until a part of the next request has arrived. It reports false when the connection has
-// ended: a close was requested, nothing arrived in time, or the client has disconnected.
+// awaitRequest waits until a part of the next request has arrived. It reports false if the connection must
+// end or has ended: a close was requested, nothing arrived in time, or the client has disconnected.
 func (f *frontend) awaitRequest(client *clientConn) bool {
 	for client.reader.Buffered() == 0 {
 		client.reader.Shrink()
@@ -90,7 +90,7 @@
 	deadline := time.Time{}
 	switch {
 	case client.closeRequested || f.closing:
-		deadline = time.Now().Add(lingerTimeout) // for data sent before the close, perhaps a request
+		deadline = time.Now().Add(lingerTimeout) // data that arrived before the close may be a request
 	case client.requests == 0:
 		deadline = client.stateSince.Add(requestTimeout)
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -8,9 +8,9 @@
 	"landingpaddle/scheduler"
 )
 
-// The times of a graceful shutdown count from the signal. The platform kills the process no sooner than
-// killGrace after the longest deadline. Clients continue to use their connections while these stay open, so
-// requests are accepted while they can still be answered.
+// The times of a graceful shutdown count from the signal. The platform kills the process after the longest
+// deadline of a class plus killGrace, or later. Clients continue to use their connections while these stay
+// open, so requests are accepted while they can still be answered.
 const (
 	minAcceptTime      = 550 * time.Millisecond // clients are notified late of a shutdown
 	minAnswerTime      = 200 * time.Millisecond // for the requests accepted last
--- a/internal/platform/upstream.go
+++ b/internal/platform/upstream.go
@@ -22,10 +22,11 @@
 	log            *slog.Logger
 	maxConnections int
 
+	// connect dials a TCP connection. Tests replace it before the first attempt; it is read without a lock.
 	connect func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu          sync.Mutex
-	idle        map[scheduler.Server][]*upstreamConn // the longest idle first; no empty lists
+	idle        map[scheduler.Server][]*upstreamConn // in the order of their release; no empty lists
 	connections int                                  // open or being dialed
 	attempts    map[scheduler.Server]int             // in flight; no zero counts
 
--- a/internal/platform/upstream_conn.go
+++ b/internal/platform/upstream_conn.go
@@ -12,9 +12,11 @@
 )
 
 const (
-	// idleFraction is the part of the disk servers' idle timeout for which a connection may idle here.
+	// idleFraction is the part of the disk servers' idle timeout for which a connection may stay idle in the
+	// pool, so that it is closed before the disk server closes it.
 	idleFraction = 0.8
-	// settleTime is the idle time after which unsolicited bytes on a connection have arrived.
+	// settleTime is the time after a response within which unsolicited bytes are assumed to arrive. A
+	// connection is settled once it has been idle for that time, or if it has not been used yet.
 	settleTime = 10 * time.Millisecond
 	// defaultIdleTimeout is how long a connection may idle if the settings specify no idle timeout.
 	defaultIdleTimeout    = time.Minute
@@ -29,13 +31,13 @@
 type upstreamConn struct {
 	conn      net.Conn
 	reader    *http1.Reader
-	idleSince time.Time // last use, as the disk server sees it
+	idleSince time.Time // when the last response arrived; before the first one, when it was dialed
 	isUnused  bool      // no response has arrived on it yet
 }
 
-// acquire takes an idle connection without unsolicited bytes from the pool: the last used one of those that
-// have settled; nil if there is none. On a connection that has not settled, bytes that belong to no request
-// may still arrive and would be read as the next response.
+// acquire takes an idle connection without unsolicited bytes from the pool: of those that have settled, the
+// one released last; nil if there is none. On a connection that has not settled, bytes that belong to no
+// request may still arrive and would be read as the next response.
 func (p *upstreamPool) acquire(server scheduler.Server) *upstreamConn {
 	for {
 		connection := p.takeSettled(server)
@@ -51,7 +53,7 @@
 	}
 }
 
-// takeSettled removes the last used of the settled idle connections from the pool; nil if there is none.
+// takeSettled removes the settled idle connection that was released last from the pool; nil if there is none.
 func (p *upstreamPool) takeSettled(server scheduler.Server) *upstreamConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,8 +103,8 @@
 	p.release(a.operation.Server(), connection)
 }
 
-// release returns a connection to the pool for the next attempt. Its idle time continues unless the caller
-// has set it: for its disk server, a connection that was not written to has been idle throughout.
+// release returns a connection to the pool for the next attempt. It does not set idleSince: for its disk
+// server, a connection that was not written to is still idle.
 func (p *upstreamPool) release(server scheduler.Server, connection *upstreamConn) {
 	if p.ctx.Err() != nil {
 		p.discard(connection)
@@ -127,8 +129,8 @@
 	p.mu.Unlock()
 }
 
-// dial opens a connection, in place of the longest idle one if the limit of connections is reached. If none
-// is idle then, the error is errPoolExhausted.
+// dial opens a connection, in place of an idle one if the limit of connections is reached. If none is idle
+// then, the error is errPoolExhausted.
 func (p *upstreamPool) dial(ctx context.Context, address string) (*upstreamConn, error) {
 	if !p.reserveConnection() {
 		p.counters.exhausted.Add(1)
@@ -164,8 +166,8 @@
 	return defaultConnectTimeout
 }
 
-// evictLongestIdle closes the connection that has been idle for the longest, and reports false if none is
-// idle. The caller holds p.mu.
+// evictLongestIdle compares the connections that were released first, one for each disk server, and closes
+// the one that has been idle for the longest. It reports false if none is idle. The caller holds p.mu.
 func (p *upstreamPool) evictLongestIdle() bool {
 	var server scheduler.Server
 	var oldest *upstreamConn
--- a/internal/platform/upstream_conn_test.go
+++ b/internal/platform/upstream_conn_test.go
@@ -33,7 +33,7 @@
 	since := connection.idleSince
 	pool.release(server, connection) // nothing was written: to its disk server it is still idle
 	if connection.idleSince != since {
-		t.Error("got a new start of the idle time for a connection that was not used")
+		t.Error("got another idleSince for a connection that was not used, want it unchanged")
 	}
 	eventually(t, "the disk server has accepted the connection", func() bool {
 		diskServer.mu.Lock()
@@ -78,7 +78,8 @@
 		pool.mu.Unlock()
 		if want := map[bool]int{true: 0, false: 1}[cancelFirst]; idle != want || total != want ||
 			isOpenAndEmpty(connection.conn) == cancelFirst {
-			t.Errorf("cancelled first %v: got %d idle, %d in all, open %v", cancelFirst, idle, total,
+			t.Errorf("cancelled first %v: got %d idle, %d in all, open %v; "+
+				"want 0, 0, false if cancelled first, else 1, 1, true", cancelFirst, idle, total,
 				isOpenAndEmpty(connection.conn))
 		}
 	}
--- a/internal/platform/validation.go
+++ b/internal/platform/validation.go
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// parseClientWait returns how long the client waits for the answer: at most for its class's deadline, over
-// all its retries.
+// parseClientWait returns how long the client waits for the answer: at most the deadline of its class, which
+// is the total over all its retries.
 func parseClientWait(text string, class *scheduler.Class) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0 && seconds <= maxClientWait.Seconds()) || !isDecimal(text) {
--- a/internal/platform/validation_test.go
+++ b/internal/platform/validation_test.go
@@ -11,7 +11,7 @@
 	status int
 }
 
-// invalidRequests returns requests that differ from a valid one in one respect, by the fault.
+// invalidRequests returns requests that differ from a valid one in one respect, which is the key of the map.
 func invalidRequests(valid string) map[string]invalidRequest {
 	return map[string]invalidRequest{
 		"invalid bytes":      {"\x00\x01\x02\r\n\r\n", 400},
