--- a/internal/testbed/bytes_test.go
+++ b/internal/testbed/bytes_test.go
@@ -8,7 +8,7 @@
 )
 
 // fieldsScenario returns a scenario that reads and writes slices of fields across extent boundaries, with
-// faults that break operations.
+// faults that interrupt operations.
 func fieldsScenario(t *testing.T) *Scenario {
 	t.Helper()
 	site := "(extents (size 64KiB) (members 16) (cells 3))" + readClass + writeClass
@@ -39,7 +39,7 @@
 	scenario := fieldsScenario(t)
 	events := runKeepingRules(t, scenario)
 	if merged, split := countMergedAndSplit(events); merged == 0 || split == 0 {
-		t.Errorf("%d merged operations, %d further pieces", merged, split)
+		t.Errorf("got %d merged operations and %d pieces beyond the first, want some of each", merged, split)
 	}
 	for name, change := range map[string]func(*Event) bool{
 		"a byte that a client received": func(event *Event) bool {
@@ -57,7 +57,7 @@
 	} {
 		for _, verdict := range CheckInvariants(&scenario.Site, changeFirst(events, change)) {
 			if verdict.Rule == RuleBytes && verdict.Holds {
-				t.Errorf("%s: not detected", name)
+				t.Errorf("%s: the rule is reported as kept, want a violation", name)
 			}
 		}
 	}
@@ -81,7 +81,8 @@
 	return merged, split
 }
 
-// changeFirst returns a copy of events in which the first one that change accepts is changed.
+// changeFirst returns a copy of events with one event changed: the first for which change returns true. It
+// calls change with copies of the events.
 func changeFirst(events []Event, change func(*Event) bool) []Event {
 	changed := slices.Clone(events)
 	for i := range changed {
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -28,9 +28,9 @@
 
 // ClientBehavior specifies how clients retry a request that was not served.
 type ClientBehavior struct {
-	Retries         int
-	RetryDelay      time.Duration // the least delay before a retry
-	HonorRetryAfter bool          // retries wait at least for an answer's Retry-After
+	Retries         int           // maximum number for one request
+	RetryDelay      time.Duration // minimum delay before a retry
+	HonorRetryAfter bool          // wait at least for an answer's Retry-After before a retry
 	FailOver        bool          // retry at another instance when one is not reachable or disconnects
 }
 
@@ -44,8 +44,8 @@
 
 	mu        sync.Mutex
 	conns     map[int]*clientConn // by instance
-	connsMade uint64
-	readers   sync.WaitGroup
+	connsMade uint64              // number of connections dialed so far
+	readers   sync.WaitGroup      // goroutines that read from connections
 }
 
 // NewClient returns a client of the instances at addrs, which are indexed by instance number.
@@ -78,7 +78,7 @@
 // Result is the outcome of a request for its client, retries included.
 type Result struct {
 	Code proto.Code    // 0: no answer
-	Took time.Duration // from the first try
+	Took time.Duration // from the start of the first try
 	Cell int           // that stores a served request's data; -1: unknown
 }
 
--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -18,7 +18,7 @@
 	err      error
 
 	mu         sync.Mutex
-	lastStream uint64
+	lastStream uint64                       // stream of the latest request, from 1
 	waiting    map[uint64]chan proto.Answer // by stream
 	sent       map[uint64]proto.Request     // by stream; kept after the answer, to log a second one
 	gone       bool                         // the connection has ended
@@ -72,6 +72,7 @@
 	cc.waiting = nil
 }
 
+// handleFrame logs an answer and passes it to its request; frames of other types are ignored.
 func (cc *clientConn) handleFrame(frame proto.Frame) error {
 	if frame.Type != proto.TypeAnswer {
 		return nil
--- a/internal/testbed/client_load.go
+++ b/internal/testbed/client_load.go
@@ -9,7 +9,8 @@
 	"landingpaddle/internal/proto"
 )
 
-// loadKeys is the number of keys that the requests of a load use in turn.
+// loadKeys is the number of keys that the requests of a load use in turn. It is prime, so that each key is
+// combined with all volumes and cells.
 const loadKeys = 997
 
 // Load specifies requests that one client sends to instances in turn, at a constant rate.
@@ -29,7 +30,7 @@
 // LoadResult is the outcome of a load.
 type LoadResult struct {
 	Ended       map[proto.Code]int // number of requests by the code of their answer; 0: no answer
-	MeanLatency time.Duration
+	MeanLatency time.Duration      // over Load.Requests, whatever their code; includes retries
 }
 
 // SendLoad sends a load until it is complete or ctx ends, and returns once all requests that were sent have
@@ -39,6 +40,7 @@
 	var mu sync.Mutex
 	var total time.Duration
 	var requests sync.WaitGroup
+	// Random tokens keep nodes from deduplicating requests against those of an earlier load.
 	start, firstToken := time.Now(), rand.Uint64()>>1
 	for i := range load.Requests {
 		after := time.Duration(float64(i) / load.Rate * float64(time.Second))
--- a/internal/testbed/dedup.go
+++ b/internal/testbed/dedup.go
@@ -11,22 +11,22 @@
 // operations. Any goroutine may use it.
 type DedupGroup struct {
 	mu   sync.Mutex
-	seen map[uint64]*effect
+	seen map[uint64]*effect // by member.effectToken
 }
 
 // effect is a group's record of an operation.
 type effect struct {
 	at      time.Time     // when it was registered
-	settled chan struct{} // closed once the operation has taken effect, or was removed as it never will
+	settled chan struct{} // closed once the operation has taken effect, or was removed because it never will
 }
 
 // NewDedupGroup returns an empty group.
 func NewDedupGroup() *DedupGroup { return &DedupGroup{seen: map[uint64]*effect{}} }
 
 // admit registers operations as in progress and reports which of them are repeats of operations registered
-// within the window. While one of them is in progress elsewhere, it registers nothing and returns a channel:
-// a repeat must not be answered as done before the operation is, so the caller waits until the channel is
-// closed and calls admit again.
+// within the window. While an earlier attempt of one of them is in progress, it registers nothing and returns
+// a channel: a repeat must not be answered as done before the operation is, so the caller waits until the
+// channel is closed and calls admit again.
 func (g *DedupGroup) admit(tokens []uint64, window time.Duration) (repeats []bool, wait <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/disk_test.go
+++ b/internal/testbed/disk_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Written bytes read back at any offset; bytes that were never written read as the pattern.
+// Written bytes are read back, and bytes that were never written are read as the pattern. The checksums of
+// the parts of a range add up to that of the range.
 func TestDisk_ReadsBackWhatWasWritten(t *testing.T) {
 	const text, start = "written over the edge of a block, and then some", 4000
 	disk := newDisk()
--- a/internal/testbed/event.go
+++ b/internal/testbed/event.go
@@ -8,14 +8,14 @@
 // The kinds of events: first those logged by clients, then those of nodes, the registry and the scenario
 // runner.
 const (
-	KindSent             Kind = "sent"    // a client wrote a request to an instance
-	KindAnswer           Kind = "answer"  // a client read a final answer
-	KindBroken           Kind = "broken"  // the connection ended before the answer
+	KindSent             Kind = "sent"    // a client sent a request to an instance
+	KindAnswer           Kind = "answer"  // a client received a final answer
+	KindBroken           Kind = "broken"  // not sent, or the connection ended before the answer
 	KindClientLeft       Kind = "left"    // the client closed the connection before the answer
-	KindTimedOut         Kind = "waited"  // the client's timeout passed before the answer
+	KindTimedOut         Kind = "waited"  // no answer arrived within the timeout plus lateMargin
 	KindNodeStarted      Kind = "boot"    // a node's process started
 	KindNodeStopped      Kind = "down"    // a node's process ended
-	KindArrive           Kind = "arrive"  // an attempt reached a node
+	KindArrive           Kind = "arrive"  // an attempt reached a node; logged for each member
 	KindOverloaded       Kind = "full"    // the node rejected the attempt: its queue is full, or it drains
 	KindNotApplicable    Kind = "moot"    // the node does not serve the cell
 	KindStart            Kind = "start"   // work began
@@ -23,7 +23,7 @@
 	KindRepeat           Kind = "repeat"  // ignored as a duplicate by the deduplication group
 	KindCancel           Kind = "cancel"  // cancelled; a write has not taken effect
 	KindCancelArrived    Kind = "called"  // a cancellation arrived, or the connection ended
-	KindReplied          Kind = "replied" // an answer was written to the socket
+	KindReplied          Kind = "replied" // an answer was queued on the connection
 	KindCollapsed        Kind = "fell"    // a cold node was overloaded and collapsed
 	KindNotice           Kind = "notice"  // a node sent an instance a drain notice
 	KindAcknowledged     Kind = "told"    // an instance acknowledged an update of an endpoint
@@ -54,8 +54,8 @@
 	Code      proto.Code `json:"code,omitempty"`
 	Reason    string     `json:"reason,omitempty"` // of an answer; or the node's address
 	Wait      int64      `json:"wait,omitempty"`   // nanoseconds: the timeout, Retry-After or stall
-	Status    string     `json:"status,omitempty"`
-	StartedAt int64      `json:"boot,omitempty"` // of the node's incarnation by its own clock; 0: long ago
+	Status    string     `json:"status,omitempty"` // of an acknowledged endpoint
+	StartedAt int64      `json:"boot,omitempty"`   // of the node's incarnation by its own clock; 0: long ago
 	Zone      int        `json:"zone,omitempty"`
 	Cell      int        `json:"cell,omitempty"`
 	Write     bool       `json:"write,omitempty"`
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -40,7 +40,8 @@
 type faultForm interface {
 	// check reports parameters that are not valid in the scenario.
 	check(scenario *Scenario) error
-	// inject injects the fault and returns when the fault or the traffic ends.
+	// inject injects the fault. It may block until the fault or the traffic ends: traffic is the context that
+	// ends with the traffic, ctx the one that ends with the run.
 	inject(ctx, traffic context.Context, runner *scenarioRunner)
 }
 
--- a/internal/testbed/fault_nodes.go
+++ b/internal/testbed/fault_nodes.go
@@ -149,7 +149,8 @@
 	runner.eachNode(f.Nodes, func(n *Node) { n.Faults.Pause(f.Duration) })
 }
 
-// StuckConnections stops all reads and writes on nodes' connections for a duration; they stay open.
+// StuckConnections blocks reads and writes on nodes' connections for a duration, but each of them for at most
+// maxStuck; the connections stay open.
 type StuckConnections nodesFault
 
 func (f *StuckConnections) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
--- a/internal/testbed/fault_traffic.go
+++ b/internal/testbed/fault_traffic.go
@@ -13,7 +13,7 @@
 
 // Surge multiplies the traffic of one plan, or of its first volumes.
 type Surge struct {
-	Plan     string        `s:"plan"`
+	Plan     string        `s:"plan"`                         // "": all
 	Volumes  int           `s:"volumes" min:"0" max:"100000"` // 0: all
 	Factor   float64       `s:"times,required" min:"0" max:"1000"`
 	Duration time.Duration `s:"for,required" min:"1ms" max:"10m"`
@@ -25,7 +25,7 @@
 	runner.changes.addSurge(f, runner.scenario.Site.PlanNumber(f.Plan))
 }
 
-// Burst multiplies the traffic of all plans, or of the first volumes of each.
+// Burst multiplies the traffic of all plans, or of the first volumes of each. Its plan is ignored.
 type Burst Surge
 
 func (f *Burst) check(scenario *Scenario) error { return checkPlan(&scenario.Site, f.Plan) }
--- a/internal/testbed/forms_test.go
+++ b/internal/testbed/forms_test.go
@@ -51,8 +51,8 @@
 	KindInstanceKilled, KindInstanceStalled, KindConnectionsStuck, KindProcessStalled,
 }
 
-// Other programs read the lines of a log, the checker's verdicts and the settings of the embedded scenario.
-// Their formats must not change.
+// Other programs read the lines of a log, the checker's verdicts, the summary and the settings of the
+// embedded scenario. Their formats must not change.
 func TestForms_MatchGoldenFile(t *testing.T) {
 	var out strings.Builder
 	writeLine := func(value any) {
--- a/internal/testbed/greedy.go
+++ b/internal/testbed/greedy.go
@@ -171,7 +171,8 @@
 func AnswerTwice() daemon.Hooks {
 	return daemon.Hooks{
 		OnAnswer: func(conn *proto.Conn, stream uint64, answer proto.Answer, payload []byte) {
-			_ = conn.Send(proto.TypeAnswer, stream, answer, payload) // on a closed connection neither arrives
+			// The error is ignored: on a closed connection neither answer arrives.
+			_ = conn.Send(proto.TypeAnswer, stream, answer, payload)
 		},
 	}
 }
--- a/internal/testbed/invariant_answers.go
+++ b/internal/testbed/invariant_answers.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// killMargin is how long before the logged time of its kill an instance may have stopped reading.
+// killMargin is how long after the logged kill of an instance a client may still send requests to it, because
+// the client has not yet detected the end of the connection.
 const killMargin = 50 * time.Millisecond
 
 // checkAnswers verifies that each request gets exactly one final answer, in time, and that no attempt is sent
@@ -27,18 +28,19 @@
 }
 
 // checkAnswerCount verifies that a request has exactly one final answer by a time. No answer is expected from
-// an instance that was killed, or for a client that disconnected.
+// an instance that was killed, for a client that disconnected or, unless the connection broke, where a stall
+// overlaps the interval.
 func (c *invariantChecker) checkAnswerCount(request *requestTrace, end int64) {
 	sent := request.sent
 	answers := request.countEnds(KindAnswer)
 	allowance := c.outages.allowance(sent.Instance, noNode, sent.Time, end)
 	killed := c.outages.killed(sent.Instance, sent.Time-int64(killMargin), end+int64(allowance))
-	left := request.countEnds(KindClientLeft) > 0
+	clientLeft := request.countEnds(KindClientLeft) > 0
 	broken := request.countEnds(KindBroken) > 0
 	switch {
 	case answers > 1:
 		c.violation(RuleAnswers, sent, "%d final answers", answers)
-	case answers == 0 && !left && !killed && (broken || allowance == 0):
+	case answers == 0 && !clientLeft && !killed && (broken || allowance == 0):
 		c.violation(RuleAnswers, sent, "no answer within %v", time.Duration(sent.Wait))
 	}
 }
--- a/internal/testbed/invariant_effects.go
+++ b/internal/testbed/invariant_effects.go
@@ -15,7 +15,8 @@
 	piece int
 }
 
-// checkEffects verifies that no request takes effect twice, and that none is rejected that may have run.
+// checkEffects verifies, for classes that are not idempotent, that no request takes effect twice and that
+// none is rejected that may have run.
 func (c *invariantChecker) checkEffects() {
 	effects := map[effectKey]int{}
 	for _, request := range c.requests.sent {
--- a/internal/testbed/invariant_nodes.go
+++ b/internal/testbed/invariant_nodes.go
@@ -20,8 +20,8 @@
 	nodes *nodeDirectory
 }
 
-// checkDrains verifies that an instance sends nothing to a node after the grace period that starts with its
-// notification that the node drains or was removed.
+// checkDrains verifies that an instance sends nothing to a node after the grace period, which starts when the
+// instance is notified that the node drains or was removed.
 func (c *invariantChecker) checkDrains() {
 	tracker := drainTracker{known: map[endpointKey]*endpointKnowledge{}, nodes: &c.nodes}
 	for _, event := range c.events {
@@ -82,7 +82,7 @@
 // drain notice, or of an earlier one, changes nothing.
 func (t *drainTracker) acknowledged(event Event) {
 	node := event.Node
-	if event.Reason != "" {
+	if event.Reason != "" { // the node's address; see nodeDirectory.byAddress
 		var ok bool
 		if node, ok = t.nodes.byAddress[event.Reason]; !ok {
 			return
--- a/internal/testbed/invariant_order.go
+++ b/internal/testbed/invariant_order.go
@@ -9,7 +9,8 @@
 const (
 	// logSkew is the largest difference between the logged times of two simultaneous events.
 	logSkew = 10 * time.Millisecond
-	// comparedRequests is the number of preceding requests of its key with which a request is compared.
+	// comparedRequests is the number of preceding requests of its key with which a request is compared. A
+	// comparison with all of them would take quadratic time.
 	comparedRequests = 32
 )
 
@@ -63,7 +64,7 @@
 		case arrive.Time > latest:
 			c.violation(RuleOrder, first, "sent before the earlier request %d of the same key",
 				earlier.sent.Token)
-		case arrive.Time > first.Time:
+		case arrive.Time > first.Time: // within the slack
 		case attempt.repliedAt != 0 && attempt.repliedAt <= latest:
 		case attempt.cancelledAt != 0 && attempt.cancelledAt+orderingPause <= latest:
 		default:
--- a/internal/testbed/invariant_rates.go
+++ b/internal/testbed/invariant_rates.go
@@ -34,6 +34,8 @@
 			c.verdicts[RuleBudget].Judged++
 			counts.retries = append(counts.retries, event.Time)
 			windowStart := event.Time - int64(budget.Window)
+			// Logged times may be late by the allowance: it shortens the window for retries and extends that
+			// for requests.
 			allowance := int64(transitTime +
 				c.outages.allowance(event.Instance, event.Node, windowStart, event.Time))
 			retries := countSince(counts.retries, windowStart+allowance)
@@ -72,7 +74,8 @@
 }
 
 // checkLimits verifies that the sends of all instances for a volume are within its plan's rate limit. Retries
-// of a piece are not counted, nor requests whose first attempt was not applicable.
+// of a piece are not counted, because a scheduler charges its quota once for all attempts; nor are requests
+// whose first attempt was not applicable.
 func (c *invariantChecker) checkLimits() {
 	buckets, counted := map[uint64]*rateLimitBucket{}, map[pieceKey]bool{}
 	for _, event := range c.events {
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -14,14 +14,14 @@
 	Rule           string `json:"rule"`
 	Holds          bool   `json:"kept"`
 	Judged         int    `json:"judged"`          // requests or events that were checked
-	Violations     int    `json:"breaks"`          // how many of them violated the rule
+	Violations     int    `json:"breaks"`          // violations found; a request may have several
 	FirstViolation string `json:"first,omitempty"` // request, instance, node, time and description
 }
 
 // The rules, in the order of the verdicts.
 const (
 	RuleAnswers = "answers" // exactly one final answer, in time, and nothing sent after it
-	RuleEffects = "effects" // no effect twice
+	RuleEffects = "effects" // no effect twice, and no rejection of a request that may have run
 	RuleDrains  = "drains"  // nothing sent beyond the grace period after notification of a drain or removal
 	RuleCold    = "cold"    // no cold node collapses from overload
 	RuleOrder   = "order"   // requests of one key run one at a time, in the order sent
@@ -30,8 +30,8 @@
 	RuleBytes   = "bytes"   // each range read or written has the expected bytes
 )
 
-// transitTime is the longest time for which a frame may be in transit on loopback between two logs, in
-// addition to the logged stalls of the machine.
+// transitTime is the maximum time between the log entries of a frame's sender and its receiver on loopback,
+// in addition to the logged stalls.
 const transitTime = 60 * time.Millisecond
 
 // Numbers that represent no node and no instance.
--- a/internal/testbed/invariants_log_test.go
+++ b/internal/testbed/invariants_log_test.go
@@ -33,7 +33,8 @@
 	return Event{Time: logTime(ms), Kind: kind, Token: token, Attempt: attempt, Write: true, Code: 100}
 }
 
-// handWrittenLogs contains logs that break one clause of a rule, and similar logs that break none.
+// handWrittenLogs contains logs that break one clause of a rule, and similar logs that break none. Code 302
+// is proto.Overloaded, code 400 proto.Rejected.
 var handWrittenLogs = []struct {
 	name   string
 	rule   string // the broken one; "": all are kept
@@ -155,16 +156,19 @@
 		writeEvent(190, KindAnswer, 1, 0)}},
 }
 
+// For each log the checker must report the rule that it breaks, and no other.
 func TestInvariants_CheckHandWrittenLogs(t *testing.T) {
 	scenario := smallScenario(t, readClass+writeClass+
 		`(class once (aim 400ms) (deadline 1s) (repeat unsafe))`,
 		`(order-pause 100ms) (budget (floor 1) (ratio 0) (window 1s))`, reads)
+	// An answer is checked only if it is due before the end of the log.
 	logEnd := Event{Time: logTime(9000), Kind: KindInstanceStarted, Instance: 99}
 	for _, c := range handWrittenLogs {
 		t.Run(c.name, func(t *testing.T) {
 			for _, verdict := range CheckInvariants(&scenario.Site, append(c.events, logEnd)) {
 				if verdict.Holds == (verdict.Rule == c.rule) {
-					t.Errorf("%s: kept is %v (%s)", verdict.Rule, verdict.Holds, verdict.FirstViolation)
+					t.Errorf("rule %s: got kept %v, want the opposite; first violation: %q", verdict.Rule,
+						verdict.Holds, verdict.FirstViolation)
 				}
 			}
 		})
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -15,6 +15,8 @@
 	mutant   daemon.Hooks
 }
 
+// ruleScenarios returns a scenario for each rule except that of the bytes: no mutant changes bytes, so
+// TestBytes_AreCorrectDespiteFaults changes logged events instead.
 func ruleScenarios(t *testing.T) []ruleScenario {
 	t.Helper()
 	return []ruleScenario{
@@ -68,11 +70,11 @@
 	isRule := verdict.Rule == rule
 	switch {
 	case isRule && verdict.Judged == 0:
-		t.Errorf("mutant %v: nothing checked", isMutant)
+		t.Errorf("mutant %v: the rule was not checked for any request or event", isMutant)
 	case !isMutant && !verdict.Holds:
 		t.Errorf("the scheduler breaks %s: %s", verdict.Rule, verdict.FirstViolation)
 	case isMutant && isRule && verdict.Holds:
-		t.Errorf("the mutant is not detected; %d checked", verdict.Judged)
+		t.Errorf("the mutant is not detected in %d checks of the rule", verdict.Judged)
 	case isMutant && isRule && !strings.Contains(verdict.FirstViolation, "request"):
 		t.Errorf("the first violation does not name a request: %s", verdict.FirstViolation)
 	}
--- a/internal/testbed/log.go
+++ b/internal/testbed/log.go
@@ -30,7 +30,7 @@
 	Err  error
 }
 
-// Error returns the file, the line and the cause.
+// Error returns the file, the line, column 1 and the cause, in the form of errors in settings files.
 func (e *LogError) Error() string { return fmt.Sprintf("%s:%d:1: %v", e.File, e.Line, e.Err) }
 
 // Unwrap returns the cause.
--- a/internal/testbed/log_test.go
+++ b/internal/testbed/log_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// Events are read back as they were written; an error for a truncated, empty or invalid line names the file.
 func TestLog_ReadsWrittenEventsAndReportsBadLines(t *testing.T) {
 	dir := t.TempDir()
 	log := NewLog()
@@ -18,7 +19,7 @@
 	}
 	events, err := ReadDir(dir)
 	if err != nil || len(events) != 2 || events[0].Token != 7 || events[1].Code != 100 {
-		t.Fatalf("%+v, %v", events, err)
+		t.Fatalf("got events %+v and error %v, want the two events that were added", events, err)
 	}
 	data, _ := os.ReadFile(path)
 	for _, bad := range []string{string(data[:len(data)-5]), string(data) + "{}\n", string(data) + "x\n"} {
@@ -26,7 +27,7 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadDir(dir); err == nil || !strings.Contains(err.Error(), "a.jsonl:") {
-			t.Errorf("%q: %v", bad[len(bad)-10:], err)
+			t.Errorf("log ending in %q: got error %v, want one that names a.jsonl", bad[len(bad)-10:], err)
 		}
 	}
 }
--- a/internal/testbed/meter.go
+++ b/internal/testbed/meter.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// served counts units and returns 1 + the units served for the volume in the last completed period, as a
-// percentage of its rate (units a second); 0 in the first period, with a disabled meter, or for a rate of 0.
+// served counts units and returns 1 plus the units a second served for the volume in the last completed
+// period, in percent of its rate. It returns 0, which reports nothing, in the first period, with a disabled
+// meter, or for a rate of 0.
 func (m *Meter) served(volume uint64, units, rate float64) uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -24,7 +24,7 @@
 	Registry    string         // TCP address of the registry
 	Addr        netip.AddrPort // to listen on; the zero value: any free loopback port
 	Seed        uint64
-	Log         *Log                                         // nil: nothing is logged
+	Log         *Log                                         // nil: nothing is logged; a cold incarnation requires one
 	DedupGroups func(scope scheduler.DedupScope) *DedupGroup // the node's group for a scope
 	Meter       *Meter
 	StartsCold  bool          // the first incarnation is cold; false: it started long ago
@@ -125,7 +125,7 @@
 	}
 }
 
-// ResetConns closes all connections at once, without writing what is queued.
+// ResetConns closes all connections at once, without writing the queued frames.
 func (n *Node) ResetConns() {
 	if process := n.currentProcess(); process != nil {
 		process.mu.Lock()
--- a/internal/testbed/node_answer.go
+++ b/internal/testbed/node_answer.go
@@ -35,8 +35,8 @@
 	p.logOperation(KindReplied, op, code)
 }
 
-// makeAnswer counts the units that were served and returns the answer with the node's reports. Those on
-// volumes concern the first member's volume.
+// makeAnswer counts the units that were served and returns the answer with the node's reports. MeteredRate
+// and ElsewhereUnits are those of the first member's volume.
 func (p *nodeProcess) makeAnswer(op *operation, code proto.Code) proto.Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/node_dedup.go
+++ b/internal/testbed/node_dedup.go
@@ -46,14 +46,14 @@
 	return false
 }
 
-// registerMembers registers the members with the group and reports whether all of them are repeats. While one
-// is in progress elsewhere, it registers none and returns a channel that is closed when it may be called
-// again. The caller holds p.mu.
+// registerMembers registers the members with the group and reports whether all of them are repeats. While an
+// earlier attempt of one is in progress, it registers none and returns a channel that is closed when it may
+// be called again. The caller holds p.mu.
 func (p *nodeProcess) registerMembers(op *operation) (allRepeats bool, wait <-chan struct{}) {
 	var tokens []uint64
 	var remaining []*member
 	for i := range op.members {
-		if m := &op.members[i]; !m.dropped { // one that was cancelled while it waited is over
+		if m := &op.members[i]; !m.dropped { // a cancelled one has already ended
 			tokens, remaining = append(tokens, m.effectToken()), append(remaining, m)
 		}
 	}
--- a/internal/testbed/node_faults.go
+++ b/internal/testbed/node_faults.go
@@ -8,7 +8,7 @@
 
 const (
 	maxStuck          = 10 * time.Second // longest delay of a single read or write
-	maxNeighbourShare = 0.95
+	maxNeighbourShare = 0.95             // bounds the work factor, which is infinite for a share of 1
 )
 
 // NodeFaults are the faults of a stand-in node, which may be changed while it runs. The zero value is a
@@ -63,12 +63,13 @@
 // SetHang makes the node accept operations and never answer them; false ends the fault.
 func (f *NodeFaults) SetHang(on bool) { f.set(func(f *NodeFaults) { f.hang = on }) }
 
-// Pause keeps the node's cores from starting work for d.
+// Pause keeps the node's cores from starting work for d. It replaces a pause that has not ended.
 func (f *NodeFaults) Pause(d time.Duration) {
 	f.set(func(f *NodeFaults) { f.pausedUntil = time.Now().Add(d) })
 }
 
-// StickConnections stops all reads and writes on the node's connections for d; they stay open.
+// StickConnections blocks reads and writes on the node's connections for d, but each of them for at most
+// maxStuck; the connections stay open.
 func (f *NodeFaults) StickConnections(d time.Duration) {
 	f.set(func(f *NodeFaults) { f.stuckUntil = time.Now().Add(d) })
 }
--- a/internal/testbed/node_process.go
+++ b/internal/testbed/node_process.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// pauseAndFlush pauses the node at the intervals of its model: for its pauses, and for the time that the
-// deferred work takes.
+// pauseAndFlush pauses the node for PauseLength after each PauseInterval and, after each FlushInterval, for
+// the time that its cores need for the deferred work. Both intervals are jittered.
 func (p *nodeProcess) pauseAndFlush(ctx context.Context) error {
 	model := &p.node.cfg.Model
 	pause, flush := p.jitteredTimer(model.PauseInterval), p.jitteredTimer(model.FlushInterval)
--- a/internal/testbed/node_test.go
+++ b/internal/testbed/node_test.go
@@ -37,7 +37,8 @@
 			select {
 			case answer := <-answers:
 				if answer.Code != proto.OK || countEvents(node, KindEnd) != 1 {
-					t.Errorf("answer %+v after %d effects, want 1", answer, countEvents(node, KindEnd))
+					t.Errorf("got answer %+v after %d effects, want OK after 1", answer,
+						countEvents(node, KindEnd))
 				}
 			case <-time.After(5 * time.Second):
 				t.Fatal("no answer to the repeat within 5 s")
@@ -47,7 +48,7 @@
 }
 
 // Each operation at a node is either replied to or cancelled; the invariant checker would treat one that is
-// neither as in flight for ever.
+// neither as in progress until the end of the log.
 func TestNode_RepliesToOrCancelsEveryOperation(t *testing.T) {
 	t.Parallel()
 	scenario := smallScenario(t, readClass, "",
@@ -66,8 +67,8 @@
 	}
 }
 
-// The answer of an operation whose connection has just broken reaches nobody: its node logs the operation as
-// cancelled.
+// An operation may end after its connection, so that its answer cannot be sent: the node logs the operation
+// as cancelled.
 func TestNode_LogsAnAnswerToABrokenConnectionAsCancelled(t *testing.T) {
 	scenario := smallScenario(t, readClass, "", reads)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -96,7 +97,7 @@
 	process.answer(op, KindEnd, proto.OK)
 	events := node.cfg.Log.Events()
 	if last := events[len(events)-1]; last.Kind != KindCancelArrived {
-		t.Errorf("logged %+v, want a cancellation last", events)
+		t.Errorf("got events %+v, want a cancellation last", events)
 	}
 }
 
@@ -110,7 +111,7 @@
 	node, err := NewNode(NodeConfig{
 		Model:       scenario.Nodes.Model,
 		Site:        &scenario.Site,
-		Registry:    "127.0.0.1:1",
+		Registry:    "127.0.0.1:1", // not reachable: the connections don't depend on the registry
 		Log:         NewLog(),
 		Meter:       NewMeter(0),
 		DedupGroups: func(scheduler.DedupScope) *DedupGroup { return group },
--- a/internal/testbed/node_work.go
+++ b/internal/testbed/node_work.go
@@ -111,6 +111,7 @@
 		work *= 1 - model.Deferred
 	}
 	if request.Key != 0 && model.RecentKeys > 0 {
+		// The key of a retry may be recent only because of its first attempt.
 		if slices.Contains(p.recentKeys, request.Key) && request.Attempt == 0 {
 			work *= 1 - model.RepeatSaving
 		}
--- a/internal/testbed/operation.go
+++ b/internal/testbed/operation.go
@@ -16,7 +16,7 @@
 	members  []member
 	payload  []byte          // bytes of a write
 	data     []byte          // bytes that a read has read
-	sums     []uint64        // checksums of the members' bytes, once carried out
+	sums     []uint64        // by member: checksum of its bytes, once carried out
 	number   uint64          // of this operation among its node's, from 1
 	ctx      context.Context // ends when the operation is cancelled or answered
 	cancel   context.CancelFunc
--- a/internal/testbed/outages.go
+++ b/internal/testbed/outages.go
@@ -39,7 +39,8 @@
 }
 
 // allowance returns the extra time allowed for an exchange between an instance and a node in an interval,
-// given in Unix nanoseconds: the stalls that overlap the interval, each plus backlogTime.
+// given in Unix nanoseconds: the stalls that overlap the interval or end at most backlogTime before it, each
+// plus backlogTime.
 func (o *outages) allowance(instance, node int, from, to int64) time.Duration {
 	total := time.Duration(0)
 	for _, spans := range [][]span{o.process, o.instances[instance], o.nodes[node]} {
--- a/internal/testbed/request_trace.go
+++ b/internal/testbed/request_trace.go
@@ -35,11 +35,11 @@
 // attemptTrace is one attempt according to its node's log. Times are in Unix nanoseconds.
 type attemptTrace struct {
 	arrive      Event
-	repliedAt   int64 // when the answer was written; 0: not
+	repliedAt   int64 // when the answer was queued on the connection; 0: not
 	cancelledAt int64 // when it was cancelled, its connection ended or its node stopped; 0: not
 	code        proto.Code
 	tookEffect  bool
-	ended       bool
+	ended       bool   // carried out (KindEnd)
 	sum         uint64 // checksum of the bytes; 0 until ended
 }
 
--- a/internal/testbed/runner.go
+++ b/internal/testbed/runner.go
@@ -20,7 +20,7 @@
 	maxOpenRequests = 20_000
 	// startupTime is left for the fleet to start, in addition to twice the registry's delay.
 	startupTime = 300 * time.Millisecond
-	// The process is checked for stalls every stallCheckInterval: a check that takes over minStall is one.
+	// The process is checked for stalls every stallCheckInterval; an interval of over minStall is a stall.
 	stallCheckInterval = 10 * time.Millisecond
 	minStall           = 30 * time.Millisecond
 )
@@ -81,7 +81,7 @@
 	recording := r.play(ctx, traffic, start)
 	cancel()
 	err := group.Wait()
-	if context.Cause(ctx) == context.Canceled {
+	if context.Cause(ctx) == context.Canceled { // no goroutine failed before cancel; later errors are ignored
 		err = nil
 	}
 	recording.Events = r.log.Events()
@@ -127,7 +127,7 @@
 	return recording
 }
 
-// injectFault injects a fault and returns when it is over, or traffic ends.
+// injectFault injects a fault. It may block until the fault or the traffic ends.
 func (r *scenarioRunner) injectFault(ctx, traffic context.Context, fault *Fault) {
 	for _, form := range fault.forms() {
 		form.inject(ctx, traffic, r)
--- a/internal/testbed/runner_fleet.go
+++ b/internal/testbed/runner_fleet.go
@@ -38,7 +38,7 @@
 	until time.Time // end of the latest stall
 }
 
-// wait blocks until no stall lasts.
+// wait blocks until all stalls have ended, including those that start during the wait.
 func (g *stallGate) wait() {
 	for {
 		g.mu.Lock()
--- a/internal/testbed/runner_test.go
+++ b/internal/testbed/runner_test.go
@@ -8,6 +8,8 @@
 	"landingpaddle/internal/proto"
 )
 
+// In the embedded scenario, which contains every kind of fault, every rule is kept. Every rule must also have
+// been checked, except the retry budget, which is checked only when an instance retries.
 func TestRunner_FaultScenarioKeepsTheRules(t *testing.T) {
 	scenario, err := FaultScenario()
 	if err != nil {
@@ -20,7 +22,8 @@
 	for _, verdict := range CheckInvariants(&scenario.Site, recording.Events) {
 		t.Logf("%+v", verdict)
 		if !verdict.Holds || verdict.Judged == 0 && verdict.Rule != RuleBudget {
-			t.Errorf("%s: %s", verdict.Rule, verdict.FirstViolation)
+			t.Errorf("rule %s: not checked or violated; first violation: %q", verdict.Rule,
+				verdict.FirstViolation)
 		}
 	}
 	t.Logf("%+v", Summarize(&scenario.Site, recording))
@@ -53,12 +56,13 @@
 				t.Errorf("request %d was served by the killed instance", event.Token)
 			}
 			if took := time.Duration(event.Time - firstSent[event.Token]); took > time.Second+transitTime {
-				t.Errorf("request %d was served after %v", event.Token, took)
+				t.Errorf("request %d was served after %v, want within its timeout of 1 s", event.Token, took)
 			}
 		}
 	}
 	if len(lost) == 0 || served < len(lost)*2/3 {
-		t.Errorf("%d requests lost with the instance, %d served elsewhere", len(lost), served)
+		t.Errorf("%d requests lost with the instance, want some; %d of them served elsewhere, "+
+			"want at least two thirds", len(lost), served)
 	}
 }
 
@@ -81,12 +85,12 @@
 		}
 	}
 	if servedAfter == 0 {
-		t.Error("the instance serves nothing after the stall")
+		t.Error("the instance serves no request later than 0.5 s after the stall")
 	}
 }
 
 // The clocks of the nodes are ahead by half a minute: a restarted node still gets a slow start, which lasts
-// no longer than it needs.
+// no longer than the slow-start period.
 func TestRunner_NodeClocksAheadKeepTheSlowStart(t *testing.T) {
 	t.Parallel()
 	scenario := smallScenario(t, readClass,
@@ -108,6 +112,7 @@
 		}
 	}
 	if coldUnits > 120 || warmUnits < 20 {
-		t.Errorf("%d units in the first half second after the restart, %d when warm", coldUnits, warmUnits)
+		t.Errorf("got %d units in the first half second after the restart, want at most 120; "+
+			"got %d when warm, want at least 20", coldUnits, warmUnits)
 	}
 }
--- a/internal/testbed/runner_traffic.go
+++ b/internal/testbed/runner_traffic.go
@@ -55,7 +55,8 @@
 			volume = 0
 		}
 		factor, maxFactor := r.changes.rateFactor(plan, volume), r.changes.maxRateFactor(plan)
-		// Thins draws at the highest rate, so that a surge of a few volumes adds requests for these only.
+		// Requests are drawn at the highest rate of all volumes; those in excess of their volume's rate are
+		// discarded below, so that a surge of a few volumes adds requests for these only.
 		next = next.Add(time.Duration(rng.ExpFloat64() / (stream.Rate * maxFactor) * float64(time.Second)))
 		if !sleep(traffic, time.Until(next)) {
 			return
--- a/internal/testbed/scenario_test.go
+++ b/internal/testbed/scenario_test.go
@@ -21,7 +21,7 @@
 	} {
 		_, err := ParseScenario("d", []byte(scenarioWith(c.more)))
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want %s", c.more, err, c.want)
+			t.Errorf("%s: got %v, want an error that begins with %s", c.more, err, c.want)
 		}
 	}
 }
--- a/internal/testbed/slow_start.go
+++ b/internal/testbed/slow_start.go
@@ -6,7 +6,8 @@
 	"landingpaddle/internal/config"
 )
 
-// minWorkPerUnit is the lower bound of the work per unit in the calculation of a node's rate.
+// minWorkPerUnit is the lower bound of the work per unit in the calculation of a node's rate, which would be
+// infinite for a model without work.
 const minWorkPerUnit = 100 * time.Microsecond
 
 // slowStart models a restarted node's growing capacity and records the load that arrives while it is cold.
@@ -36,8 +37,8 @@
 }
 
 // add records an arriving request and reports whether it makes a cold node collapse: whether the units that
-// arrived within the overload window exceed OverloadFactor times what the node can serve in that window at
-// its current capacity.
+// arrived within the overload window exceed OverloadFactor times the units that the node can serve in that
+// window at its current capacity.
 func (s *slowStart) add(units float64, model *config.NodeModel) (collapses bool) {
 	trackingPeriod := s.rules.SlowStartPeriod + s.rules.OverloadWindow
 	if !s.cold || s.rules.SlowStartPeriod <= 0 || time.Since(s.started) > trackingPeriod {
--- a/internal/testbed/summary.go
+++ b/internal/testbed/summary.go
@@ -104,7 +104,7 @@
 	return outcomes
 }
 
-// countOutcome counts a request and returns the part of its priority weight that was earned.
+// countOutcome counts a request and returns the fraction of its priority weight that was earned.
 func (s *Summary) countOutcome(outcome *requestOutcome, class config.Class, latency time.Duration) float64 {
 	s.Asked++
 	switch {
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -20,7 +20,8 @@
 	reads = `(traffic (class read) (plan free) (rate 150) (volumes 4) (units 1 4) (writers 2))`
 )
 
-// smallScenario returns a short scenario, to which the given forms are added.
+// smallScenario returns a short scenario with the given forms: classes are added to the site, rules to the
+// site's rules, and more to the scenario.
 func smallScenario(t *testing.T, classes, rules, more string) *Scenario {
 	t.Helper()
 	scenario, err := ParseScenario("small.lisp", fmt.Appendf(nil, `(day (length 3s) (instances 2)
--- a/internal/testbed/throughput_test.go
+++ b/internal/testbed/throughput_test.go
@@ -167,8 +167,8 @@
 	return throughput{rate, latencies}
 }
 
-// throughputPaths are the addresses of the nodes and, the same number of times, that of the instance in front
-// of them.
+// throughputPaths lists the addresses to which a load is sent: those of the nodes or, repeated once per node,
+// that of the instance in front of them.
 type throughputPaths struct{ direct, through []string }
 
 // startThroughputFleet runs a registry, nodes that need workPerUnit for each unit, and one instance.
@@ -206,14 +206,16 @@
 		t.Fatal(err)
 	}
 	running.Go(func() { _ = instance.Run(ctx) })
+	// The nodes register, and the instance receives the endpoint list.
 	sleep(ctx, 300*time.Millisecond)
 	// Both paths have the same number of connections: they differ in the scheduler alone.
 	through := slices.Repeat([]string{listener.Addr().String()}, throughputNodes)
 	return throughputPaths{direct, through}
 }
 
-// TestThroughput_ThroughSchedulerAndDirect compares the two paths in one run. By default it sends few
-// requests; LANDINGPADDLE_MEASURE sets the number for a measurement.
+// TestThroughput_ThroughSchedulerAndDirect compares the two paths in one run and logs the results. It fails
+// if a request is not served; rates and latencies have no bounds. By default it sends few requests;
+// LANDINGPADDLE_MEASURE sets the number for a measurement.
 func TestThroughput_ThroughSchedulerAndDirect(t *testing.T) {
 	requests := throughputRequests
 	if number, err := strconv.Atoi(os.Getenv("LANDINGPADDLE_MEASURE")); err == nil {
--- a/internal/testbed/traffic.go
+++ b/internal/testbed/traffic.go
@@ -15,11 +15,11 @@
 	Plan       string  `s:"plan,required"`
 	Rate       float64 `s:"rate,required" min:"0.1" max:"100000"` // requests a second
 	Volumes    int     `s:"volumes" min:"1" max:"100000"`
-	Units      []int   `s:"units"` // minimum and maximum of a request
-	Keys       int     `s:"keys" min:"0" max:"1000000"`
-	NewObjects bool    `s:"new-objects"`               // writes create objects, reads request some of them
-	HotShare   float64 `s:"hot" min:"0" max:"1"`       // share of requests for the first volume
-	Writers    int     `s:"writers" min:"1" max:"512"` // instances that receive a volume's requests
+	Units      []int   `s:"units"`                      // minimum and maximum of a request
+	Keys       int     `s:"keys" min:"0" max:"1000000"` // of each volume; 0: requests have no key
+	NewObjects bool    `s:"new-objects"`                // writes create objects, reads request some of them
+	HotShare   float64 `s:"hot" min:"0" max:"1"`        // share of requests for the first volume
+	Writers    int     `s:"writers" min:"1" max:"512"`  // instances that receive a volume's requests
 	Fields     *Fields `s:"fields"`
 }
 
@@ -33,7 +33,8 @@
 	Spread time.Duration `s:"spread" min:"0s" max:"1m"` // time over which a run's requests spread
 }
 
-// setSlice sets a request's byte range to a slice of its field.
+// setSlice sets a request's byte range to a slice of its field. It clears the cell, which the instance
+// derives from the range.
 func (f *Fields) setSlice(request *proto.Request, number uint64) {
 	request.Ranged, request.Offset = true, number*uint64(f.Slice)
 	request.Length, request.Cell = uint32(min(f.Slice, f.Size-sexpr.Size(request.Offset))), 0
--- a/internal/testbed/traffic_changes.go
+++ b/internal/testbed/traffic_changes.go
@@ -31,7 +31,7 @@
 
 type activeImpatience struct {
 	share float64
-	wait  time.Duration
+	wait  time.Duration // limit of the wait for one answer
 	until time.Time
 }
 
