--- a/internal/testbed/invariants_log_test.go
+++ b/internal/testbed/invariants_log_test.go
@@ -167,7 +167,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			for _, verdict := range CheckInvariants(&scenario.Site, append(c.events, logEnd)) {
 				if verdict.Holds == (verdict.Rule == c.rule) {
-					t.Errorf("rule %s: got kept %v, want the opposite; first violation: %q", verdict.Rule,
+					t.Errorf("rule %s: got kept %v, want the opposite; first violation: %s", verdict.Rule,
 						verdict.Holds, verdict.FirstViolation)
 				}
 			}
