--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -18,10 +18,11 @@
 	defaultReconnectDelay = 500 * time.Millisecond
 	// watchIdleTimeout is long because a watch carries no frames while the list does not change.
 	watchIdleTimeout = 24 * time.Hour
-	maxCommands      = 16 // calls that are queued for Run
+	maxCommands      = 16 // maximum number of calls queued for Run
 )
 
-// Errors that a client reports to ClientConfig.OnFailure.
+// Errors that a client reports to ClientConfig.OnFailure. ErrUnavailable is wrapped by the errors of failed
+// calls and ended connections, whose texts it prefixes.
 var (
 	ErrTooManyCalls = errors.New("too many queued calls to the registry")
 	ErrUnavailable  = errors.New("registry")
@@ -30,9 +31,9 @@
 // ClientConfig configures an instance's client.
 type ClientConfig struct {
 	Addr string
-	Conn proto.Config
-	// Push means that the registry pushes changes: the client opens a watch when it starts and reconnects
-	// automatically. Otherwise it connects only for the calls of its methods.
+	Conn proto.Config // NewClient sets Limits and IdleTimeout
+	// Push means that the registry pushes changes: the client opens a watch when it starts and after each
+	// automatic reconnect. Otherwise it connects only for the calls of its methods.
 	Push bool
 	// ReconnectDelay is the mean delay before reconnecting to a registry that pushes; 0 means 500 ms.
 	ReconnectDelay time.Duration
@@ -45,6 +46,7 @@
 	OnFailure func(error)
 }
 
+// command is a kind of call that is queued for Run.
 type command uint8
 
 const (
@@ -57,7 +59,7 @@
 // Streams of a connection.
 const (
 	streamWatch = 1
-	streamFetch = 2 // each fetch has a higher number
+	streamFetch = 2 // fetches are numbered from streamFetch+1
 )
 
 // Client calls a registry. Its methods never block and may be called by any goroutine.
@@ -76,7 +78,7 @@
 	return &Client{cfg: cfg, commands: make(chan command, maxCommands)}
 }
 
-// Watch opens the watch, on which the registry sends updates, or cancels it.
+// Watch opens the watch, on which the registry sends updates, if on is true, and cancels it otherwise.
 func (c *Client) Watch(on bool) {
 	if on {
 		c.enqueue(watchOn)
@@ -102,8 +104,8 @@
 // Run connects to the registry and sends the queued calls until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	caller := &clientLoop{client: c, group: group}
-	group.Go(func() error { return caller.run(ctx) })
+	loop := &clientLoop{client: c, group: group}
+	group.Go(func() error { return loop.run(ctx) })
 	return group.Wait()
 }
 
@@ -131,7 +133,7 @@
 			l.call(ctx, command)
 		case <-l.reconnect:
 			l.reconnect = nil
-			if l.link == nil || !l.link.watching {
+			if l.link == nil || !l.link.watching { // a call may have opened the watch since
 				l.call(ctx, watchOn)
 			}
 		case err := <-l.linkEnded():
@@ -140,8 +142,8 @@
 	}
 }
 
-// linkEnded returns the channel that receives the cause of the connection's end; nil, which blocks forever,
-// without a connection.
+// linkEnded returns the channel that receives the cause of the connection's end. Without a connection it
+// returns nil, on which a receive blocks forever.
 func (l *clientLoop) linkEnded() <-chan error {
 	if l.link == nil {
 		return nil
@@ -163,10 +165,12 @@
 		l.link = newLink
 	}
 	if err := l.link.call(command, l.client.cfg.Version); err != nil {
-		l.link.conn.Close(err)
+		l.link.conn.Close(err) // disconnected reports the cause
 	}
 }
 
+// disconnected handles the end of the connection: it reports the cause if a call was sent on the connection,
+// and schedules a reconnect.
 func (l *clientLoop) disconnected(ctx context.Context, cause error) {
 	called := l.link.called
 	l.link = nil
@@ -177,8 +181,8 @@
 	l.scheduleReconnect()
 }
 
-// scheduleReconnect schedules a reconnect to a registry that pushes. The delay is random, so that instances
-// do not reconnect at the same time.
+// scheduleReconnect schedules a reconnect if the registry pushes changes. The delay is random, so that
+// instances do not reconnect at the same time.
 func (l *clientLoop) scheduleReconnect() {
 	if mean := l.client.cfg.ReconnectDelay; l.client.cfg.Push {
 		l.reconnect = time.After(mean/2 + rand.N(mean))
@@ -209,7 +213,8 @@
 	return l, nil
 }
 
-// call sends a call with the version of the stored list, or without one to request the full list.
+// call sends a call with the version of the stored list, or with version 0 to request the full list. watchOff
+// is ignored if no watch is open.
 func (l *link) call(command command, storedVersion func() (epoch, version uint64)) error {
 	var version proto.ListVersion
 	if command != fetchFull && storedVersion != nil {
@@ -232,7 +237,7 @@
 }
 
 // handleFrame handles a frame from the registry. An update is acknowledged after OnUpdate has returned, so
-// that the registry's record shows when this instance received it.
+// that the registry can record when this instance received it.
 func (c *Client) handleFrame(conn *proto.Conn, frame proto.Frame) error {
 	switch frame.Type {
 	case proto.TypeUpdate:
@@ -241,7 +246,7 @@
 			return err
 		}
 		c.cfg.OnUpdate(update)
-		return conn.Send(proto.TypeAcknowledge, update.Version, nil, nil)
+		return conn.Send(proto.TypeAcknowledge, update.Version, nil, nil) // the version is sent as the stream
 	case proto.TypeAnswer:
 		var answer proto.Answer
 		if err := frame.Decode(&answer); err != nil {
--- a/internal/registry/message.go
+++ b/internal/registry/message.go
@@ -17,7 +17,7 @@
 // Limits are the frame limits of the registry protocol, in which a whole list is one header.
 var Limits = proto.Limits{MaxHeader: 4 << 20, MaxPayload: 0, MaxStreams: 16, MaxBacklog: 64 << 20}
 
-// Errors of endpoint lists and addresses that come from outside the process.
+// Errors of endpoint lists and addresses that are received from outside the process.
 var (
 	ErrTooManyEndpoints = fmt.Errorf("list exceeds %d endpoints", MaxEndpoints)
 	ErrUnknownStatus    = errors.New("unknown status")
@@ -37,8 +37,8 @@
 	NominalCapacity float64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Message is the header of an update or register frame and the body of a snapshot file. The keys must
-// not change.
+// Message is the header of an update or register frame and the body of a snapshot file. Its fields are those
+// of endpoints.Update. The keys must not change.
 type Message struct {
 	Epoch       uint64           `cbor:"1,keyasint"`
 	Version     uint64           `cbor:"2,keyasint"`
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -9,11 +9,12 @@
 	"landingpaddle/internal/proto"
 )
 
-// registerRetryDelay is the delay before a node reconnects to a registry that cannot be reached.
+// registerRetryDelay is the maximum delay before a node reconnects to a registry that cannot be reached; a
+// change of the endpoint ends it early.
 const registerRetryDelay = 100 * time.Millisecond
 
 // Register keeps a node listed until ctx ends: it sends each endpoint received from changes to the registry,
-// and sends the last one again after a reconnect.
+// and sends the last one again after a reconnect. It returns nil.
 func Register(ctx context.Context, addr string, cfg proto.Config, changes <-chan endpoints.Endpoint) error {
 	cfg.Limits, cfg.IdleTimeout = Limits, watchIdleTimeout
 	r := &registration{changes: changes}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -18,9 +18,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func endpoint(port int, s scheduler.Status) endpoints.Endpoint {
+// endpoint returns an endpoint of 127.0.0.1 whose cell is its port.
+func endpoint(port int, status scheduler.Status) endpoints.Endpoint {
 	server, _ := ServerFromAddrPort(netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)))
-	return endpoints.Endpoint{Server: server, Status: s, Cell: uint16(port), StartedAt: 7, NominalCapacity: 1}
+	return endpoints.Endpoint{Server: server, Status: status, Cell: uint16(port), StartedAt: 7,
+		NominalCapacity: 1}
 }
 
 // rig is a stand-in registry with one client.
@@ -74,27 +76,29 @@
 	}
 }
 
+// A watch sends the full list and then each change. Once it is cancelled, updates are only sent for fetches.
+// The client states no stored version, so that a fetch returns the full list.
 func TestClient_WatchGetsTheFullListThenChanges(t *testing.T) {
 	r := start(t, ServerConfig{MaxWait: time.Second}, false, nil)
 	r.server.Put(endpoint(1, scheduler.Ready))
-	time.Sleep(50 * time.Millisecond)
+	time.Sleep(50 * time.Millisecond) // until the registry has published the endpoint
 	r.client.Watch(true)
 	if update := next(t, r.updates); !update.Full || len(update.Endpoints) != 1 || update.Epoch != 9 {
-		t.Fatalf("first update %+v", update)
+		t.Fatalf("first update: got %+v, want the full list of 1 endpoint in epoch 9", update)
 	}
 	if e := next(t, r.acknowledged); e.Server.Port != 1 {
-		t.Errorf("acknowledged %+v", e)
+		t.Errorf("acknowledged: got %+v, want port 1", e)
 	}
 	r.server.Put(endpoint(2, scheduler.Draining))
 	update := next(t, r.updates)
 	if update.Full || update.BaseVersion+1 != update.Version ||
 		update.Endpoints[0].Status != scheduler.Draining {
-		t.Errorf("change %+v", update)
+		t.Errorf("change: got %+v, want a Draining endpoint and the previous version as base", update)
 	}
 	r.client.Watch(false)
-	time.Sleep(50 * time.Millisecond)
+	time.Sleep(50 * time.Millisecond) // until the registry has received the cancellation
 	r.server.Put(endpoint(3, scheduler.Ready))
-	// The registry publishes a change from a timer: a fetch may be served before it.
+	// The registry publishes a change from a timer: a fetch may be served before the change is published.
 	for tries := 1; ; tries++ {
 		r.client.Fetch()
 		update := next(t, r.updates)
@@ -102,25 +106,27 @@
 			return
 		}
 		if !update.Full || tries == 100 {
-			t.Fatalf("fetch %d after the watch ended: %+v", tries, update)
+			t.Fatalf("fetch %d after the watch ended: got %+v, want the full list of 3", tries, update)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
+// The client states that it stores version 1, the first of two endpoints: Fetch returns only the second one,
+// FetchFull returns both.
 func TestClient_FetchGetsOnlyChangesToTheStoredList(t *testing.T) {
 	r := start(t, ServerConfig{MaxWait: time.Second}, false, func() (uint64, uint64) { return 9, 1 })
 	r.server.Put(endpoint(1, scheduler.Ready))
 	r.server.Put(endpoint(2, scheduler.Ready))
-	time.Sleep(50 * time.Millisecond)
+	time.Sleep(50 * time.Millisecond) // until the registry has published both
 	r.client.Fetch()
 	if update := next(t, r.updates); update.Full || update.BaseVersion != 1 || len(update.Endpoints) != 1 ||
 		update.Endpoints[0].Server.Port != 2 {
-		t.Errorf("changes %+v", update)
+		t.Errorf("changes: got %+v, want endpoint 2 with base version 1", update)
 	}
 	r.client.FetchFull()
 	if update := next(t, r.updates); !update.Full || len(update.Endpoints) != 2 {
-		t.Errorf("full list %+v", update)
+		t.Errorf("full list: got %+v, want 2 endpoints", update)
 	}
 }
 
@@ -129,7 +135,7 @@
 func TestServer_DelaysChangesAndRemovesEndedNodes(t *testing.T) {
 	r := start(t, ServerConfig{MaxWait: time.Second, Delay: 150 * time.Millisecond}, true, nil)
 	if update := next(t, r.updates); !update.Full || len(update.Endpoints) != 0 {
-		t.Fatalf("empty list: %+v", update)
+		t.Fatalf("first update: got %+v, want an empty full list", update)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	changes := make(chan endpoints.Endpoint, 1)
@@ -139,18 +145,19 @@
 	changes <- endpoint(5, scheduler.Ready)
 	if update := next(t, r.updates); update.Endpoints[0].Status != scheduler.Ready ||
 		time.Since(began) < 150*time.Millisecond {
-		t.Errorf("after %v: %+v", time.Since(began), update)
+		t.Errorf("registered: after %v got %+v, want Ready after 150 ms or more", time.Since(began), update)
 	}
 	began = time.Now()
 	cancel()
 	wg.Wait()
 	if update := next(t, r.updates); update.Endpoints[0].Status != scheduler.Gone ||
 		time.Since(began) < 140*time.Millisecond {
-		t.Errorf("after %v: %+v", time.Since(began), update)
+		t.Errorf("process ended: after %v got %+v, want Gone after 140 ms or more", time.Since(began), update)
 	}
 }
 
-// Calls that would wait longer than MaxWait for a worker fail; the others are served.
+// Calls that would wait longer than MaxWait for a worker fail; the others are served. The only worker serves
+// a call in 100 ms, so that the five calls would wait 0, 100 and three times 200 ms, with 150 ms allowed.
 func TestServer_FailsCallsThatWaitTooLong(t *testing.T) {
 	r := start(t, ServerConfig{Workers: 1, CallTime: 100 * time.Millisecond,
 		MaxWait: 150 * time.Millisecond}, false,
@@ -163,7 +170,7 @@
 	}
 	for range 3 {
 		if err := next(t, r.errs); !strings.Contains(err.Error(), "busy") {
-			t.Error(err)
+			t.Error("want an error with reason busy, got:", err)
 		}
 	}
 }
@@ -213,6 +220,6 @@
 		if err == nil && len(update.Endpoints) > MaxEndpoints {
 			t.Fatal("more endpoints than MaxEndpoints")
 		}
-		_, _ = parseSnapshot(data)
+		_, _ = parseSnapshot(data) // must not panic
 	})
 }
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -24,13 +24,13 @@
 
 // ServerConfig configures a stand-in registry.
 type ServerConfig struct {
-	Epoch    uint64
+	Epoch    uint64        // of this incarnation, stated in its updates
 	Delay    time.Duration // between a change and its publication
 	Workers  int           // calls served concurrently; at least 1
 	CallTime time.Duration // service time of one call
 	MaxWait  time.Duration // a call that would wait longer for a worker fails after this time
-	MaxConns int           // 0 means 4096
-	Conn     proto.Config
+	MaxConns int           // connections served at the same time; 0 means 4096
+	Conn     proto.Config  // NewServer sets Limits, IdleTimeout and the role in Hello
 	// OnAcknowledged, if not nil, is called for each endpoint of an update when an instance has acknowledged
 	// the update.
 	OnAcknowledged func(instance uint32, endpoint endpoints.Endpoint)
@@ -42,23 +42,23 @@
 	cfg ServerConfig
 
 	mu          sync.Mutex
-	delay       time.Duration
+	delay       time.Duration // of later changes
 	down        bool
-	version     uint64
-	listed      map[scheduler.Server]endpoints.Endpoint // as published; removed nodes stay, marked so
+	version     uint64                                  // of the list; each published change adds 1
+	listed      map[scheduler.Server]endpoints.Endpoint // as published; removed nodes stay, with status Gone
 	changedIn   map[scheduler.Server]uint64             // version of each endpoint's last change
 	watchers    map[*session]struct{}
-	workersFree []time.Time // when each worker becomes free
+	workersFree []time.Time // at which each worker becomes free
 	timers      map[*time.Timer]struct{}
 	unpublished []change // in the order of arrival
-	closed      bool
+	closed      bool     // Serve has ended
 }
 
 // change is a change to an endpoint that is not published yet.
 type change struct {
 	due      time.Time
 	endpoint endpoints.Endpoint
-	ended    bool // the process ended; ignored if a later incarnation is listed when it is due
+	ended    bool // the process ended; the change is ignored if a later incarnation is listed when it is due
 }
 
 // NewServer returns a registry with an empty list.
@@ -157,7 +157,7 @@
 		s.unpublished = s.unpublished[1:]
 		if current := s.listed[next.endpoint.Server]; next.ended {
 			if current.StartedAt > next.endpoint.StartedAt {
-				continue
+				continue // a later incarnation is listed
 			}
 			next.endpoint = current
 			next.endpoint.Status = scheduler.Gone
@@ -208,8 +208,8 @@
 	}
 }
 
-// updateSince returns the changes since the version that an instance stores, or the full list if that version
-// is unknown. The caller holds the lock.
+// updateSince returns the changes since the version that an instance stores, or the full list if it stores
+// none or the version is unknown. The caller holds the lock.
 func (s *Server) updateSince(stored proto.ListVersion) endpoints.Update {
 	isUnknown := stored.Epoch != s.cfg.Epoch || stored.Version == 0 || stored.Version > s.version
 	update := endpoints.Update{Epoch: s.cfg.Epoch, Version: s.version, BaseVersion: stored.Version,
@@ -235,7 +235,7 @@
 	}
 	sent := update.Endpoints
 	if update.Full {
-		sent = slices.Collect(maps.Values(s.listed)) // a full list confirms removed nodes too: it lacks them
+		sent = slices.Collect(maps.Values(s.listed)) // a full list confirms removals by omission
 	}
 	to.unacknowledged[update.Version] = append(to.unacknowledged[update.Version], sent...)
 }
--- a/internal/registry/snapshot_file.go
+++ b/internal/registry/snapshot_file.go
@@ -15,7 +15,7 @@
 
 // SnapshotFile stores the last endpoint list of an instance, for its next incarnation.
 type SnapshotFile struct {
-	Path string // empty: no list is saved
+	Path string // empty: the instance saves and loads no list; to be checked by the caller
 	// Write replaces the file durably; nil means statefile.Replace. Tests use it to simulate a full disk.
 	Write func(path string, data []byte) error
 }
--- a/internal/registry/snapshot_file_test.go
+++ b/internal/registry/snapshot_file_test.go
@@ -17,7 +17,7 @@
 // The files in testdata were written before any field was renamed: they must stay readable, and saving their
 // lists must yield the same bytes.
 const (
-	storedList  = "testdata/list.bin"      // storedSnapshot, written field by field
+	storedList  = "testdata/list.bin"      // storedSnapshot, whose fields were set explicitly
 	stoppedList = "testdata/list-stop.bin" // written by a process that watched a registry
 )
 
@@ -61,18 +61,18 @@
 		t.Fatal(err)
 	}
 	if got.Epoch == 0 || got.Version == 0 || len(got.Endpoints) != 2 {
-		t.Errorf("read %+v", got)
+		t.Errorf("read %+v, want an epoch, a version and 2 endpoints", got)
 	}
 	for _, e := range got.Endpoints {
 		if e.Server.Addr != [4]byte{127, 0, 0, 1} || e.Server.Port == 0 || e.Status != scheduler.Ready ||
 			e.StartedAt == 0 {
-			t.Errorf("read %+v", e)
+			t.Errorf("read %+v, want a Ready endpoint of 127.0.0.1 with a port and a start time", e)
 		}
 	}
 	sameListBytes(t, stoppedList, got)
 }
 
-// sameListBytes checks that saving a list yields the bytes of the file that it was read from.
+// sameListBytes checks that saving a list yields the bytes of the file at path.
 func sameListBytes(t *testing.T, path string, snapshot endpoints.Snapshot) {
 	t.Helper()
 	want, err := os.ReadFile(path)
@@ -89,12 +89,12 @@
 	}
 }
 
-// A file that is truncated at any length or changed in any byte is reported, and a failed write leaves the
-// old file.
+// A file that is truncated at any length or changed in any byte is rejected as corrupt, and a failed write
+// leaves the old file.
 func TestSnapshotFile_ReportsDamageAndKeepsTheOldList(t *testing.T) {
 	f := SnapshotFile{Path: filepath.Join(t.TempDir(), "list")}
 	if snapshot, err := f.Load(); err != nil || snapshot.Version != 0 {
-		t.Fatalf("no file: %+v, %v", snapshot, err)
+		t.Fatalf("no file: got %+v, %v; want an empty list", snapshot, err)
 	}
 	want := endpoints.Snapshot{
 		Epoch:   3,
@@ -107,25 +107,25 @@
 	}
 	got, err := f.Load()
 	if err != nil || len(got.Endpoints) != 2 || got.Endpoints[1] != want.Endpoints[1] || got.Version != 4 {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("saved list: got %+v, %v; want version 4 with 2 endpoints", got, err)
 	}
 	data, _ := os.ReadFile(f.Path)
 	for n := range data {
 		if _, err := parseSnapshot(data[:n]); !errors.Is(err, statefile.ErrCorrupt) {
-			t.Fatalf("truncated at %d: %v", n, err)
+			t.Fatalf("truncated at byte %d: got %v, want ErrCorrupt", n, err)
 		}
 		changed := append([]byte(nil), data...)
 		changed[n] ^= 1
 		if _, err := parseSnapshot(changed); !errors.Is(err, statefile.ErrCorrupt) {
-			t.Fatalf("byte %d changed: %v", n, err)
+			t.Fatalf("byte %d changed: got %v, want ErrCorrupt", n, err)
 		}
 	}
 	f.Write = func(string, []byte) error { return syscall.ENOSPC }
 	if err := f.Save(want); !errors.Is(err, syscall.ENOSPC) {
-		t.Errorf("full disk: %v", err)
+		t.Errorf("full disk: got %v, want ENOSPC", err)
 	}
 	f.Write = nil
 	if snapshot, err := f.Load(); err != nil || snapshot.Version != 4 {
-		t.Errorf("list after a failed write: %+v, %v", snapshot, err)
+		t.Errorf("list after a failed write: got %+v, %v; want version 4", snapshot, err)
 	}
 }
