--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -16,9 +16,9 @@
 	instance uint32
 	conn     *net.UDPConn
 	peers    map[uint32]netip.AddrPort // by instance number; read-only
-	gate     func()
+	gate     func()                    // see Listen
 
-	// Rejected counts datagrams that are malformed or whose sender is not another known instance.
+	// Rejected counts datagrams that are malformed, or whose stated sender is unknown or this instance.
 	Rejected atomic.Uint64
 }
 
@@ -63,7 +63,8 @@
 	}
 }
 
-// accept decodes a datagram. It rejects and counts one that is not a message from another known instance.
+// accept decodes a datagram. It rejects and counts one that is malformed, or whose stated sender is unknown
+// or this instance.
 func (l *Link) accept(datagram []byte) (message scheduler.PeerMessage, ok bool) {
 	sender, body, err := Decode(datagram)
 	if _, known := l.peers[sender]; err != nil || !known || sender == l.instance {
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -74,13 +74,14 @@
 	select {
 	case message := <-received:
 		if message.From != 0 || string(message.Body) != "hello" {
-			t.Errorf("got %+v", message)
+			t.Errorf("got %+v, want \"hello\" from instance 0", message)
 		}
 	case <-time.After(5 * time.Second):
 		t.Fatal("no message arrived within 5 s")
 	}
 	if rejected := receiver.Rejected.Load(); rejected < 4 || len(received) > 0 {
-		t.Errorf("%d datagrams rejected, %d invalid messages delivered", rejected, len(received))
+		t.Errorf("got %d datagrams rejected and %d invalid ones delivered, want at least 4 and 0",
+			rejected, len(received))
 	}
 }
 
