--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -27,10 +27,10 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrCorrupt is wrapped by the errors of files whose content cannot be used.
+// ErrCorrupt is wrapped by the errors of files whose content is invalid, whose texts it prefixes.
 var ErrCorrupt = errors.New("state file")
 
-// Encode returns the content of a file that stores a value.
+// Encode returns the content of a file that stores a value. magic must have eight bytes.
 func Encode(magic string, value any) ([]byte, error) {
 	body, err := cbor.Marshal(value)
 	if err != nil {
@@ -44,7 +44,7 @@
 }
 
 // Decode decodes the content of a file into value, a pointer. An error wraps ErrCorrupt and states the offset
-// of the byte where the file is truncated, changed or of another format.
+// at which the header is truncated, or at which the invalid magic string or body begins.
 func Decode(magic string, data []byte, value any) error {
 	if len(data) < headerSize {
 		return fmt.Errorf("%w: truncated at byte %d of its %d-byte header", ErrCorrupt, len(data), headerSize)
@@ -76,7 +76,8 @@
 	return Decode(magic, data, value)
 }
 
-// Replace writes a temporary file in the directory of path, makes it durable and renames it to path.
+// Replace writes a temporary file in the directory of path, makes it durable, renames it to path and makes
+// the rename durable.
 func Replace(path string, data []byte) error {
 	directory := filepath.Dir(path)
 	temporary, err := writeTemporary(directory, filepath.Base(path)+".new-*", data)
