--- a/internal/proto/conn.go
+++ b/internal/proto/conn.go
@@ -65,7 +65,7 @@
 
 // Run reads frames, passes each to handle and writes queued frames until the connection ends. It returns the
 // cause of the end: nil after an orderly close, that is a goodbye of either side or a close by the peer
-// between two frames. An error of handle ends the connection.
+// between two frames. An error of handle ends the connection, and so does the end of ctx.
 func (c *Conn) Run(ctx context.Context, handle func(Frame) error) error {
 	stop := context.AfterFunc(ctx, func() { c.Close(context.Cause(ctx)) })
 	defer stop()
@@ -121,5 +121,5 @@
 	}
 }
 
-// stopQueueing makes the writer write the queued frames and return.
+// stopQueueing makes the writer write the queued frames, close the socket and return.
 func (c *Conn) stopQueueing() { c.closeOnce.Do(func() { close(c.closing) }) }
--- a/internal/proto/conn_read.go
+++ b/internal/proto/conn_read.go
@@ -15,7 +15,7 @@
 // goodbyeIdle is the reason of a goodbye after IdleTimeout.
 const goodbyeIdle = "idle"
 
-// readFrames passes frames to handle until the connection or handle fails; it never returns nil.
+// readFrames passes frames to handle until the connection ends or handle fails; it never returns nil.
 func (c *Conn) readFrames(handle func(Frame) error) error {
 	frames := NewReader(c.reader, c.cfg.Limits)
 	for {
@@ -94,7 +94,7 @@
 func (c *Conn) endSilentConnection(allowed silence) error {
 	if allowed.idle {
 		c.CloseGracefully(goodbyeIdle)
-		return io.EOF
+		return io.EOF // Run returns nil, as CloseGracefully recorded ErrClosed as the cause
 	}
 	return fmt.Errorf("%w: %v", ErrSilent, allowed.limit)
 }
--- a/internal/proto/conn_test.go
+++ b/internal/proto/conn_test.go
@@ -21,7 +21,8 @@
 	answers := 0
 	err := client.Run(context.Background(), func(frame Frame) error {
 		if string(frame.Payload) != fmt.Sprint(frame.Stream) || !client.CloseStream(frame.Stream) {
-			return fmt.Errorf("stream %d got %q", frame.Stream, frame.Payload)
+			return fmt.Errorf("stream %d: got payload %q, want the number of an open stream", frame.Stream,
+				frame.Payload)
 		}
 		if answers++; answers == requests {
 			client.CloseGracefully("done")
@@ -29,7 +30,7 @@
 		return nil
 	})
 	if err != nil || answers != requests {
-		t.Errorf("%d answers, %v", answers, err)
+		t.Errorf("got %d answers and error %v, want one answer to each request and no error", answers, err)
 	}
 }
 
@@ -66,7 +67,7 @@
 	started := time.Now()
 	err := client.Run(context.Background(), ignoreFrame)
 	if !errors.Is(err, ErrSilent) {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("ended with %v, want ErrSilent", err)
 	}
 	if elapsed := time.Since(started); elapsed < 2500*time.Millisecond {
 		t.Errorf("ended after %v: the idle time before the request was counted", elapsed)
@@ -76,10 +77,10 @@
 func TestConn_ClosesGracefullyWhenIdle(t *testing.T) {
 	client, ended := connect(t, Config{IdleTimeout: 100 * time.Millisecond}, ignoreServerFrame)
 	if err := client.Run(context.Background(), ignoreFrame); err != nil {
-		t.Errorf("client: %v", err)
+		t.Errorf("client: got %v, want no error", err)
 	}
 	if err := <-ended; err != nil {
-		t.Errorf("server: %v", err)
+		t.Errorf("server: got %v, want no error", err)
 	}
 }
 
@@ -94,7 +95,7 @@
 		err = client.Send(TypeRequest, stream, Request{}, make([]byte, 1<<20))
 	}
 	if !errors.Is(err, ErrBacklogFull) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want ErrBacklogFull", err)
 	}
 }
 
@@ -104,7 +105,8 @@
 	err := errors.Join(client.OpenStream(1), client.OpenStream(2))
 	if err != nil || !errors.Is(client.OpenStream(2), ErrStreamInUse) ||
 		!errors.Is(client.OpenStream(3), ErrTooManyStreams) {
-		t.Errorf("%v, then %v and %v", err, client.OpenStream(2), client.OpenStream(3))
+		t.Errorf("streams 1 and 2: got %v, want no error; then got %v and %v, want ErrStreamInUse and "+
+			"ErrTooManyStreams", err, client.OpenStream(2), client.OpenStream(3))
 	}
 	if client.CloseStream(1); client.OpenStream(3) != nil {
 		t.Error("a closed stream still counts as in flight")
--- a/internal/proto/conn_write.go
+++ b/internal/proto/conn_write.go
@@ -10,9 +10,9 @@
 // of one burst must not stay allocated for the lifetime of the connection.
 const maxSpareBuffer = 1 << 20
 
-// Send queues a frame; it never blocks on the socket. If a header or payload is over the limits of the peer,
-// only this frame fails, with ErrHeaderTooLong or ErrPayloadTooLong. A full queue ends the connection with
-// ErrBacklogFull, as the peer does not read.
+// Send queues a frame; it never blocks on the socket. After the connection has ended, it returns the cause.
+// If a header or payload is over the limits of the peer, only this frame fails, with ErrHeaderTooLong or
+// ErrPayloadTooLong. A full queue ends the connection with ErrBacklogFull, as the peer does not read.
 func (c *Conn) Send(frameType Type, stream uint64, header any, payload []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proto/frame.go
+++ b/internal/proto/frame.go
@@ -25,10 +25,10 @@
 	TypeHealthCheckResult Type = 7  // answers a health check; header Answer
 	TypeDrain             Type = 8  // the sender is draining: it accepts no new requests
 	TypeGoodbye           Type = 9  // the sender closes the connection gracefully; header Goodbye
-	TypeWatch             Type = 10 // to the registry: header ListVersion; updates until the connection ends
+	TypeWatch             Type = 10 // to the registry: header ListVersion; updates until cancelled
 	TypeFetch             Type = 11 // to the registry: header ListVersion; one update or answer
 	TypeUpdate            Type = 12 // from the registry: header registry.Message
-	TypeAcknowledge       Type = 13 // to the registry: the update whose version is the stream was received
+	TypeAcknowledge       Type = 13 // to the registry: confirms the update whose version is the stream
 	TypeRegister          Type = 14 // from a node to the registry: header registry.Message
 
 	lastType = TypeRegister
--- a/internal/proto/frame_reader.go
+++ b/internal/proto/frame_reader.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// Reader reads frames. It allocates a buffer for each payload, never over the limit, and reuses one buffer
-// for all headers. It must be used by one goroutine only.
+// Reader reads frames. It allocates a buffer for each payload, after checking its length against the limit,
+// and reuses one buffer for all headers. It must be used by one goroutine only.
 type Reader struct {
 	source io.Reader
 	limits Limits
--- a/internal/proto/frame_test.go
+++ b/internal/proto/frame_test.go
@@ -76,7 +76,7 @@
 	if err := appendFrame(&buffer, TypeRequest, 1, request, nil, DefaultLimits); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes of %d", buffer.Len()-prefixSize, DefaultLimits.MaxHeader)
+	t.Logf("the header has %d bytes, the limit is %d", buffer.Len()-prefixSize, DefaultLimits.MaxHeader)
 }
 
 // A frame that is truncated at any length, changed in any byte or over a limit is rejected with an error.
@@ -89,7 +89,7 @@
 	t.Run("truncated", func(t *testing.T) {
 		for length := 1; length < len(good); length++ {
 			if err := read(good[:length], DefaultLimits); !errors.Is(err, ErrTruncated) {
-				t.Fatalf("truncated at %d: %v", length, err)
+				t.Fatalf("truncated at byte %d: got %v, want ErrTruncated", length, err)
 			}
 		}
 	})
--- a/internal/proto/limits.go
+++ b/internal/proto/limits.go
@@ -1,6 +1,7 @@
 package proto
 
-// Limits are the limits on what a connection accepts from the peer and queues for it.
+// Limits bounds the frames that a connection accepts from the peer, its requests in flight and the bytes that
+// it queues for the peer.
 type Limits struct {
 	MaxHeader  int // bytes of one header
 	MaxPayload int // bytes of one payload
@@ -11,7 +12,7 @@
 // DefaultLimits are sufficient for object reads and writes of a few MiB.
 var DefaultLimits = Limits{MaxHeader: 4 << 10, MaxPayload: 8 << 20, MaxStreams: 1024, MaxBacklog: 32 << 20}
 
-// LimitsFor allows a backlog of a few payloads and their headers.
+// The backlog that LimitsFor allows: a few payloads and their headers.
 const (
 	backlogPayloads = 4
 	backlogHeaders  = 1 << 20 // bytes
--- a/internal/proto/messages.go
+++ b/internal/proto/messages.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Hello is the message of the handshake. Each side sends one first; the smaller of both sides' limits apply.
+// Hello is the message of the handshake. Each side sends one first; the smaller of both sides' limits
+// applies.
 type Hello struct {
 	Version   uint16 `cbor:"1,keyasint"`
 	Role      string `cbor:"2,keyasint"` // client, instance, node or list (the registry)
@@ -35,11 +36,11 @@
 	Write           bool   `cbor:"12,keyasint,omitempty"`
 	Offset          uint64 `cbor:"13,keyasint,omitempty"` // bytes; of a ranged request
 	Length          uint32 `cbor:"14,keyasint,omitempty"` // bytes
-	Client          uint32 `cbor:"15,keyasint,omitempty"`
-	// Ranged means that the request is for a range of bytes of the volume DataVolume; Cell is derived from
-	// Offset and Length.
+	Client          uint32 `cbor:"15,keyasint,omitempty"` // number of the client that sent the request
+	// Ranged means that the request is for a range of bytes of the volume that DataVolume returns; Cell is
+	// derived from Offset and Length.
 	Ranged bool `cbor:"16,keyasint,omitempty"`
-	// DataVolumeID is the volume whose bytes a ranged request is for; 0 means Volume.
+	// DataVolumeID is the volume that a ranged request reads or writes; 0 means Volume.
 	DataVolumeID uint64 `cbor:"17,keyasint,omitempty"`
 	// Piece, in a request to a node, is the index of this piece of the client's request.
 	Piece uint16 `cbor:"18,keyasint,omitempty"`
@@ -49,7 +50,7 @@
 	WorkFactor uint32 `cbor:"20,keyasint,omitempty"`
 }
 
-// DataVolume returns the volume whose bytes a ranged request is for.
+// DataVolume returns the volume that a ranged request reads or writes.
 func (r *Request) DataVolume() uint64 {
 	if r.DataVolumeID != 0 {
 		return r.DataVolumeID
@@ -73,8 +74,8 @@
 	Client    uint32
 }
 
-// Code is the result of a request. Codes below 400 come from a node and are those of scheduler.ResultCode;
-// codes from 400 on come from an instance.
+// Code is the result of a request. Codes below 400 originate at a node and are those of scheduler.ResultCode;
+// codes from 400 on originate at an instance.
 type Code uint16
 
 // The codes. The numbers must not change.
@@ -94,17 +95,17 @@
 	// MeteredRate is 1 + the percentage of its plan's rate at which the volume was served; 0: unknown.
 	MeteredRate uint32 `cbor:"2,keyasint,omitempty"`
 	// ElsewhereUnits is the number of units that were served for the volume through other instances since the
-	// last answer to this one.
+	// last answer to this instance.
 	ElsewhereUnits uint32 `cbor:"3,keyasint,omitempty"`
-	// Load is the load report, in the order of the settings.
+	// Load is the load report; its values are in the order of the settings' load fields.
 	Load       []float64     `cbor:"4,keyasint,omitempty"`
 	RetryAfter time.Duration `cbor:"5,keyasint,omitempty"` // delay before a retry
 	Reason     string        `cbor:"6,keyasint,omitempty"` // one word
 	Cell       int32         `cbor:"7,keyasint,omitempty"` // 1 + the cell in which a new object was put
-	// Unreadable are the byte ranges that could not be served of an operation that otherwise succeeded.
+	// Unreadable lists the byte ranges of an otherwise successful operation that could not be served.
 	Unreadable []UnreadableRange `cbor:"8,keyasint,omitempty"`
-	// Done, Uncertain and Unsent are the numbers of pieces of a ranged request that was not served as a
-	// whole: pieces that are done, that may run or have run, and that were never sent.
+	// Done, Uncertain and Unsent count the pieces of a ranged request that was not served as a whole: those
+	// that are done, those that may be running or may have run, and those that were never sent.
 	Done      uint16 `cbor:"9,keyasint,omitempty"`
 	Uncertain uint16 `cbor:"10,keyasint,omitempty"`
 	Unsent    uint16 `cbor:"11,keyasint,omitempty"`
--- a/internal/proto/serve_test.go
+++ b/internal/proto/serve_test.go
@@ -29,7 +29,7 @@
 			bad.netConn.Write(test.sent)
 			bad.netConn.(*net.TCPConn).CloseWrite()
 			if err := <-ended; !errors.Is(err, test.want) {
-				t.Error(err)
+				t.Error("the connection did not end with its cause, but with:", err)
 			}
 		})
 	}
@@ -44,6 +44,6 @@
 	}
 	err = good.Run(context.Background(), func(Frame) error { return answered })
 	if !errors.Is(err, answered) {
-		t.Errorf("the good connection: %v", err)
+		t.Errorf("the good connection: got %v, want an answer to its request", err)
 	}
 }
--- a/internal/proto/streams.go
+++ b/internal/proto/streams.go
@@ -15,8 +15,8 @@
 	return len(c.openStreams)
 }
 
-// OpenStream records that a stream is in flight. Both sides count: the one that sends requests never exceeds
-// the limit agreed in the handshake, and the other closes the connection on an error, which wraps
+// OpenStream records that a stream is in flight. Both sides count: the sender of requests stays within the
+// limit agreed in the handshake, and the receiver closes the connection if OpenStream fails. The error wraps
 // ErrStreamInUse or ErrTooManyStreams.
 func (c *Conn) OpenStream(stream uint64) error {
 	c.mu.Lock()
