--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// readChunkSize reads the line that states the size of the next chunk in bytes. Size 0 ends the body.
+// readChunkSize reads the line that states the size of the next chunk, and returns the size in bytes. Size 0
+// ends the body.
 func (r *Reader) readChunkSize(budget *int) (int64, error) {
 	line, err := r.readLine(budget)
 	if err != nil {
@@ -45,6 +46,7 @@
 	return int64(size), nil
 }
 
+// expectChunkEnd reads the line end after a chunk.
 func (r *Reader) expectChunkEnd(budget *int) error {
 	line, err := r.readLine(budget)
 	if err != nil {
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -54,7 +54,8 @@
 			return
 		}
 		if len(response.Body) > testLimits.MaxBody || response.Status < 200 {
-			t.Fatalf("accepted status %d with a body of %d bytes", response.Status, len(response.Body))
+			t.Fatalf("accepted status %d with a body of %d bytes, want 200 or above and at most MaxBody",
+				response.Status, len(response.Body))
 		}
 		reread, err := readerOf(string(AppendResponse(nil, 200, "OK", nil, response.Body))).ReadResponse()
 		if err != nil || string(reread.Body) != string(response.Body) {
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -2,8 +2,8 @@
 
 import "io"
 
-// Reader reads messages from one connection. Its buffer holds heads, and of a body only the bytes that were
-// read together with a head.
+// Reader reads messages from one connection. Its buffer contains heads and the bytes that were received
+// together with them; the rest of a body of known length is read without the buffer.
 type Reader struct {
 	source     io.Reader
 	limits     Limits
@@ -23,8 +23,8 @@
 // BufferSize returns the size of the buffer in bytes.
 func (r *Reader) BufferSize() int { return len(r.buffer) }
 
-// ReadCount returns how many times the source was read. If it does not change while a message is read, the
-// whole message was already buffered.
+// ReadCount returns how many times the source was read, where the reads of one body count as one and Discard
+// does not count. If it does not change while a message is read, the whole message was already buffered.
 func (r *Reader) ReadCount() int { return r.readCount }
 
 // ReadAhead blocks until it has read more bytes into the buffer. It buffers up to maxBuffered bytes, or
@@ -49,8 +49,8 @@
 	}
 }
 
-// Discard discards the buffered bytes, and then all input until the source returns an error or maxBytes
-// bytes were read.
+// Discard discards the buffered bytes, and then all input until the source returns an error or at least
+// maxBytes bytes were read.
 func (r *Reader) Discard(maxBytes int64) {
 	r.start, r.end = 0, 0
 	if len(r.buffer) == 0 {
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -12,10 +12,10 @@
 // the end of the source while messages are still in the buffer.
 func TestReader_ReadAheadIsBounded(t *testing.T) {
 	const requests = 300
-	text := strings.Repeat("GET /a HTTP/1.1\r\nHost: a\r\n\r\n", requests) // 8,100 bytes
+	text := strings.Repeat("GET /a HTTP/1.1\r\nHost: a\r\n\r\n", requests) // 8,400 bytes
 	reader := readerOf(text)
 	if err := reader.ReadAhead(100); err != nil || reader.Buffered() == 0 {
-		t.Fatalf("%d bytes buffered, %v", reader.Buffered(), err)
+		t.Fatalf("first read: got %d bytes buffered, %v; want some and no error", reader.Buffered(), err)
 	}
 	for reader.Buffered() < len(text) {
 		if err := reader.ReadAhead(len(text)); err != nil {
@@ -23,10 +23,10 @@
 		}
 	}
 	if err := reader.ReadAhead(len(text)); !errors.Is(err, ErrBufferFull) {
-		t.Fatalf("beyond the limit: %v", err)
+		t.Fatalf("at the limit: got %v, want ErrBufferFull", err)
 	}
 	if err := reader.ReadAhead(2 * len(text)); !errors.Is(err, io.EOF) || reader.Buffered() != len(text) {
-		t.Fatalf("at the end: %v with %d bytes buffered", err, reader.Buffered())
+		t.Fatalf("at the end: got %v with %d bytes buffered, want io.EOF with all", err, reader.Buffered())
 	}
 	reads := reader.ReadCount()
 	for number := range requests {
@@ -35,19 +35,20 @@
 		}
 	}
 	if reader.ReadCount() != reads {
-		t.Errorf("%d reads of the source for buffered requests", reader.ReadCount()-reads)
+		t.Errorf("got %d reads of the source for buffered requests, want 0", reader.ReadCount()-reads)
 	}
 	reader.Shrink()
 	if reader.BufferSize() != 0 {
-		t.Errorf("buffer size is %d bytes after Shrink", reader.BufferSize())
+		t.Errorf("got a buffer of %d bytes after Shrink, want 0", reader.BufferSize())
 	}
 }
 
+// The limit of a head also applies to bytes that ReadAhead has buffered beyond it.
 func TestReader_RejectsLongHeadAfterReadAhead(t *testing.T) {
 	reader := readerOf(strings.Repeat("a", 2*testLimits.MaxHead))
 	for reader.ReadAhead(2*testLimits.MaxHead) == nil {
 	}
 	if _, err := reader.ReadRequest(); !hasStatus(t, err, http.StatusRequestHeaderFieldsTooLarge) {
-		t.Error(err)
+		t.Error("want status 431, got:", err)
 	}
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -16,7 +16,7 @@
 type Request struct {
 	Method, Target string
 	Header         Header
-	Length         int64 // length of the body in bytes, as stated
+	Length         int64 // of the body in bytes; 0 if the head does not state it
 	Close          bool  // the client sends no more requests on this connection
 }
 
@@ -26,7 +26,7 @@
 	if err := r.WaitReadable(); err != nil {
 		return nil, err
 	}
-	if !isTokenChar(r.buffer[r.start]) {
+	if !isTokenChar(r.buffer[r.start]) { // rejected without waiting for a line end, which may never arrive
 		return nil, malformed("no request begins so")
 	}
 	budget := r.limits.MaxHead
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -20,26 +20,26 @@
 			request, err := reader.ReadRequest()
 			if err != nil || request.Method != "PUT" || request.Target != "/api?extent=01" ||
 				request.Length != 3 || request.Close {
-				t.Fatalf("%+v, %v", request, err)
+				t.Fatalf("first request: got %+v, %v", request, err)
 			}
 			if id, count := request.Header.Get("x-call-id"); id != "1" || count != 1 {
-				t.Fatalf("X-Call-Id %q in %d fields", id, count)
+				t.Fatalf("got X-Call-Id %q in %d fields, want 1 in one field", id, count)
 			}
 			if body, err := reader.ReadBody(request.Length); err != nil || string(body) != "abc" {
-				t.Fatalf("body %q, %v", body, err)
+				t.Fatalf("got body %q, %v; want abc", body, err)
 			}
 			if request, err = reader.ReadRequest(); err != nil || request.Method != "GET" || !request.Close {
-				t.Fatalf("second request: %+v, %v", request, err)
+				t.Fatalf("second request: got %+v, %v; want a GET that closes", request, err)
 			}
 			if _, err = reader.ReadRequest(); !errors.Is(err, io.EOF) {
-				t.Fatalf("end of input: %v", err)
+				t.Fatalf("end of input: got %v, want io.EOF", err)
 			}
 		})
 	}
 }
 
-// Each of these must be rejected with the status: where two parsers disagree on the end of a request, one of
-// them may take a part of its body for another request.
+// Each of these requests must be rejected with the status. Where two parsers disagree on the end of a
+// request, one of them may parse a part of its body as another request.
 func TestReader_RejectsMalformedRequests(t *testing.T) {
 	for name, test := range map[string]struct {
 		text   string
@@ -84,7 +84,7 @@
 		t.Run(name, func(t *testing.T) {
 			request, err := readerOf(test.text).ReadRequest()
 			if !hasStatus(t, err, test.status) {
-				t.Errorf("%+v, %v; want status %d", request, err, test.status)
+				t.Errorf("got %+v, %v; want status %d", request, err, test.status)
 			}
 		})
 	}
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -33,13 +33,14 @@
 			response, err := reader.ReadResponse()
 			if err != nil || response.Status != test.status || string(response.Body) != test.body ||
 				response.Close != test.closes || reader.Buffered() != test.buffered {
-				t.Errorf("%+v, %v, %d bytes buffered", response, err, reader.Buffered())
+				t.Errorf("got %+v, %v, %d bytes buffered", response, err, reader.Buffered())
 			}
 		})
 	}
 }
 
-// endlessSource never ends, like a response of gigabytes: the number of bytes that are read must be bounded.
+// endlessSource returns bytes without end, like a response of gigabytes, and counts them: a Reader must read
+// only a bounded number.
 type endlessSource struct{ count int }
 
 func (s *endlessSource) Read(buffer []byte) (int, error) {
@@ -50,6 +51,7 @@
 	return len(buffer), nil
 }
 
+// Each text is followed by endless input: it must be rejected after a bounded number of bytes.
 func TestReader_RejectsMalformedResponses(t *testing.T) {
 	for name, text := range map[string]string{
 		"noise":              "\x16\x03\x01 not an answer",
@@ -73,10 +75,10 @@
 			response, err := NewReader(source, testLimits).ReadResponse()
 			var rejected *Error
 			if !errors.As(err, &rejected) {
-				t.Errorf("%+v, %v", response, err)
+				t.Errorf("got %+v, %v; want an *Error", response, err)
 			}
 			if tail.count > 4*(testLimits.MaxHead+testLimits.MaxBody) {
-				t.Errorf("%d bytes read", tail.count)
+				t.Errorf("got %d bytes read, want at most 4*(MaxHead+MaxBody)", tail.count)
 			}
 		})
 	}
@@ -89,7 +91,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := readerOf(text).ReadResponse(); !errors.Is(err, io.ErrUnexpectedEOF) {
-				t.Error(err)
+				t.Error("want io.ErrUnexpectedEOF, got:", err)
 			}
 		})
 	}
