--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	replyHeaderSize = 4              // length of the frame
+	replyHeaderSize = 4              // bytes; the header is the length of the frame
 	maxTextLength   = math.MaxUint16 // bytes; a longer text is truncated
 )
 
-// Reply collects the encoded actions that answer one batch in a frame.
+// Reply is a frame of the encoded actions that answer one batch.
 type Reply struct{ frame []byte }
 
 // NewReply returns an empty reply.
@@ -106,7 +106,7 @@
 	return binary.LittleEndian.AppendUint64(body, uint64(max(duration, 0)))
 }
 
-// appendText appends a text preceded by its length in bytes.
+// appendText appends a text, truncated to maxTextLength, preceded by its length in bytes.
 func appendText(body, text []byte) []byte {
 	text = text[:min(len(text), maxTextLength)]
 	return append(binary.LittleEndian.AppendUint16(body, uint16(len(text))), text...)
--- a/internal/wire/actions_test.go
+++ b/internal/wire/actions_test.go
@@ -11,7 +11,7 @@
 
 func TestReply_MayBeEmpty(t *testing.T) {
 	if got := NewReply().Bytes(); !bytes.Equal(got, unhex(t, "04000000")) {
-		t.Fatalf("empty reply is %x", got)
+		t.Fatalf("empty reply: got %x, want 04000000", got)
 	}
 }
 
@@ -51,6 +51,6 @@
 	reply.AddFault(3, "index out of range")
 	want := "59 16000000 0300 1200 696e646578206f7574206f662072616e6765"
 	if got := reply.Bytes()[replyHeaderSize:]; !bytes.Equal(got, unhex(t, want)) {
-		t.Errorf("fault: got %x", got)
+		t.Errorf("fault: got %x, want the bytes of the documentation", got)
 	}
 }
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -37,9 +37,9 @@
 	Event    scheduler.Event // nil: a start or a stop
 }
 
-// Batch holds the records received at one clock value.
+// Batch contains the records received at one clock value.
 type Batch struct {
-	Now     time.Duration
+	Now     time.Duration // the clock value
 	Records []Record
 }
 
--- a/internal/wire/batch_test.go
+++ b/internal/wire/batch_test.go
@@ -14,7 +14,7 @@
 func TestDecodeBatch_DecodesEmptyBatch(t *testing.T) {
 	batch, err := DecodeBatch(unhex(t, "00000000 10000000 "+pageClock))
 	if err != nil || len(batch.Records) != 0 || batch.Now != 0x1f568bf90 {
-		t.Fatalf("got %+v, %v", batch, err)
+		t.Fatalf("got %+v, %v; want the documented clock and no records", batch, err)
 	}
 }
 
@@ -65,7 +65,7 @@
 		})
 	}
 	if _, err := ReadBatch(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("end of input: got %v, want io.EOF", err)
 	}
 }
 
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -101,6 +101,7 @@
 }
 
 func (d *decoder) endpoint() scheduler.Endpoint {
+	// The fields are in the order in which they are encoded.
 	endpoint := scheduler.Endpoint{
 		Status:          scheduler.Status(d.uint8()),
 		Server:          d.server(),
@@ -117,6 +118,7 @@
 }
 
 func (d *decoder) request() scheduler.Request {
+	// The protocol encodes the integers Cell and VolumeInstances as floats.
 	request := scheduler.Request{ID: d.uint32(), Class: int(d.uint8()), Cell: int(d.float32())}
 	options := d.uint8()
 	request.Retry = options&optionRetry != 0
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -22,7 +22,8 @@
 // pageClock is the encoded clock of the batches in the protocol's documentation.
 const pageClock = "90bf68f501000000"
 
-// frameOf returns the frame of a batch at pageClock; count and body are hex digits, body the records.
+// frameOf returns the frame of a batch at pageClock, of less than 64 KiB. count, the number of records, and
+// body, the records, are in the notation of unhex.
 func frameOf(t testing.TB, count, body string) []byte {
 	t.Helper()
 	frame := unhex(t, count+"00000000"+pageClock+body)
--- a/internal/wire/nested_test.go
+++ b/internal/wire/nested_test.go
@@ -87,7 +87,7 @@
 	if got.Classes[1] != "field-write" || got.Plans[0] != "standard" || got.Zone("hall b") != 1 ||
 		got.Zone("hall-z") != 255 || got.Shards != 9 || got.MaxOpenRequests != 333 ||
 		got.IdleTimeout.Seconds() != 15 || got.AnswerSlack.Milliseconds() != 8 {
-		t.Fatalf("fields other than Settings: %+v", got)
+		t.Fatalf("fields other than Settings: got %+v, want those of nestedSettings", got)
 	}
 }
 
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -19,18 +19,18 @@
 	if settings.InstanceIndex != 2 || settings.Instances != 3 || !settings.PollEndpoints ||
 		!settings.RetryBudget || len(settings.Classes) != 2 || len(settings.Plans) != 1 ||
 		settings.LoadFields != nil {
-		t.Errorf("got %+v", settings)
+		t.Errorf("got %+v, want the values of the lines", settings)
 	}
 	class := settings.Classes[1]
 	if class.Idempotency != scheduler.IdempotentByKey || class.DedupScope != scheduler.DedupCell ||
 		!class.OrderedByKey || !class.Writes {
-		t.Errorf("class 1: got %+v", class)
+		t.Errorf("class 1: got %+v, want an ordered write with idempotency key, of scope cell", class)
 	}
 	if settings.Classes[0].Deadline != 2500*time.Millisecond || settings.Plans[0].Limit != 35 {
-		t.Errorf("got %+v", settings)
+		t.Errorf("got %+v, want deadline 2.5 s of class 0 and limit 35 of plan 0", settings)
 	}
 	if _, err := ParseSettings(""); err != nil {
-		t.Errorf("empty settings: %v", err)
+		t.Errorf("empty settings: got %v, want no error", err)
 	}
 }
 
@@ -39,7 +39,7 @@
 		"limits.cancel=maybe", "registry_mode=sometimes", "round_ns=-5", "round_ns=nan", "no equals sign"} {
 		t.Run(line, func(t *testing.T) {
 			if _, err := ParseSettings(line + "\n"); err == nil {
-				t.Errorf("%q was accepted", line)
+				t.Errorf("%q was accepted, want an error", line)
 			}
 		})
 	}
--- a/internal/wire/site.go
+++ b/internal/wire/site.go
@@ -16,12 +16,12 @@
 // such as the names that clients and the registry use, and the limits and timeouts of connections.
 type Site struct {
 	Settings            scheduler.Settings
-	Classes, Plans      []string // names, by number
-	Zones, MachineTypes []string // names, by number
-	Shards              int
-	MaxOpenRequests     int
-	IdleTimeout         time.Duration
-	AnswerSlack         time.Duration
+	Classes, Plans      []string      // names, by number
+	Zones, MachineTypes []string      // names, by number
+	Shards              int           // number of shards; 0: unknown
+	MaxOpenRequests     int           // requests in flight; 0: not limited by the settings
+	IdleTimeout         time.Duration // after which nodes close idle connections; 0: unknown
+	AnswerSlack         time.Duration // how long after a request's deadline the instance itself fails it
 }
 
 // site returns the scheduler's settings, as ParseSettings does, and the other fields of Site.
@@ -47,12 +47,15 @@
 	return site, r.err
 }
 
-// Zone returns the number of the zone with a name of the registry, or 255 if the settings do not list it.
+// Zone returns the number of the zone with a name, as the registry states it, or 255 if the settings do not
+// list it.
 func (s *Site) Zone(name string) uint8 { return numberOf(s.Zones, name) }
 
 // MachineType returns the number of the machine type with a name, or 255 if the settings do not list it.
 func (s *Site) MachineType(name string) uint8 { return numberOf(s.MachineTypes, name) }
 
+// numberOf returns the index of a name in a list of the settings, in which listWord replaced commas and
+// spaces; 255 if it is missing.
 func numberOf(names []string, name string) uint8 {
 	if index := slices.Index(names, listWord(name)); index >= 0 && index < unknownNumber {
 		return uint8(index)
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// maxListLength bounds the length of a list in the settings: the number of a class or a plan must fit in
-// about one byte on the wire.
+// maxListLength bounds the length of a list in the settings: a larger count is rejected before it is looped
+// over. A class takes one byte on the wire, so that valid lists are far shorter.
 const maxListLength = 4096
 
 // valueReader looks up settings by their paths and converts their values. A missing value is zero.
