--- a/internal/sexpr/decode.go
+++ b/internal/sexpr/decode.go
@@ -7,7 +7,7 @@
 )
 
 // Checker is implemented by structs whose fields depend on one another. Decode calls Check when the struct is
-// filled, and adds the form's position to its error.
+// filled, and adds the form's position to its error. Check may also replace zero values with defaults.
 type Checker interface{ Check() error }
 
 // Decode fills the struct that out points to from a list, whose head the caller has checked. A field's
@@ -15,7 +15,7 @@
 //
 //	`s:"name"`           (name value), a bool also as (name); slices of scalars as (name a b c);
 //	                     structs as (name fields…), slices of structs as that form repeated
-//	`s:"name,required"`  missing is an error
+//	`s:"name,required"`  likewise; a missing form is an error
 //	`s:",arg"`           the next plain value after the head, required
 //	`s:",rest"`          a []string or []*Node of the remaining nodes
 //	`s:",pos"`           a Pos, set to the position of the form
@@ -28,7 +28,8 @@
 	return decodeStruct(form, reflect.ValueOf(out).Elem())
 }
 
-// DecodeOne decodes the nodes of a file that must contain exactly one form, with the given head.
+// DecodeOne decodes the nodes of a file that must contain exactly one form, with the given head; name is the
+// file name in the position of an error if there are no nodes.
 func DecodeOne(nodes []*Node, name, head string, out any) error {
 	if len(nodes) == 0 {
 		return Errorf(startOf(name), "found no form; want one (%s …)", head)
@@ -76,7 +77,7 @@
 	seen   map[string]bool // names of the fields found so far
 }
 
-// decodePositional decodes the fields without a name and returns the remaining nodes.
+// decodePositional sets the fields that have no named form, and returns the remaining nodes.
 func (d *structDecoder) decodePositional(rest []*Node) ([]*Node, error) {
 	for _, field := range d.fields {
 		value := d.value.Field(field.index)
@@ -102,7 +103,7 @@
 	return rest, nil
 }
 
-// decodeNamed decodes the forms that name a field.
+// decodeNamed decodes the forms whose heads are names of fields.
 func (d *structDecoder) decodeNamed(nodes []*Node) error {
 	for _, node := range nodes {
 		index := slices.IndexFunc(d.fields, func(field fieldSpec) bool {
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// decodeField decodes a form that names a field.
+// decodeField decodes a form whose head is the field's name into the field.
 func decodeField(node *Node, value reflect.Value, field fieldSpec) error {
 	switch {
 	case isForm(value.Type()):
--- a/internal/sexpr/decode_test.go
+++ b/internal/sexpr/decode_test.go
@@ -11,7 +11,7 @@
 	Wait time.Duration `s:"wait" min:"1ms" max:"1h"`
 }
 
-// testForm has a field of each kind that Decode supports.
+// testForm has required, bounded, optional and repeated fields, and scalars of several types.
 type testForm struct {
 	Count int       `s:"count,required" min:"1" max:"10"`
 	Ratio float64   `s:"ratio"`
@@ -43,12 +43,12 @@
 		len(decoded.Words) != 2 || decoded.Words[1] != "b c" ||
 		len(decoded.Rows) != 2 || decoded.Rows[0].Wait != 5*time.Millisecond ||
 		decoded.One.Wait != time.Second {
-		t.Errorf("got %+v", decoded)
+		t.Errorf("got %+v, want the values of the text", decoded)
 	}
 	printed := Print("outer", decoded)
 	again, err := decodeText(printed)
 	if err != nil || Print("outer", again) != printed {
-		t.Errorf("the printed form does not decode to the same value: %v\n%s", err, printed)
+		t.Errorf("the printed form must decode to the same value; got error %v, printed\n%s", err, printed)
 	}
 }
 
--- a/internal/sexpr/doc.go
+++ b/internal/sexpr/doc.go
@@ -1,5 +1,5 @@
 // Package sexpr reads, decodes and prints S-expressions, the format of settings files, scenarios,
-// expectations and extent problems.
+// fleets and expectations.
 //
 // Parse and ReadFile parse text into nodes, ReadTree also resolves includes, Decode fills a struct according
 // to its fields' tags, and Print writes a struct in the form that Decode reads. Errors in a text are of type
--- a/internal/sexpr/field.go
+++ b/internal/sexpr/field.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Options of a field's tag.
+// Options of a field's s tag; Decode describes them.
 const (
 	optionArg      = "arg"
 	optionPos      = "pos"
@@ -17,7 +17,7 @@
 type fieldSpec struct {
 	index    int    // of the field in the struct
 	name     string // of the form; "" for a positional field
-	option   string
+	option   string // "": none
 	min, max string // bounds; "" for none
 }
 
@@ -37,7 +37,8 @@
 	return fields
 }
 
-// isPositional reports whether the field is written without a form of its name.
+// isPositional reports whether the field has no named form: its value is an argument, the remaining nodes or
+// the form's position.
 func (f fieldSpec) isPositional() bool {
 	return f.option == optionPos || f.option == optionArg || f.option == optionRest
 }
--- a/internal/sexpr/include.go
+++ b/internal/sexpr/include.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Limits on includes: without them, a few small files that include one another repeatedly could expand to an
-// unlimited number of files.
+// Limits on includes: without them, a chain of small files, each of which includes the next one twice, would
+// double the number of files to read with each level.
 const (
-	MaxIncludeDepth = 16  // nested files, the outermost counted
+	MaxIncludeDepth = 16  // nested files, including the outermost
 	MaxIncludeFiles = 256 // files read in total, a file counted each time that it is read
 )
 
@@ -19,8 +19,9 @@
 const includeHead = "include"
 
 // ReadTree parses a file and replaces each (include "path") with the expressions of that file. A path is
-// relative to the file that names it. An error in an included file has its position in that file; a file that
-// is missing or that includes itself, directly or through others, is an error at the position of the include.
+// relative to the file that contains the include. An error in an included file has its position in that file;
+// a file that is missing or that includes itself, directly or through others, is an error at the position of
+// the include.
 func ReadTree(path string) ([]*Node, error) {
 	reader := &treeReader{}
 	return reader.read(path, nil)
@@ -29,8 +30,8 @@
 // treeReader reads a file and all files that it includes; files is the number of files read so far.
 type treeReader struct{ files int }
 
-// read parses a file and replaces its includes. The chain contains the files that lead to it, the outermost
-// first.
+// read parses a file and replaces its includes. The chain contains the files through which it is included,
+// the outermost first.
 func (r *treeReader) read(path string, chain []string) ([]*Node, error) {
 	r.files++
 	nodes, err := ReadFile(path)
--- a/internal/sexpr/include_test.go
+++ b/internal/sexpr/include_test.go
@@ -24,8 +24,8 @@
 	return dir
 }
 
-// Included expressions replace the include, paths are relative to the file that names them, and a file may be
-// included twice, one after the other.
+// Included expressions replace the include, paths are relative to the file that contains the include, and a
+// file may be included twice if neither include is within the other.
 func TestReadTree_SplicesIncludes(t *testing.T) {
 	dir := writeFiles(t, map[string]string{
 		"a.lisp": `(a 1 (include "sub/b.lisp") 2
--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -18,7 +18,7 @@
 	MaxDepth = 64      // of nested lists
 )
 
-// Names of the tokens that checkNesting counts.
+// Names of the tokens by which checkNesting tracks the nesting depth.
 const (
 	tokenOpen  = "Open"
 	tokenClose = "Close"
@@ -86,7 +86,7 @@
 	return convertTerms(name, parsed.Terms)
 }
 
-// syntaxError converts an error of the lexer or the parser.
+// syntaxError converts an error of the lexer or the parser into an *Error.
 func syntaxError(name string, err error) error {
 	var positioned participle.Error
 	if errors.As(err, &positioned) {
@@ -95,7 +95,7 @@
 	return WrapError(startOf(name), err)
 }
 
-// posOf converts a position; the lexer leaves line and column zero where it has none.
+// posOf converts a position of the lexer, which leaves line and column 0 if the position is unknown.
 func posOf(name string, position lexer.Position) Pos {
 	return Pos{File: name, Line: max(position.Line, 1), Col: max(position.Column, 1)}
 }
--- a/internal/sexpr/parse_test.go
+++ b/internal/sexpr/parse_test.go
@@ -24,10 +24,10 @@
 		text := drawNode(t, 4).String()
 		parsed, err := Parse("x", []byte(text))
 		if err != nil {
-			t.Fatalf("%q: %v", text, err)
+			t.Fatalf("parsing %q: %v", text, err)
 		}
 		if len(parsed) != 1 || parsed[0].String() != text {
-			t.Fatalf("%q parses as %v", text, parsed)
+			t.Fatalf("%q parses as %v, want the same node", text, parsed)
 		}
 	})
 }
--- a/internal/sexpr/print.go
+++ b/internal/sexpr/print.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// Print formats a struct in the form that Decode reads, with the values of all fields, defaults included.
+// Print formats a struct in the form that Decode reads, with the values of all fields, defaults included. It
+// omits optional forms that are nil and values that Decode cannot have set.
 func Print(head string, settings any) string {
 	p := &printer{}
 	p.printStruct(head, reflect.Indirect(reflect.ValueOf(settings)), 0)
@@ -34,7 +35,7 @@
 		p.text.WriteString(" " + scalarText(value))
 	case field.option == optionRest:
 		p.printElements(value)
-	case value.Kind() == reflect.Pointer && value.IsNil():
+	case value.Kind() == reflect.Pointer && value.IsNil(): // an optional form that is not set
 	case isForm(value.Type()):
 		p.startLine(depth)
 		p.printStruct(field.name, reflect.Indirect(value), depth+1)
