--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// Class is a class of requests: (class …).
+// Class is a class of requests: (class …). Its fields have the meanings of those of scheduler.Class; a
+// PriorityWeight of 0 is replaced with 1 when the site is checked.
 type Class struct {
 	Name             string        `s:",arg"`
 	LatencyObjective time.Duration `s:"aim,required" min:"1ms" max:"1h"`
@@ -63,7 +64,7 @@
 	case c.LatencyObjective > c.Deadline:
 		return fmt.Errorf("class %s: aim %v exceeds deadline %v", c.Name, c.LatencyObjective, c.Deadline)
 	case isKeyed && c.DedupWindow == 0:
-		return fmt.Errorf("class %s is keyed; want (window …), the time for which its group deduplicates",
+		return fmt.Errorf("class %s is keyed; it requires a (window …) in which its group deduplicates",
 			c.Name)
 	case !isKeyed && c.DedupWindow > 0:
 		return fmt.Errorf("class %s is %v; only a keyed class has a (window …)", c.Name, c.Idempotency)
--- a/internal/config/expectation.go
+++ b/internal/config/expectation.go
@@ -58,7 +58,8 @@
 	return expectation, err
 }
 
-// parseClaim parses the bound of a claim and returns the form of the bounded measure.
+// parseClaim sets an expectation's bound from a claim and returns the form (MEASURE OF). An always claim
+// means at least 1, a never claim at most 0.
 func parseClaim(claim *sexpr.Node, expectation *expect.Expectation) (measured *sexpr.Node, err error) {
 	switch head := claim.Head(); {
 	case (head == claimAtMost || head == claimAtLeast) && len(claim.List) == 3:
@@ -83,8 +84,8 @@
 	return bound, nil
 }
 
-// requireMeasure returns an error if a claim without a bound, such as (always …), is about another measure
-// than the one that it accepts.
+// requireMeasure returns an error if the measure of a claim without a bound, such as (always …), is not the
+// one that the claim accepts.
 func requireMeasure(claim *sexpr.Node, want expect.Measure) error {
 	measured := claim.List[1]
 	if measured.Head() != string(want) {
@@ -121,7 +122,7 @@
 	return &expect.Missing{Count: count, Of: of}, nil
 }
 
-// parseSelector parses a selector of one of the given kinds, which must match something.
+// parseSelector parses a selector of one of the given kinds, which must match at least one object.
 func parseSelector(model *expect.Model, node *sexpr.Node, kinds []expect.Kind) (expect.Selector, error) {
 	if len(node.List) != 2 || node.List[1].IsList() || !slices.Contains(kinds, expect.Kind(node.Head())) {
 		return expect.Selector{}, sexpr.Errorf(node.Pos, "found %v; want one of %v with a name, as (%s *)",
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -22,9 +22,9 @@
 	Pos     sexpr.Pos `s:",pos"`
 	Plan    string    `s:"plan,required"`
 	Count   int       `s:"count" min:"0" max:"1000000"` // identical volumes; 0: one
-	Writers int       `s:"writers" min:"0" max:"65535"` // instances that its requests state; 0: one
-	Paths   int       `s:"paths" min:"0" max:"65535"`   // instances its requests may arrive at; 0: Writers
-	Cells   []int     `s:"cells"`                       // empty: all
+	Writers int       `s:"writers" min:"0" max:"65535"` // instances, as stated in its requests; 0: one
+	Paths   int       `s:"paths" min:"0" max:"65535"`   // instances where its requests may arrive; 0: Writers
+	Cells   []int     `s:"cells"`                       // that store its data; empty: all
 }
 
 // Fleet is a planned fleet with its site: (fleet …).
--- a/internal/config/instance.go
+++ b/internal/config/instance.go
@@ -20,13 +20,13 @@
 	Seed            uint64        `s:"seed"`
 	Listen          Addr          `s:"listen,required"`
 	Registry        Addr          `s:"list,required"`
-	SnapshotFile    string        `s:"kept-list"` // cached endpoint list for the next incarnation; "": none
-	StatisticsFile  string        `s:"learnt"`    // learned statistics for the next incarnation; "": none
-	PeerListen      Addr          `s:"peer-listen"`
+	SnapshotFile    string        `s:"kept-list"`   // cached endpoint list for the next incarnation; "": none
+	StatisticsFile  string        `s:"learnt"`      // learned statistics for the next incarnation; "": none
+	PeerListen      Addr          `s:"peer-listen"` // zero: no messages between instances
 	Peers           []Peer        `s:"peer"`
 	LogLevel        string        `s:"log-level"`
 	LogJSON         bool          `s:"log-json"`
-	ShutdownTimeout time.Duration `s:"stop-within" min:"0s" max:"10m"`
+	ShutdownTimeout time.Duration `s:"stop-within" min:"0s" max:"10m"` // for open requests at shutdown
 	Site            Site          `s:"site,required"`
 }
 
@@ -49,7 +49,7 @@
 		return err
 	}
 	if !i.Site.Limits.PeerMessages && (i.PeerListen.IsValid() || len(i.Peers) > 0) {
-		return errors.New("the site has (peers no): want no (peer-listen …) and no (peer …)")
+		return errors.New("the site has (peers no): (peer-listen …) and (peer …) are not allowed")
 	}
 	if i.StatisticsFile != "" && i.StatisticsFile == i.SnapshotFile {
 		return fmt.Errorf("(learnt …) and (kept-list …) name the same file %s", i.StatisticsFile)
--- a/internal/config/instance_test.go
+++ b/internal/config/instance_test.go
@@ -30,7 +30,7 @@
 	printed := sexpr.Print("instance", instance)
 	again, err := loadInstance(t, printed)
 	if err != nil || sexpr.Print("instance", again) != sexpr.Print("instance", instance) {
-		t.Errorf("%v\n%s", err, printed)
+		t.Errorf("the printed settings must load as they were; got error %v, printed\n%s", err, printed)
 	}
 }
 
--- a/internal/config/invalid_test.go
+++ b/internal/config/invalid_test.go
@@ -12,7 +12,7 @@
 	return "(instance (listen 127.0.0.1:1) (list 127.0.0.1:2)" + forms + ")"
 }
 
-// invalidSettings are instances that Load rejects, and the text that their errors must contain.
+// invalidSettings are settings of instances that Load must reject, and texts that the errors must contain.
 var invalidSettings = []struct{ name, text, want string }{
 	{"required form missing", "(instance)", "i.lisp:1:1: (instance …) is missing (listen …)"},
 	{"instance number out of range",
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -6,7 +6,9 @@
 	"landingpaddle/scheduler"
 )
 
-// Plan is a service plan: (plan …). Rates are in units per second over all instances and nodes.
+// Plan is a service plan: (plan …). Its fields have the meanings of those of scheduler.Plan; a Weight or
+// PriorityWeight of 0 is replaced with 1 when the site is checked. Rates are in units per second over all
+// instances and nodes.
 type Plan struct {
 	Name           string  `s:",arg"`
 	Rate           float64 `s:"rate,required" min:"0"`
@@ -21,7 +23,8 @@
 // Check reports fields that contradict one another.
 func (p *Plan) Check() error {
 	if p.Limit > 0 && p.Burst <= 0 {
-		return fmt.Errorf("plan %s has a limit; want (burst …), the units that its bucket holds", p.Name)
+		return fmt.Errorf("plan %s has a limit; it requires (burst …), the units that its bucket holds",
+			p.Name)
 	}
 	return nil
 }
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -8,14 +8,19 @@
 	"landingpaddle/scheduler"
 )
 
-// RetryBudget bounds retries by floor + ratio × requests within a window: (budget …).
+// RetryBudget limits an instance's retries to floor + ratio × requests within a window: (budget …).
 type RetryBudget struct {
 	Floor  float64       `s:"floor" min:"0"`
 	Ratio  float64       `s:"ratio" min:"0"`
 	Window time.Duration `s:"window,required" min:"1ms" max:"10m"`
 }
 
-// Rules are the parameters of the seven rules that a fleet must keep: (rules …).
+// Rules are the parameters of the rules that a fleet must keep: (rules …). The invariant checker of package
+// testbed verifies these rules.
+//
+// AnswerSlack is the time by which an answer may exceed the client's timeout, DrainGrace the time in which
+// attempts may still be sent to a node after the notification of its drain or removal. The other fields have
+// the meanings of those of scheduler.Settings.
 type Rules struct {
 	AnswerSlack     time.Duration `s:"answer-slack" min:"0s" max:"10s"`
 	DrainGrace      time.Duration `s:"drain-grace" min:"0s" max:"1m"`
@@ -42,12 +47,12 @@
 		return nil
 	}
 	if r.RetryBudget.Floor+r.RetryBudget.Ratio == 0 {
-		return errors.New("a retry budget of 0 allows no retry; want (attempts 1) as well")
+		return errors.New("a retry budget of 0 allows no retry; it requires (attempts 1)")
 	}
 	return nil
 }
 
-// checkSlowStart reports a slow start whose parameters are incomplete.
+// checkSlowStart reports a slow start whose parameters are missing or out of range.
 func (r *Rules) checkSlowStart() error {
 	if r.SlowStartPeriod <= 0 {
 		return nil
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -12,7 +12,8 @@
 // maxZones is the number of values of a byte, less the one reserved for an unknown zone.
 const maxZones = 255
 
-// Site contains the settings that all instances, nodes and clients of a fleet share: (site …).
+// Site contains the settings that all instances, nodes and clients of a fleet share: (site …). The fields
+// that scheduler.Settings has too are described there.
 type Site struct {
 	Zones            []string      `s:"zones"`
 	PollEndpoints    bool          `s:"ask"`
@@ -62,7 +63,7 @@
 			s.Limits.MaxPayload)
 	}
 	if s.SpareWeight > s.ShareWeight {
-		return fmt.Errorf("spare-worth %v exceeds share-worth %v: units beyond a share are worth no more",
+		return fmt.Errorf("spare-worth %v exceeds share-worth %v: spare units must not be worth more",
 			s.SpareWeight, s.ShareWeight)
 	}
 	if err := s.Rules.checkRetryBudget(s.Limits.MaxAttempts); err != nil {
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -35,31 +35,32 @@
 		settings.OrderingPause != 50*time.Millisecond ||
 		!settings.RetryBudget || settings.RetryBudgetFloor != 3 || settings.RetryBudgetRatio != 0.1 ||
 		settings.RetryBudgetWindow != 4*time.Second {
-		t.Errorf("settings %+v", settings)
+		t.Errorf("got settings %+v, want the values of siteForm", settings)
 	}
 	plan := settings.Plans[0]
 	if settings.RetryAfter || !settings.HedgedRequests || !settings.HealthChecks ||
 		settings.ShareWeight != 0.35 || settings.SpareWeight != 0.1 ||
 		!settings.RetriesMarked || !settings.ReportsElsewhere ||
 		plan.PriorityWeight != 1.5 {
-		t.Errorf("site-wide settings %+v", settings)
+		t.Errorf("got settings %+v, want the limits and weights of siteForm", settings)
 	}
 	class := settings.Classes[1]
 	if class.Idempotency != scheduler.IdempotentByKey || class.DedupScope != scheduler.DedupZone ||
 		class.DedupWindow != 5*time.Second || !class.OrderedByKey || !class.Writes ||
 		class.PriorityWeight != 3 || class.LateFraction != 0.2 ||
 		class.LatencyObjective != 200*time.Millisecond {
-		t.Errorf("class %+v", class)
+		t.Errorf("got class %+v, want the values of class w", class)
 	}
 	if plan.Rate != 5 || plan.Reserve != 2 || plan.Weight != 2 || plan.Limit != 10 || plan.Burst != 20 ||
 		plan.LimitSlack != 3 {
-		t.Errorf("plan %+v", plan)
+		t.Errorf("got plan %+v, want the values of plan p", plan)
 	}
 }
 
-// A site that does not set weights, Retry-After, a retry budget and peer messages gets the scheduler's
-// behaviour from before these settings existed.
-func TestSite_DefaultsKeepEarlierBehaviour(t *testing.T) {
+// A site that does not set weights, Retry-After, a retry budget and peer messages keeps the behaviour from
+// before these settings existed: equal weights, Retry-After is sent, retries are not limited by a budget, and
+// instances may send messages to one another.
+func TestSite_DefaultWeightsRetriesAndPeerMessages(t *testing.T) {
 	instance, err := loadInstance(t, "(instance (listen 127.0.0.1:1) (list 127.0.0.1:2)\n"+
 		"(site (class r (aim 1s) (deadline 2s)) (class w (aim 1s) (deadline 2s))\n"+
 		"(plan p (rate 1)) (plan q (rate 2))))")
@@ -72,6 +73,6 @@
 		settings.Plans[0].PriorityWeight != settings.Plans[1].PriorityWeight ||
 		!settings.RetryAfter || settings.RetryBudget ||
 		!instance.Site.Limits.PeerMessages {
-		t.Errorf("settings %+v", settings)
+		t.Errorf("got %+v, want equal weights, Retry-After, no retry budget and peer messages", settings)
 	}
 }
