--- a/cmd/storage-gateway/call.go
+++ b/cmd/storage-gateway/call.go
@@ -12,7 +12,7 @@
 
 const maxCallCount = 100_000
 
-// errCallBounds is returned for flags of call that are out of bounds.
+// errCallBounds is returned if a flag of the command call is out of bounds.
 var errCallBounds = errors.New("count must be 1 to 100000; rate, cells and volumes must be over 0")
 
 type callCommand struct {
@@ -29,7 +29,8 @@
 	Log     string        `help:"Write the client's log to this file, for audit."`
 }
 
-// Run sends requests at a constant rate and prints the number of requests by outcome.
+// Run sends requests at a constant rate and prints the number of requests by outcome and their mean latency.
+// It ignores the first signal; a second one stops it.
 func (c *callCommand) Run(out io.Writer) error {
 	if c.Count < 1 || c.Count > maxCallCount || c.Rate <= 0 || c.Cells < 1 || c.Volumes < 1 {
 		return errCallBounds
--- a/cmd/storage-gateway/check.go
+++ b/cmd/storage-gateway/check.go
@@ -12,7 +12,7 @@
 	File string `arg:"" type:"existingfile" help:"Settings file of an instance, node, list, day or site."`
 }
 
-// Run prints the effective settings, including defaults.
+// Run checks a settings file and prints the effective settings, including defaults.
 func (c *checkCommand) Run(out io.Writer) error {
 	forms, err := sexpr.ReadTree(c.File)
 	if err != nil {
--- a/cmd/storage-gateway/forms_test.go
+++ b/cmd/storage-gateway/forms_test.go
@@ -12,7 +12,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// Sub-commands, arguments, flags and their defaults are interfaces that must not change unnoticed.
+// Sub-commands, arguments, flags and their defaults are interfaces for users and scripts: the file makes each
+// change of them visible.
 func TestForms_CommandsAndFlagsMatchFile(t *testing.T) {
 	parser, err := kong.New(&commands{})
 	if err != nil {
@@ -33,7 +34,8 @@
 	compareWithFile(t, "testdata/forms/commands.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// The output of check for the shipped examples contains every form of the settings with its default.
+// The output of check for the shipped examples contains the forms of the settings with their defaults, except
+// optional forms and faults that no example contains, such as (peer …) and (kill-node …).
 func TestForms_SettingsMatchFile(t *testing.T) {
 	examples, err := filepath.Abs("../../examples")
 	if err != nil {
--- a/cmd/storage-gateway/list.go
+++ b/cmd/storage-gateway/list.go
@@ -11,7 +11,7 @@
 	"landingpaddle/internal/testbed"
 )
 
-// unknownNode is the Node of an event that identifies the node by its address, in Reason.
+// unknownNode is the Node of an event whose Reason identifies the node by its address.
 const unknownNode = -1
 
 // listCommand is the sub-command that runs the stand-in registry.
--- a/cmd/storage-gateway/main.go
+++ b/cmd/storage-gateway/main.go
@@ -17,7 +17,7 @@
 const (
 	exitOK      = 0
 	exitFailure = 1 // a violated invariant, a broken expectation or another failure
-	exitUsage   = 2
+	exitUsage   = 2 // an invalid command line
 )
 
 // commands are the sub-commands.
--- a/cmd/storage-gateway/main_test.go
+++ b/cmd/storage-gateway/main_test.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// freePorts replaces the addresses of the examples by those of free ports. The listeners stay open until all
-// ports are chosen, so that none is assigned twice.
+// freePorts replaces the addresses of the examples with those of free ports. The listeners stay open until
+// all ports are chosen, so that none is assigned twice.
 type freePorts struct {
 	byExample map[string]string
 	held      []net.Listener
@@ -112,7 +112,7 @@
 	return nil, err
 }
 
-// waitUntilReached waits until an address accepts connections.
+// waitUntilReached waits until an address accepts connections; it tries 200 times, 50 ms apart.
 func waitUntilReached(script *testscript.TestScript, _ bool, args []string) {
 	for range 200 {
 		if conn, err := net.Dial("tcp4", args[0]); err == nil {
@@ -121,5 +121,5 @@
 		}
 		script.Check(script.Exec("sleep", "0.05"))
 	}
-	script.Fatalf("no listener at %s", args[0])
+	script.Fatalf("%s accepts no connections after 200 attempts", args[0])
 }
--- a/cmd/storage-gateway/node.go
+++ b/cmd/storage-gateway/node.go
@@ -22,6 +22,7 @@
 	if err := config.Load(c.Config, "node", &settings); err != nil {
 		return err
 	}
+	// The node deduplicates alone, whatever the scope: nodes in other processes cannot share its group.
 	events, group := testbed.NewLog(), testbed.NewDedupGroup()
 	node, err := testbed.NewNode(testbed.NodeConfig{
 		Number:      settings.Number,
--- a/cmd/storage-gateway/output.go
+++ b/cmd/storage-gateway/output.go
@@ -25,7 +25,8 @@
 	return report.Err()
 }
 
-// writeLog writes a stand-in's log to path if the stand-in ended without an error; an empty path writes none.
+// writeLog writes a stand-in's log to path if err, the error with which the stand-in ended, is nil; otherwise
+// it returns err. An empty path writes none.
 func writeLog(err error, events *testbed.Log, path string) error {
 	if err == nil && path != "" {
 		return events.WriteFile(path)
--- a/cmd/storage-gateway/scenario.go
+++ b/cmd/storage-gateway/scenario.go
@@ -51,6 +51,7 @@
 	return printReport(out, report, c.JSON)
 }
 
+// scenario returns the scenario of the file, or the embedded one if no file is given.
 func (c *dayCommand) scenario() (testbed.Scenario, error) {
 	scenario, err := testbed.FaultScenario()
 	if c.File != "" {
@@ -71,13 +72,13 @@
 	return nil
 }
 
-// scenarioRun holds the options with which a command runs scenarios.
+// scenarioRun contains the options with which a command runs scenarios.
 type scenarioRun struct {
 	seed    uint64
 	verbose bool // show the instances' logs
 }
 
-// record runs a scenario until it ends or a second signal is received.
+// record runs a scenario until it ends or a second signal is received; the first signal is ignored.
 func (r scenarioRun) record(scenario *testbed.Scenario, hooks daemon.Hooks) (*testbed.Recording, error) {
 	dir, err := os.MkdirTemp("", "landingpaddle-day-*")
 	if err != nil {
--- a/cmd/storage-gateway/sweep.go
+++ b/cmd/storage-gateway/sweep.go
@@ -33,7 +33,8 @@
 	summary testbed.Summary
 }
 
-// Run runs the scenario once for each value of one bound on merging; a violated invariant is an error.
+// Run runs the scenario once for each value of one bound on merging and prints a line for each; a violated
+// invariant is an error.
 func (c *sweepCommand) Run(out io.Writer) error {
 	var points []sweepPoint
 	name := ""
