--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// instances maps the numbers of the running instances to their schedulers.
+// instances contains the schedulers of the running instances, by instance number.
 type instances map[uint16]*scheduler.Scheduler
 
 // run answers each batch with one reply until the input ends.
