--- a/examples/move-site.lisp
+++ b/examples/move-site.lisp
@@ -1,6 +1,6 @@
 ; Site settings of a newer build, to which the fleet of fleet-site.lisp moves: instances send no messages to
 ; one another, rejections have no Retry-After, a write is never executed twice, a budget limits retries,
-; classes and plans have different priority weights, nodes report their queue.
+; classes and plans have different priority weights, nodes report their load.
 (site
   (zones hall-a hall-b) (ask) (meter 1s) (elsewhere) (load q busy) (share-worth 0.35) (spare-worth 0.08) (retries-known)
   (class read  (aim 300ms) (deadline 1500ms) (repeat safe) (worth 3) (late 0.1))
