--- a/internal/daemon/client_listener.go
+++ b/internal/daemon/client_listener.go
@@ -100,7 +100,7 @@
 	}
 	l.remove(connection)
 	for _, call := range connection.removeAll() {
-		l.instance.ClientGone(call)
+		l.instance.CancelCall(call)
 	}
 }
 
@@ -111,7 +111,7 @@
 		return l.handleRequest(connection, frame)
 	case proto.TypeCancel:
 		if call := connection.get(frame.Stream); call != nil {
-			l.instance.ClientGone(call)
+			l.instance.CancelCall(call)
 		}
 		return nil
 	case proto.TypeHealthCheck:
--- a/internal/daemon/event_loop_input.go
+++ b/internal/daemon/event_loop_input.go
@@ -27,8 +27,8 @@
 // Submit passes an admitted call to the loop, which owns it from then on.
 func (e *EventLoop) Submit(call *Call) { e.inbox.put(callSubmitted{call}) }
 
-// ClientGone reports that a call's client has disconnected or has cancelled the call.
-func (e *EventLoop) ClientGone(call *Call) {
+// CancelCall reports that a call's client has disconnected or has cancelled the call.
+func (e *EventLoop) CancelCall(call *Call) {
 	call.unwanted.Store(true) // at once: an attempt might start before the loop's next batch
 	e.inbox.put(clientGone{call})
 }
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -84,7 +84,7 @@
 	} else {
 		f.loop.Submit(request.call)
 		if !f.readAheadUntilAnswered(client) {
-			f.loop.ClientGone(request.call)
+			f.loop.CancelCall(request.call)
 			<-request.answered
 			return false
 		}
