--- a/endpoints/view.go
+++ b/endpoints/view.go
@@ -120,10 +120,10 @@
 	return v.schedulerUpdate(clock, scheduler.UpdateDelta, []Endpoint{endpoint}), true
 }
 
-// ApplyGreeting records the start that a node stated in its handshake. A start newer than the listed one
+// ApplyHello records the start that a node stated in its handshake. A start newer than the listed one
 // reports a restart before the list does: the node is cold now. Its status stays as listed, as only the list
 // states that a drain is over. The second result is false if nothing changes.
-func (v *View) ApplyGreeting(clock Clock, server scheduler.Server,
+func (v *View) ApplyHello(clock Clock, server scheduler.Server,
 	startedAt int64) (scheduler.EndpointUpdate, bool) {
 
 	endpoint, listed := v.listed[server]
--- a/endpoints/view_properties_test.go
+++ b/endpoints/view_properties_test.go
@@ -100,7 +100,7 @@
 	if !hasStarted {
 		return
 	}
-	if update, changed := m.view.ApplyGreeting(now, address, startedAt); changed {
+	if update, changed := m.view.ApplyHello(now, address, startedAt); changed {
 		m.check(t, update)
 	}
 }
--- a/endpoints/view_test.go
+++ b/endpoints/view_test.go
@@ -104,7 +104,7 @@
 	view := New(skew)
 	old := wall - int64(time.Minute)
 	apply(t, view, 0, fullList(1, ready(1, old)), Applied)
-	update, ok := view.ApplyGreeting(clock(time.Second), server(1), wall+int64(900*time.Millisecond))
+	update, ok := view.ApplyHello(clock(time.Second), server(1), wall+int64(900*time.Millisecond))
 	if !ok || update.Endpoints[0].StartedAt < time.Hour {
 		t.Fatalf("got %+v, changed %v; want a later start", update, ok)
 	}
@@ -114,7 +114,7 @@
 		t.Errorf("a list from before the restart changed the start from %v to %v",
 			fresh, update.Endpoints[0].StartedAt)
 	}
-	if _, ok := view.ApplyGreeting(clock(time.Second), server(1), old); ok {
+	if _, ok := view.ApplyHello(clock(time.Second), server(1), old); ok {
 		t.Error("an older start changed the state")
 	}
 }
@@ -125,7 +125,7 @@
 	draining := ready(1, wall-int64(time.Minute))
 	draining.Status = scheduler.Draining
 	apply(t, view, 0, fullList(1, draining), Applied)
-	if update, _ := view.ApplyGreeting(clock(0), server(1), wall); status(update, 1) != scheduler.Draining {
+	if update, _ := view.ApplyHello(clock(0), server(1), wall); status(update, 1) != scheduler.Draining {
 		t.Errorf("got %+v, want status draining", update)
 	}
 }
--- a/internal/daemon/messages.go
+++ b/internal/daemon/messages.go
@@ -75,7 +75,7 @@
 type greetingReceived struct{ node nodeProcess }
 
 func (m greetingReceived) apply(l *loop) {
-	update, changed := l.view.ApplyGreeting(l.shared.clock(), m.node.server, m.node.startedAt)
+	update, changed := l.view.ApplyHello(l.shared.clock(), m.node.server, m.node.startedAt)
 	l.updateFromNode("node restarted", m.node.server, update, changed)
 }
 
