--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -12,7 +12,7 @@
 // twoZones returns a fleet of two zones with two nodes each, of 100 units per second, and a standby for
 // cell 0 in the second zone.
 func twoZones() *Fleet {
-	return &Fleet{Instances: 4, ColdUnits: 60, MeanUnits: 2,
+	return &Fleet{Instances: 4, ColdCapacity: 60, MeanUnits: 2,
 		Plans: []Plan{{Name: "standard", Reserve: 10, Weight: 1, Limit: 50},
 			{Name: "operational", Reserve: 60, Weight: 3}},
 		Nodes: []Node{{"a-1", 0, "a", 100}, {"a-2", 1, "a", 100}, {"b-1", 2, "b", 100}, {"b-2", 3, "b", 100},
@@ -169,7 +169,7 @@
 
 // BenchmarkLargeFleet checks 50 expectations of a fleet of 200 nodes, 190 instances and 5,000 volumes.
 func BenchmarkLargeFleet(b *testing.B) {
-	f := &Fleet{Instances: 190, ColdUnits: 400, MeanUnits: 2}
+	f := &Fleet{Instances: 190, ColdCapacity: 400, MeanUnits: 2}
 	for i := range 5 {
 		f.Plans = append(f.Plans, Plan{Name: fmt.Sprint("plan-", i), Reserve: 1, Weight: float64(1 + i),
 			Limit: 9})
--- a/expect/fleet.go
+++ b/expect/fleet.go
@@ -27,10 +27,10 @@
 
 // Fleet is a planned fleet.
 type Fleet struct {
-	Instances int
-	Plans     []Plan
-	Nodes     []Node // if several have the same cell, the first that is not missing serves it
-	Volumes   []Volume
-	ColdUnits float64 // units that a cold node accepts from all instances within a window
-	MeanUnits float64 // mean units of a request
+	Instances    int
+	Plans        []Plan
+	Nodes        []Node // if several have the same cell, the first that is not missing serves it
+	Volumes      []Volume
+	ColdCapacity float64 // units that a cold node accepts from all instances within a window
+	MeanUnits    float64 // mean units of a request
 }
--- a/expect/measure.go
+++ b/expect/measure.go
@@ -104,7 +104,7 @@
 	units := m.MeanUnits * float64(max(1, m.Instances))
 	for _, node := range m.selectNodes(e.Of) {
 		if !down[node] {
-			report(Nodes, m.Nodes[node].Name, ratio(units, m.ColdUnits))
+			report(Nodes, m.Nodes[node].Name, ratio(units, m.ColdCapacity))
 		}
 	}
 }
--- a/internal/config/fleet_model.go
+++ b/internal/config/fleet_model.go
@@ -9,9 +9,9 @@
 // duplicate names and for zones, plans, cells and instances that the fleet does not have.
 func (f *Fleet) model() (*expect.Model, error) {
 	fleet := &expect.Fleet{
-		Instances: f.Instances,
-		ColdUnits: f.Site.Rules.ColdCapacity,
-		MeanUnits: f.Site.MeanUnits,
+		Instances:    f.Instances,
+		ColdCapacity: f.Site.Rules.ColdCapacity,
+		MeanUnits:    f.Site.MeanUnits,
 	}
 	for _, plan := range f.Site.Plans {
 		fleet.Plans = append(fleet.Plans,
