--- a/expect/fleet.go
+++ b/expect/fleet.go
@@ -17,12 +17,12 @@
 
 // Volume is a volume, or several identical ones.
 type Volume struct {
-	Name            string
-	Plan            int   // index in Fleet.Plans
-	Count           int   // number of identical volumes; 0: one
-	StatedInstances int   // number of instances that its requests state; 0: one
-	Paths           int   // number of instances through which its requests may arrive; 0: one
-	Cells           []int // cells that store its data; empty: all cells
+	Name              string
+	Plan              int   // index in Fleet.Plans
+	Count             int   // number of identical volumes; 0: one
+	StatedInstances   int   // number of instances that its requests state; 0: one
+	PossibleInstances int   // number of instances through which its requests may arrive; 0: one
+	Cells             []int // cells that store its data; empty: all cells
 }
 
 // Fleet is a planned fleet.
--- a/expect/measure.go
+++ b/expect/measure.go
@@ -92,7 +92,7 @@
 	for _, i := range m.selectVolumes(e.Of) {
 		volume := &m.Volumes[i]
 		if m.Plans[volume.Plan].Limit > 0 {
-			granted := float64(max(1, volume.Paths)) / float64(max(1, volume.StatedInstances))
+			granted := float64(max(1, volume.PossibleInstances)) / float64(max(1, volume.StatedInstances))
 			report(Volumes, volume.Name, granted)
 		}
 	}
--- a/expect/model.go
+++ b/expect/model.go
@@ -116,7 +116,7 @@
 		if s.Kind == Plans {
 			name = m.Plans[volume.Plan].Name
 		}
-		properties := fmt.Sprint(volume.Plan, volume.StatedInstances, volume.Paths, volume.Cells)
+		properties := fmt.Sprint(volume.Plan, volume.StatedInstances, volume.PossibleInstances, volume.Cells)
 		if matches(s.Name, name) && !seen[properties] {
 			seen[properties] = true
 			volumes = append(volumes, i)
--- a/internal/config/fleet_model.go
+++ b/internal/config/fleet_model.go
@@ -84,11 +84,11 @@
 			volume.Name, paths, f.Instances)
 	}
 	return expect.Volume{
-		Name:            volume.Name,
-		Plan:            plan,
-		Count:           max(1, volume.Count),
-		StatedInstances: writers,
-		Paths:           paths,
-		Cells:           volume.Cells,
+		Name:              volume.Name,
+		Plan:              plan,
+		Count:             max(1, volume.Count),
+		StatedInstances:   writers,
+		PossibleInstances: paths,
+		Cells:             volume.Cells,
 	}, nil
 }
