--- a/expect/model.go
+++ b/expect/model.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Empty reports whether a selector selects nothing, which is an error in settings.
-func (m *Model) Empty(s Selector) bool {
+// SelectsNothing reports whether a selector selects nothing, which is an error in settings.
+func (m *Model) SelectsNothing(s Selector) bool {
 	switch s.Kind {
 	case Nodes:
 		return len(m.selectNodes(s)) == 0
--- a/internal/config/expectation.go
+++ b/internal/config/expectation.go
@@ -132,7 +132,7 @@
 	if _, err := path.Match(selector.Name, ""); err != nil {
 		return expect.Selector{}, sexpr.Errorf(node.List[1].Pos, "invalid pattern %q: %v", selector.Name, err)
 	}
-	if model.Empty(selector) {
+	if model.SelectsNothing(selector) {
 		return expect.Selector{}, sexpr.Errorf(node.Pos, "%v matches nothing", selector)
 	}
 	return selector, nil
