--- a/internal/daemon/upstream_pool.go
+++ b/internal/daemon/upstream_pool.go
@@ -86,7 +86,7 @@
 	var best *upstreamConnection
 	for _, connection := range n.connections {
 		inFlight := connection.conn.InFlight()
-		if inFlight < connection.conn.Streams() && (best == nil || inFlight < best.conn.InFlight()) {
+		if inFlight < connection.conn.MaxStreams() && (best == nil || inFlight < best.conn.InFlight()) {
 			best = connection
 		}
 	}
--- a/internal/proto/streams.go
+++ b/internal/proto/streams.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Streams returns the maximum number of requests in flight.
-func (c *Conn) Streams() int { return c.peerLimits.MaxStreams }
+// MaxStreams returns the maximum number of requests in flight.
+func (c *Conn) MaxStreams() int { return c.peerLimits.MaxStreams }
 
 // InFlight returns the number of open streams.
 func (c *Conn) InFlight() int {
