--- a/cmd/storage-gateway/list.go
+++ b/cmd/storage-gateway/list.go
@@ -32,11 +32,11 @@
 	}
 	events := testbed.NewLog()
 	server := registry.NewServer(registry.ServerConfig{
-		Epoch:    uint64(time.Now().UnixNano()),
-		Delay:    settings.Delay,
-		Workers:  settings.Workers,
-		CallTime: settings.CallTime,
-		MaxWait:  settings.MaxWait,
+		Epoch:       uint64(time.Now().UnixNano()),
+		Delay:       settings.Delay,
+		Workers:     settings.Workers,
+		ServiceTime: settings.CallTime,
+		MaxWait:     settings.MaxWait,
 		OnAcknowledged: func(instance uint32, endpoint endpoints.Endpoint) {
 			events.Add(testbed.Event{
 				Kind:      testbed.KindAcknowledged,
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -159,7 +159,7 @@
 // Calls that would wait longer than MaxWait for a worker fail; the others are served. The only worker serves
 // a call in 100 ms, so that the five calls would wait 0, 100 and three times 200 ms, with 150 ms allowed.
 func TestServer_FailsCallsThatWaitTooLong(t *testing.T) {
-	r := start(t, ServerConfig{Workers: 1, CallTime: 100 * time.Millisecond,
+	r := start(t, ServerConfig{Workers: 1, ServiceTime: 100 * time.Millisecond,
 		MaxWait: 150 * time.Millisecond}, false,
 		nil)
 	for range 5 {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -24,13 +24,13 @@
 
 // ServerConfig configures a stand-in registry.
 type ServerConfig struct {
-	Epoch    uint64        // of this incarnation, stated in its updates
-	Delay    time.Duration // between a change and its publication
-	Workers  int           // calls served concurrently; at least 1
-	CallTime time.Duration // service time of one call
-	MaxWait  time.Duration // a call that would wait longer for a worker fails after this time
-	MaxConns int           // connections served at the same time; 0 means 4096
-	Conn     proto.Config  // NewServer sets Limits, IdleTimeout and the role in Hello
+	Epoch       uint64        // of this incarnation, stated in its updates
+	Delay       time.Duration // between a change and its publication
+	Workers     int           // calls served concurrently; at least 1
+	ServiceTime time.Duration // service time of one call
+	MaxWait     time.Duration // a call that would wait longer for a worker fails after this time
+	MaxConns    int           // connections served at the same time; 0 means 4096
+	Conn        proto.Config  // NewServer sets Limits, IdleTimeout and the role in Hello
 	// OnAcknowledged, if not nil, is called for each endpoint of an update when an instance has acknowledged
 	// the update.
 	OnAcknowledged func(instance uint32, endpoint endpoints.Endpoint)
@@ -198,8 +198,8 @@
 	case wait > s.cfg.MaxWait:
 		s.after(s.cfg.MaxWait, func() { caller.fail(stream, reasonBusy) })
 	default:
-		s.workersFree[slices.Index(s.workersFree, earliestFree)] = start.Add(s.cfg.CallTime)
-		s.after(wait+s.cfg.CallTime, func() {
+		s.workersFree[slices.Index(s.workersFree, earliestFree)] = start.Add(s.cfg.ServiceTime)
+		s.after(wait+s.cfg.ServiceTime, func() {
 			if kind == proto.TypeWatch {
 				s.watchers[caller] = struct{}{}
 			}
--- a/internal/testbed/runner_fleet.go
+++ b/internal/testbed/runner_fleet.go
@@ -91,7 +91,7 @@
 		Epoch:          1 + r.options.Seed,
 		Delay:          settings.Delay,
 		Workers:        settings.Workers,
-		CallTime:       settings.CallTime,
+		ServiceTime:    settings.CallTime,
 		MaxWait:        settings.MaxWait,
 		OnAcknowledged: r.logAcknowledged,
 	})
