--- a/internal/config/instance_test.go
+++ b/internal/config/instance_test.go
@@ -49,6 +49,6 @@
 			return
 		}
 		zone := uint8(instance.Site.Zone(instance.Zone))
-		instance.Site.Scheduler(instance.Number, instance.Instances, zone, false)
+		instance.Site.SchedulerSettings(instance.Number, instance.Instances, zone, false)
 	})
 }
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -135,9 +135,9 @@
 	return slices.IndexFunc(s.Plans, func(plan Plan) bool { return plan.Name == name })
 }
 
-// Scheduler returns the settings of one instance's scheduler. The index starts at 0; peerMessages
+// SchedulerSettings returns the settings of one instance's scheduler. The index starts at 0; peerMessages
 // specifies whether this instance can send messages to its peers.
-func (s *Site) Scheduler(index, instances int, zone uint8, peerMessages bool) scheduler.Settings {
+func (s *Site) SchedulerSettings(index, instances int, zone uint8, peerMessages bool) scheduler.Settings {
 	settings := scheduler.Settings{
 		InstanceIndex:    index,
 		Instances:        instances,
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	zone := uint8(instance.Site.Zone(instance.Zone))
-	settings := instance.Site.Scheduler(instance.Number, instance.Instances, zone, true)
+	settings := instance.Site.SchedulerSettings(instance.Number, instance.Instances, zone, true)
 	if settings.InstanceIndex != 1 || settings.Instances != 4 || settings.Zone != 1 ||
 		!settings.PollEndpoints || !settings.PeerMessages ||
 		settings.MeanUnits != 3 || settings.MaxUnits != 9 || len(settings.LoadFields) != 1 ||
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings := instance.Site.Scheduler(0, 1, 0, false)
+	settings := instance.Site.SchedulerSettings(0, 1, 0, false)
 	if settings.ShareWeight != 1 ||
 		settings.Classes[0].PriorityWeight != settings.Classes[1].PriorityWeight ||
 		settings.Plans[0].PriorityWeight != settings.Plans[1].PriorityWeight ||
--- a/internal/daemon/instance.go
+++ b/internal/daemon/instance.go
@@ -84,7 +84,7 @@
 	cfg, site := &i.cfg, &i.cfg.Site
 	loopConfig := EventLoopConfig{
 		Seed:            cfg.Seed,
-		Settings:        site.Scheduler(cfg.Number, cfg.Instances, cfg.Zone, cfg.PeerListen != ""),
+		Settings:        site.SchedulerSettings(cfg.Number, cfg.Instances, cfg.Zone, cfg.PeerListen != ""),
 		BatchInterval:   site.Limits.BatchInterval,
 		ResponseMargin:  site.Limits.ResponseMargin,
 		AnswerSlack:     site.Rules.AnswerSlack,
