--- a/internal/config/extents.go
+++ b/internal/config/extents.go
@@ -36,11 +36,11 @@
 	if e.MaxPieces == 0 {
 		e.MaxPieces = defaultMaxPieces
 	}
-	return e.Planner().Check()
+	return e.PlannerSettings().Check()
 }
 
-// Planner returns the settings of the extent planner.
-func (e *Extents) Planner() extent.Settings {
+// PlannerSettings returns the settings of the extent planner.
+func (e *Extents) PlannerSettings() extent.Settings {
 	settings := extent.Settings{
 		ExtentSize:   uint64(e.Size),
 		MaxOperation: uint64(e.MaxOperation),
--- a/internal/daemon/instance.go
+++ b/internal/daemon/instance.go
@@ -97,7 +97,7 @@
 		Hooks:           cfg.Hooks,
 	}
 	if site.Extents != nil {
-		extents := site.Extents.Planner()
+		extents := site.Extents.PlannerSettings()
 		loopConfig.Extents = &extents
 	}
 	return loopConfig
--- a/internal/daemon/ranged_environment_test.go
+++ b/internal/daemon/ranged_environment_test.go
@@ -163,7 +163,7 @@
 
 // volumeAt returns the nth volume, counted from 0, whose first extent is located in a cell.
 func (e *rangedEnvironment) volumeAt(cell, nth int) uint64 {
-	settings := e.instance.cfg.Site.Extents.Planner()
+	settings := e.instance.cfg.Site.Extents.PlannerSettings()
 	for volume := uint64(100); ; volume++ {
 		if settings.Cell(volume, 0) == cell {
 			if nth--; nth < 0 {
