--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -37,7 +37,7 @@
 	RepeatSaving       float64       `s:"again" min:"0" max:"1"`
 	RecentKeys         int           `s:"last" min:"0" max:"64"` // number of keys that count as recent
 	MaxConnections     int           `s:"connections" min:"1" max:"65536"`
-	CancelDropsWaiting bool          `s:"cancel-drops"`    // a cancel removes queued work
+	CancelDropsQueued  bool          `s:"cancel-drops"`    // a cancel removes queued work
 	CancelStopsRunning bool          `s:"cancel-stops"`    // a cancel stops running work
 	DrainNotices       bool          `s:"drain-notices"`   // drain notices are sent on the connections
 	PauseLength        time.Duration `s:"pause" max:"10s"` // length of a pause, in which no work begins
@@ -54,7 +54,7 @@
 		WriteFactor:        1.5,
 		Jitter:             0.2,
 		MaxConnections:     512,
-		CancelDropsWaiting: true,
+		CancelDropsQueued:  true,
 		CancelStopsRunning: true,
 		DrainNotices:       true,
 	}
--- a/internal/testbed/node_cancel.go
+++ b/internal/testbed/node_cancel.go
@@ -9,7 +9,7 @@
 	p.logOperation(KindCancelArrived, op, 0)
 	model := &p.node.cfg.Model
 	p.mu.Lock()
-	if op.state == operationQueued && model.CancelDropsWaiting ||
+	if op.state == operationQueued && model.CancelDropsQueued ||
 		op.state == operationRunning && model.CancelStopsRunning {
 		op.state = operationCancelled
 		p.forgetEffects(op)
@@ -28,7 +28,7 @@
 		}
 		cancelled := op.withOnly(op.members[index])
 		p.logOperation(KindCancelArrived, cancelled, 0)
-		if op.state == operationQueued && p.node.cfg.Model.CancelDropsWaiting && !op.members[index].dropped {
+		if op.state == operationQueued && p.node.cfg.Model.CancelDropsQueued && !op.members[index].dropped {
 			op.members[index].dropped = true // it will not take effect, and its end is logged here
 			p.logOperation(KindCancel, cancelled, proto.Cancelled)
 			p.forgetEffects(cancelled)
