--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -105,19 +105,19 @@
 // event returns an event with the fields that all events of a request have in common.
 func (cc *clientConn) event(kind Kind, stream uint64, request *proto.Request) Event {
 	return Event{
-		Kind:     kind,
-		Instance: cc.instance,
-		Client:   cc.client.number,
-		Conn:     cc.number,
-		Seq:      stream,
-		Token:    request.Token,
-		Try:      int(request.ClientTry),
-		Class:    int(request.Class),
-		Plan:     int(request.Plan),
-		Volume:   request.Volume,
-		Key:      request.Key,
-		Units:    int(request.Units),
-		Write:    request.Write,
+		Kind:      kind,
+		Instance:  cc.instance,
+		Client:    cc.client.number,
+		Conn:      cc.number,
+		Seq:       stream,
+		Token:     request.Token,
+		ClientTry: int(request.ClientTry),
+		Class:     int(request.Class),
+		Plan:      int(request.Plan),
+		Volume:    request.Volume,
+		Key:       request.Key,
+		Units:     int(request.Units),
+		Write:     request.Write,
 	}
 }
 
--- a/internal/testbed/event.go
+++ b/internal/testbed/event.go
@@ -44,7 +44,7 @@
 	Conn      uint64     `json:"conn,omitempty"` // number among the client's connections, from 1
 	Seq       uint64     `json:"seq,omitempty"`  // number of the request on its connection, from 1
 	Token     uint64     `json:"token,omitempty"`
-	Try       int        `json:"try,omitempty"`     // 0: first send; the client's retries count from 1
+	ClientTry int        `json:"try,omitempty"`     // 0: first send; the client's retries count from 1
 	Attempt   int        `json:"attempt,omitempty"` // 0: first attempt; the instance's retries count from 1
 	Class     int        `json:"class"`
 	Plan      int        `json:"plan"`
--- a/internal/testbed/forms_test.go
+++ b/internal/testbed/forms_test.go
@@ -21,7 +21,7 @@
 	Conn:      5,
 	Seq:       6,
 	Token:     7,
-	Try:       8,
+	ClientTry: 8,
 	Attempt:   9,
 	Class:     10,
 	Plan:      11,
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -111,7 +111,7 @@
 	}
 	sinceStart := time.Duration(event.Time - c.events[0].Time).Seconds()
 	verdict.FirstViolation = fmt.Sprintf("request %d try %d, instance %d, node %d, at %.3f s: %s",
-		event.Token, event.Try, event.Instance, event.Node, sinceStart, fmt.Sprintf(format, args...))
+		event.Token, event.ClientTry, event.Instance, event.Node, sinceStart, fmt.Sprintf(format, args...))
 }
 
 // nodeDirectory stores the zones and addresses of nodes, from the events of their starts.
--- a/internal/testbed/operation.go
+++ b/internal/testbed/operation.go
@@ -88,7 +88,7 @@
 		Kind:      kind,
 		Instance:  o.instance,
 		Token:     m.Token,
-		Try:       int(m.ClientTry),
+		ClientTry: int(m.ClientTry),
 		Attempt:   int(request.Attempt),
 		Class:     int(request.Class),
 		Plan:      int(m.Plan),
--- a/internal/testbed/request_trace.go
+++ b/internal/testbed/request_trace.go
@@ -8,7 +8,7 @@
 	try   int
 }
 
-func keyOf(event Event) requestKey { return requestKey{event.Token, event.Try} }
+func keyOf(event Event) requestKey { return requestKey{event.Token, event.ClientTry} }
 
 // attemptKey identifies an attempt at a node.
 type attemptKey struct {
