--- a/internal/testbed/bytes_test.go
+++ b/internal/testbed/bytes_test.go
@@ -28,7 +28,7 @@
 
 // isReadAnswer reports whether an event is an answer with bytes that were read.
 func isReadAnswer(event *Event) bool {
-	return event.Kind == KindAnswer && event.Code == proto.OK && event.Data != 0 && !event.Write
+	return event.Kind == KindAnswer && event.Code == proto.OK && event.DataVolume != 0 && !event.Write
 }
 
 // Slices of fields are read and written while connections break, nodes are killed and answers are lost. Every
@@ -52,7 +52,7 @@
 		},
 		"a byte that a node wrote": func(event *Event) bool {
 			event.Sum++
-			return event.Kind == KindEnd && event.Data != 0 && event.Write
+			return event.Kind == KindEnd && event.DataVolume != 0 && event.Write
 		},
 	} {
 		for _, verdict := range CheckInvariants(&scenario.Site, changeFirst(events, change)) {
@@ -67,7 +67,7 @@
 func countMergedAndSplit(events []Event) (merged, split int) {
 	members := map[operationKey]int{}
 	for _, event := range events {
-		if event.Kind != KindArrive || event.Data == 0 {
+		if event.Kind != KindArrive || event.DataVolume == 0 {
 			continue
 		}
 		key := operationKey{event.Node, event.Operation}
--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -93,7 +93,7 @@
 	event.Offset, event.Length = request.Offset, uint64(len(frame.Payload))
 	event.Sum = checksum(request.Offset, frame.Payload)
 	if request.Ranged {
-		event.Data = request.DataVolume()
+		event.DataVolume = request.DataVolume()
 	}
 	cc.client.log.Add(event)
 	if waiting != nil {
@@ -136,7 +136,7 @@
 	event := cc.event(KindSent, stream, &request)
 	event.Wait, event.Cell = int64(request.Timeout), int(request.Cell)
 	if request.Ranged {
-		event.Data, event.Offset, event.Length = request.DataVolume(), request.Offset, uint64(request.Length)
+		event.DataVolume, event.Offset, event.Length = request.DataVolume(), request.Offset, uint64(request.Length)
 		event.Sum = checksum(request.Offset, payload)
 	}
 	// Logged and sent under one lock: the order in the log is the order on the connection.
--- a/internal/testbed/event.go
+++ b/internal/testbed/event.go
@@ -36,33 +36,33 @@
 
 // Event is one line of a log. Time is in Unix nanoseconds, of one clock for all components in a process.
 type Event struct {
-	Time      int64      `json:"t"`
-	Kind      Kind       `json:"kind"`
-	Instance  int        `json:"inst"`
-	Node      int        `json:"node"`
-	Client    int        `json:"client,omitempty"`
-	Conn      uint64     `json:"conn,omitempty"` // number among the client's connections, from 1
-	Seq       uint64     `json:"seq,omitempty"`  // number of the request on its connection, from 1
-	Token     uint64     `json:"token,omitempty"`
-	ClientTry int        `json:"try,omitempty"`     // 0: first send; the client's retries count from 1
-	Attempt   int        `json:"attempt,omitempty"` // 0: first attempt; the instance's retries count from 1
-	Class     int        `json:"class"`
-	Plan      int        `json:"plan"`
-	Volume    uint64     `json:"volume,omitempty"`
-	Key       uint64     `json:"key,omitempty"`
-	Units     int        `json:"units,omitempty"`
-	Code      proto.Code `json:"code,omitempty"`
-	Reason    string     `json:"reason,omitempty"` // of an answer; or the node's address
-	Wait      int64      `json:"wait,omitempty"`   // nanoseconds: the timeout, Retry-After or stall
-	Status    string     `json:"status,omitempty"` // of an acknowledged endpoint
-	StartedAt int64      `json:"boot,omitempty"`   // of the node's incarnation by its own clock; 0: long ago
-	Zone      int        `json:"zone,omitempty"`
-	Cell      int        `json:"cell,omitempty"`
-	Write     bool       `json:"write,omitempty"`
-	Operation uint64     `json:"op,omitempty"`    // number at the node, shared by all members
-	Piece     int        `json:"piece,omitempty"` // number within the client's request, from 0
-	Data      uint64     `json:"data,omitempty"`  // volume of a ranged request's bytes; 0: not ranged
-	Offset    uint64     `json:"offset,omitempty"`
-	Length    uint64     `json:"length,omitempty"`
-	Sum       uint64     `json:"sum,omitempty"` // checksum of the bytes and their offsets
+	Time       int64      `json:"t"`
+	Kind       Kind       `json:"kind"`
+	Instance   int        `json:"inst"`
+	Node       int        `json:"node"`
+	Client     int        `json:"client,omitempty"`
+	Conn       uint64     `json:"conn,omitempty"` // number among the client's connections, from 1
+	Seq        uint64     `json:"seq,omitempty"`  // number of the request on its connection, from 1
+	Token      uint64     `json:"token,omitempty"`
+	ClientTry  int        `json:"try,omitempty"`     // 0: first send; the client's retries count from 1
+	Attempt    int        `json:"attempt,omitempty"` // 0: first attempt; the instance's retries count from 1
+	Class      int        `json:"class"`
+	Plan       int        `json:"plan"`
+	Volume     uint64     `json:"volume,omitempty"`
+	Key        uint64     `json:"key,omitempty"`
+	Units      int        `json:"units,omitempty"`
+	Code       proto.Code `json:"code,omitempty"`
+	Reason     string     `json:"reason,omitempty"` // of an answer; or the node's address
+	Wait       int64      `json:"wait,omitempty"`   // nanoseconds: the timeout, Retry-After or stall
+	Status     string     `json:"status,omitempty"` // of an acknowledged endpoint
+	StartedAt  int64      `json:"boot,omitempty"`   // of the node's incarnation by its own clock; 0: long ago
+	Zone       int        `json:"zone,omitempty"`
+	Cell       int        `json:"cell,omitempty"`
+	Write      bool       `json:"write,omitempty"`
+	Operation  uint64     `json:"op,omitempty"`    // number at the node, shared by all members
+	Piece      int        `json:"piece,omitempty"` // number within the client's request, from 0
+	DataVolume uint64     `json:"data,omitempty"`  // volume of a ranged request's bytes; 0: not ranged
+	Offset     uint64     `json:"offset,omitempty"`
+	Length     uint64     `json:"length,omitempty"`
+	Sum        uint64     `json:"sum,omitempty"` // checksum of the bytes and their offsets
 }
--- a/internal/testbed/invariant_bytes.go
+++ b/internal/testbed/invariant_bytes.go
@@ -14,7 +14,7 @@
 	writes := c.collectWrites()
 	for _, request := range c.requests.sent {
 		answer, answered := request.answer()
-		if !answered || answer.Code != proto.OK || request.sent.Data == 0 {
+		if !answered || answer.Code != proto.OK || request.sent.DataVolume == 0 {
 			continue
 		}
 		c.verdicts[RuleBytes].Judged++
@@ -31,10 +31,10 @@
 	for _, request := range c.requests.sent {
 		for _, attempt := range request.attempts {
 			arrive := attempt.arrive
-			if arrive.Data == 0 || !arrive.Write {
+			if arrive.DataVolume == 0 || !arrive.Write {
 				continue
 			}
-			writes.volumes[arrive.Data] = true
+			writes.volumes[arrive.DataVolume] = true
 			if !attempt.tookEffect {
 				continue
 			}
@@ -64,7 +64,7 @@
 		c.violation(RuleBytes, answer, "the answer has %d bytes of %d", answer.Length, sent.Length)
 	case !request.possibleReadSums()[answer.Sum]:
 		c.violation(RuleBytes, answer, "the answer has other bytes than the nodes read")
-	case !writes.volumes[sent.Data] && answer.Sum != patternSum(sent.Data, sent.Offset, sent.Length):
+	case !writes.volumes[sent.DataVolume] && answer.Sum != patternSum(sent.DataVolume, sent.Offset, sent.Length):
 		c.violation(RuleBytes, answer, "the answer has bytes that were never written")
 	}
 }
--- a/internal/testbed/operation.go
+++ b/internal/testbed/operation.go
@@ -102,7 +102,7 @@
 		Piece:     int(m.Piece),
 	}
 	if request.Ranged {
-		event.Data = request.DataVolume()
+		event.DataVolume = request.DataVolume()
 		event.Offset, event.Length = request.Offset+uint64(m.Offset), uint64(m.Length)
 	}
 	return event
