--- a/internal/testbed/bytes_test.go
+++ b/internal/testbed/bytes_test.go
@@ -43,7 +43,7 @@
 	}
 	for name, change := range map[string]func(*Event) bool{
 		"a byte that a client received": func(event *Event) bool {
-			event.Sum++
+			event.Checksum++
 			return isReadAnswer(event)
 		},
 		"too few bytes": func(event *Event) bool {
@@ -51,7 +51,7 @@
 			return isReadAnswer(event)
 		},
 		"a byte that a node wrote": func(event *Event) bool {
-			event.Sum++
+			event.Checksum++
 			return event.Kind == KindEnd && event.DataVolume != 0 && event.Write
 		},
 	} {
--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -91,7 +91,7 @@
 	event.Code, event.Reason, event.Wait = answer.Code, answer.Reason, int64(answer.RetryAfter)
 	event.Cell = int(answer.Cell) - 1
 	event.Offset, event.Length = request.Offset, uint64(len(frame.Payload))
-	event.Sum = checksum(request.Offset, frame.Payload)
+	event.Checksum = checksum(request.Offset, frame.Payload)
 	if request.Ranged {
 		event.DataVolume = request.DataVolume()
 	}
@@ -137,7 +137,7 @@
 	event.Wait, event.Cell = int64(request.Timeout), int(request.Cell)
 	if request.Ranged {
 		event.DataVolume, event.Offset, event.Length = request.DataVolume(), request.Offset, uint64(request.Length)
-		event.Sum = checksum(request.Offset, payload)
+		event.Checksum = checksum(request.Offset, payload)
 	}
 	// Logged and sent under one lock: the order in the log is the order on the connection.
 	cc.client.log.Add(event)
--- a/internal/testbed/event.go
+++ b/internal/testbed/event.go
@@ -64,5 +64,5 @@
 	DataVolume uint64     `json:"data,omitempty"`  // volume of a ranged request's bytes; 0: not ranged
 	Offset     uint64     `json:"offset,omitempty"`
 	Length     uint64     `json:"length,omitempty"`
-	Sum        uint64     `json:"sum,omitempty"` // checksum of the bytes and their offsets
+	Checksum   uint64     `json:"sum,omitempty"` // checksum of the bytes and their offsets
 }
--- a/internal/testbed/forms_test.go
+++ b/internal/testbed/forms_test.go
@@ -41,7 +41,7 @@
 	DataVolume: 25,
 	Offset:     26,
 	Length:     27,
-	Sum:        28,
+	Checksum:   28,
 }
 
 var allKinds = []Kind{
--- a/internal/testbed/invariant_bytes.go
+++ b/internal/testbed/invariant_bytes.go
@@ -52,7 +52,7 @@
 	for _, pieceSum := range writes.sums[request.sent.Token] {
 		sum += pieceSum
 	}
-	if sum != request.sent.Sum {
+	if sum != request.sent.Checksum {
 		c.violation(RuleBytes, answer, "the nodes wrote other bytes than the client sent")
 	}
 }
@@ -62,9 +62,9 @@
 	switch {
 	case answer.Length != sent.Length:
 		c.violation(RuleBytes, answer, "the answer has %d bytes of %d", answer.Length, sent.Length)
-	case !request.possibleReadSums()[answer.Sum]:
+	case !request.possibleReadSums()[answer.Checksum]:
 		c.violation(RuleBytes, answer, "the answer has other bytes than the nodes read")
-	case !writes.volumes[sent.DataVolume] && answer.Sum != patternSum(sent.DataVolume, sent.Offset, sent.Length):
+	case !writes.volumes[sent.DataVolume] && answer.Checksum != patternSum(sent.DataVolume, sent.Offset, sent.Length):
 		c.violation(RuleBytes, answer, "the answer has bytes that were never written")
 	}
 }
--- a/internal/testbed/node_process.go
+++ b/internal/testbed/node_process.go
@@ -128,7 +128,7 @@
 		event := op.event(kind, m, code)
 		event.StartedAt = p.startedAt
 		if kind == KindEnd && i < len(op.sums) { // sums are set for ranged operations only
-			event.Sum = op.sums[i]
+			event.Checksum = op.sums[i]
 		}
 		p.log(event)
 	}
--- a/internal/testbed/request_trace.go
+++ b/internal/testbed/request_trace.go
@@ -84,7 +84,7 @@
 	case KindOverloaded, KindNotApplicable, KindRepeat, KindEnd, KindCancel:
 		attempt.code = event.Code
 		attempt.tookEffect = event.Kind == KindEnd && event.Write
-		attempt.ended, attempt.sum = event.Kind == KindEnd, event.Sum
+		attempt.ended, attempt.sum = event.Kind == KindEnd, event.Checksum
 	case KindReplied:
 		if attempt.repliedAt == 0 {
 			attempt.repliedAt = event.Time
