--- a/internal/testbed/invariant_answers.go
+++ b/internal/testbed/invariant_answers.go
@@ -18,7 +18,7 @@
 		if due >= logEnd {
 			continue // the logs end before the answer is due
 		}
-		c.verdicts[RuleAnswers].Judged++
+		c.verdicts[RuleAnswers].Checked++
 		c.checkAnswerCount(request, min(due+int64(lateMargin), logEnd))
 		if answer, answered := request.answer(); answered {
 			c.checkAnsweredInTime(request, answer, due)
--- a/internal/testbed/invariant_bytes.go
+++ b/internal/testbed/invariant_bytes.go
@@ -17,7 +17,7 @@
 		if !answered || answer.Code != proto.OK || request.sent.DataVolume == 0 {
 			continue
 		}
-		c.verdicts[RuleBytes].Judged++
+		c.verdicts[RuleBytes].Checked++
 		if request.sent.Write {
 			c.checkWrittenBytes(request, answer, writes)
 		} else {
--- a/internal/testbed/invariant_effects.go
+++ b/internal/testbed/invariant_effects.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		if len(request.attempts) > 0 {
-			c.verdicts[RuleEffects].Judged++
+			c.verdicts[RuleEffects].Checked++
 		}
 		c.checkAttempts(request, class, effects)
 		c.checkRejection(request, class)
--- a/internal/testbed/invariant_nodes.go
+++ b/internal/testbed/invariant_nodes.go
@@ -29,7 +29,7 @@
 			tracker.add(event)
 			continue
 		}
-		c.verdicts[RuleDrains].Judged++
+		c.verdicts[RuleDrains].Checked++
 		state := tracker.known[endpointKey{event.Instance, event.Node}]
 		if state == nil || state.drainingSince == 0 || state.isOutdatedBy(event.StartedAt) {
 			continue
@@ -105,7 +105,7 @@
 		case KindArrive:
 			warming := event.Time-event.StartedAt < int64(c.site.Rules.SlowStartPeriod)
 			if event.StartedAt != 0 && warming {
-				c.verdicts[RuleCold].Judged++
+				c.verdicts[RuleCold].Checked++
 			}
 		case KindCollapsed:
 			c.violation(RuleCold, event, "the cold node collapsed")
--- a/internal/testbed/invariant_order.go
+++ b/internal/testbed/invariant_order.go
@@ -36,7 +36,7 @@
 			if len(later.attempts) == 0 {
 				continue
 			}
-			c.verdicts[RuleOrder].Judged++
+			c.verdicts[RuleOrder].Checked++
 			for _, earlier := range requests[max(0, i-comparedRequests):i] {
 				c.checkPairOrder(earlier, later)
 			}
--- a/internal/testbed/invariant_rates.go
+++ b/internal/testbed/invariant_rates.go
@@ -31,7 +31,7 @@
 		case event.Kind == KindSent:
 			counts.requests = append(counts.requests, event.Time)
 		case event.Kind == KindArrive && event.Attempt > 0:
-			c.verdicts[RuleBudget].Judged++
+			c.verdicts[RuleBudget].Checked++
 			counts.retries = append(counts.retries, event.Time)
 			windowStart := event.Time - int64(budget.Window)
 			// Logged times may be late by the allowance: it shortens the window for retries and extends that
@@ -88,7 +88,7 @@
 			continue
 		}
 		counted[key] = true
-		c.verdicts[RuleLimits].Judged++
+		c.verdicts[RuleLimits].Checked++
 		plan := c.site.Plans[event.Plan]
 		bucket := buckets[event.Volume]
 		if bucket == nil {
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -13,7 +13,7 @@
 type Verdict struct {
 	Rule           string `json:"rule"`
 	Holds          bool   `json:"kept"`
-	Judged         int    `json:"judged"`          // requests or events that were checked
+	Checked        int    `json:"judged"`          // requests or events that were checked
 	Violations     int    `json:"breaks"`          // violations found; a request may have several
 	FirstViolation string `json:"first,omitempty"` // request, instance, node, time and description
 }
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -69,12 +69,12 @@
 	t.Helper()
 	isRule := verdict.Rule == rule
 	switch {
-	case isRule && verdict.Judged == 0:
+	case isRule && verdict.Checked == 0:
 		t.Errorf("mutant %v: the rule was not checked for any request or event", isMutant)
 	case !isMutant && !verdict.Holds:
 		t.Errorf("the scheduler breaks %s: %s", verdict.Rule, verdict.FirstViolation)
 	case isMutant && isRule && verdict.Holds:
-		t.Errorf("the mutant is not detected in %d checks of the rule", verdict.Judged)
+		t.Errorf("the mutant is not detected in %d checks of the rule", verdict.Checked)
 	case isMutant && isRule && !strings.Contains(verdict.FirstViolation, "request"):
 		t.Errorf("the first violation does not name a request: %s", verdict.FirstViolation)
 	}
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -65,7 +65,7 @@
 	if !v.Holds {
 		result = fmt.Sprintf("BROKEN %d times, first: %s", v.Violations, v.FirstViolation)
 	}
-	fmt.Fprintf(out, "  %-8s judged %6d  %s\n", v.Rule, v.Judged, result)
+	fmt.Fprintf(out, "  %-8s judged %6d  %s\n", v.Rule, v.Checked, result)
 }
 
 func (s *Summary) print(out io.Writer, title string) {
--- a/internal/testbed/runner_test.go
+++ b/internal/testbed/runner_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, verdict := range CheckInvariants(&scenario.Site, recording.Events) {
 		t.Logf("%+v", verdict)
-		if !verdict.Holds || verdict.Judged == 0 && verdict.Rule != RuleBudget {
+		if !verdict.Holds || verdict.Checked == 0 && verdict.Rule != RuleBudget {
 			t.Errorf("rule %s: not checked or violated; first violation: %s", verdict.Rule,
 				verdict.FirstViolation)
 		}
