--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -74,6 +74,6 @@
 			"%d without answer; %d sends, %d of them for nothing\n"+
 			"  %s  %d operations at the nodes; served within %.0f ms (median), %.0f ms (p99); "+
 			"%.0f us CPU a request, clients and nodes included\n",
-		title, s.EarnedShare, s.Asked, s.InTime, s.Late, s.Rejected, s.Failed, s.Unanswered, s.Attempts,
+		title, s.EarnedShare, s.Requests, s.InTime, s.Late, s.Rejected, s.Failed, s.Unanswered, s.Attempts,
 		s.Wasted, strings.Repeat(" ", len(title)), s.Operations, s.P50, s.P99, s.CPU)
 }
--- a/internal/testbed/summary.go
+++ b/internal/testbed/summary.go
@@ -11,7 +11,7 @@
 
 // Summary counts the outcomes of a scenario's requests. A client's retries are part of the first request.
 type Summary struct {
-	Asked       int     `json:"asked"`   // requests that clients sent
+	Requests    int     `json:"asked"`   // requests that clients sent
 	InTime      int     `json:"in_time"` // served within the class's latency objective
 	Late        int     `json:"late"`    // served after the latency objective
 	Rejected    int     `json:"refused"`
@@ -70,7 +70,7 @@
 	}
 	summary.P50 = float64(latencies.ValueAtQuantile(50)) / 1000
 	summary.P99 = float64(latencies.ValueAtQuantile(99)) / 1000
-	summary.CPU = float64(recording.CPU.Microseconds()) / float64(max(1, summary.Asked))
+	summary.CPU = float64(recording.CPU.Microseconds()) / float64(max(1, summary.Requests))
 	if requestedWeight > 0 {
 		summary.EarnedShare = earnedWeight / requestedWeight
 	}
@@ -106,7 +106,7 @@
 
 // countOutcome counts a request and returns the fraction of its priority weight that was earned.
 func (s *Summary) countOutcome(outcome *requestOutcome, class config.Class, latency time.Duration) float64 {
-	s.Asked++
+	s.Requests++
 	switch {
 	case !outcome.ended:
 		s.Unanswered++
