--- a/internal/testbed/runner_traffic.go
+++ b/internal/testbed/runner_traffic.go
@@ -141,7 +141,7 @@
 		Timeout:         class.Deadline,
 		Units:           uint32(stream.Units[0] + rng.IntN(stream.Units[1]-stream.Units[0]+1)),
 		Write:           class.Writes,
-		VolumeInstances: uint16(min(stream.Writers, r.scenario.Instances)),
+		VolumeInstances: uint16(min(stream.VolumeInstances, r.scenario.Instances)),
 	}
 	if !r.drawPlace(&request, stream, rng) {
 		return clientRequest{}, false
--- a/internal/testbed/traffic.go
+++ b/internal/testbed/traffic.go
@@ -11,16 +11,16 @@
 
 // Traffic is one stream of requests, of one class and for the volumes of one plan.
 type Traffic struct {
-	Class      string  `s:"class,required"`
-	Plan       string  `s:"plan,required"`
-	Rate       float64 `s:"rate,required" min:"0.1" max:"100000"` // requests a second
-	Volumes    int     `s:"volumes" min:"1" max:"100000"`
-	Units      []int   `s:"units"`                      // minimum and maximum of a request
-	Keys       int     `s:"keys" min:"0" max:"1000000"` // of each volume; 0: requests have no key
-	NewObjects bool    `s:"new-objects"`                // writes create objects, reads request some of them
-	HotShare   float64 `s:"hot" min:"0" max:"1"`        // share of requests for the first volume
-	Writers    int     `s:"writers" min:"1" max:"512"`  // instances that receive a volume's requests
-	Fields     *Fields `s:"fields"`
+	Class           string  `s:"class,required"`
+	Plan            string  `s:"plan,required"`
+	Rate            float64 `s:"rate,required" min:"0.1" max:"100000"` // requests a second
+	Volumes         int     `s:"volumes" min:"1" max:"100000"`
+	Units           []int   `s:"units"`                      // minimum and maximum of a request
+	Keys            int     `s:"keys" min:"0" max:"1000000"` // of each volume; 0: requests have no key
+	NewObjects      bool    `s:"new-objects"`                // writes create objects, reads request some of them
+	HotShare        float64 `s:"hot" min:"0" max:"1"`        // share of requests for the first volume
+	VolumeInstances int     `s:"writers" min:"1" max:"512"`  // instances that receive a volume's requests
+	Fields          *Fields `s:"fields"`
 }
 
 // Fields makes a stream request byte ranges of fields: one field a volume, one slice a request. The slices
@@ -58,7 +58,7 @@
 	if len(t.Units) != 2 || t.Units[0] < 1 || t.Units[0] > t.Units[1] {
 		return fmt.Errorf("(units …) requires a minimum and a maximum, such as (units 1 4)")
 	}
-	t.Volumes, t.Writers = max(t.Volumes, 1), max(t.Writers, 1)
+	t.Volumes, t.VolumeInstances = max(t.Volumes, 1), max(t.VolumeInstances, 1)
 	return nil
 }
 
