--- a/internal/testbed/runner_traffic.go
+++ b/internal/testbed/runner_traffic.go
@@ -37,7 +37,7 @@
 	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(firstStreamSeed+number)))
 	var requests sync.WaitGroup
 	defer requests.Wait()
-	if stream.Fields != nil && stream.Fields.Run > 0 {
+	if stream.Fields != nil && stream.Fields.RunInterval > 0 {
 		r.sendRuns(ctx, traffic, &requests, stream, rng)
 	} else {
 		r.sendAtRate(ctx, traffic, &requests, stream, rng)
@@ -79,14 +79,14 @@
 // product jobs do when a model run ends.
 func (r *scenarioRunner) sendRuns(ctx, traffic context.Context, requests *sync.WaitGroup, stream *Traffic,
 	rng *rand.Rand) {
-	for start := time.Now(); traffic.Err() == nil; start = start.Add(stream.Fields.Run) {
+	for start := time.Now(); traffic.Err() == nil; start = start.Add(stream.Fields.RunInterval) {
 		for _, scheduled := range r.drawRun(stream, rng) {
 			if !sleep(traffic, time.Until(start.Add(scheduled.after))) && traffic.Err() != nil {
 				return
 			}
 			r.send(ctx, requests, scheduled.clientRequest)
 		}
-		if !sleep(traffic, time.Until(start.Add(stream.Fields.Run))) && traffic.Err() != nil {
+		if !sleep(traffic, time.Until(start.Add(stream.Fields.RunInterval))) && traffic.Err() != nil {
 			return
 		}
 	}
--- a/internal/testbed/traffic.go
+++ b/internal/testbed/traffic.go
@@ -26,11 +26,11 @@
 // Fields makes a stream request byte ranges of fields: one field a volume, one slice a request. The slices
 // are random and requested at the stream's rate or, if Run is set, all requested at about the same time.
 type Fields struct {
-	Size   sexpr.Size    `s:"size,required" min:"1B" max:"1GiB"`
-	Slice  sexpr.Size    `s:"slice,required" min:"1B" max:"64MiB"`
-	Shared bool          `s:"shared"`                   // all volumes use the first one's field
-	Run    time.Duration `s:"run" min:"0s" max:"10m"`   // interval of requests for all slices; 0: at random
-	Spread time.Duration `s:"spread" min:"0s" max:"1m"` // time over which a run's requests spread
+	Size        sexpr.Size    `s:"size,required" min:"1B" max:"1GiB"`
+	Slice       sexpr.Size    `s:"slice,required" min:"1B" max:"64MiB"`
+	Shared      bool          `s:"shared"`                   // all volumes use the first one's field
+	RunInterval time.Duration `s:"run" min:"0s" max:"10m"`   // interval of requests for all slices; 0: at random
+	Spread      time.Duration `s:"spread" min:"0s" max:"1m"` // time over which a run's requests spread
 }
 
 // setSlice sets a request's byte range to a slice of its field. It clears the cell, which the instance
