--- a/internal/testbed/runner_traffic.go
+++ b/internal/testbed/runner_traffic.go
@@ -102,7 +102,7 @@
 				continue
 			}
 			stream.Fields.setSlice(&drawn.request, slice)
-			after := time.Duration(rng.Int64N(int64(stream.Fields.Spread) + 1))
+			after := time.Duration(rng.Int64N(int64(stream.Fields.RunSpread) + 1))
 			run = append(run, scheduledRequest{after, drawn})
 		}
 	}
--- a/internal/testbed/traffic.go
+++ b/internal/testbed/traffic.go
@@ -30,7 +30,7 @@
 	Slice       sexpr.Size    `s:"slice,required" min:"1B" max:"64MiB"`
 	Shared      bool          `s:"shared"`                   // all volumes use the first one's field
 	RunInterval time.Duration `s:"run" min:"0s" max:"10m"`   // interval of requests for all slices; 0: at random
-	Spread      time.Duration `s:"spread" min:"0s" max:"1m"` // time over which a run's requests spread
+	RunSpread   time.Duration `s:"spread" min:"0s" max:"1m"` // time over which a run's requests spread
 }
 
 // setSlice sets a request's byte range to a slice of its field. It clears the cell, which the instance
