--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -77,9 +77,9 @@
 
 // Result is the outcome of a request for its client, retries included.
 type Result struct {
-	Code proto.Code    // 0: no answer
-	Took time.Duration // from the start of the first try
-	Cell int           // that stores a served request's data; -1: unknown
+	Code    proto.Code    // 0: no answer
+	Latency time.Duration // from the start of the first try
+	Cell    int           // that stores a served request's data; -1: unknown
 }
 
 // Do sends a request to the first of the instances and retries it as the client's behaviour specifies, until
--- a/internal/testbed/client_load.go
+++ b/internal/testbed/client_load.go
@@ -53,7 +53,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			result.Ended[outcome.Code]++
-			total += outcome.Took
+			total += outcome.Latency
 		})
 	}
 	requests.Wait()
