--- a/internal/testbed/client_load.go
+++ b/internal/testbed/client_load.go
@@ -29,14 +29,14 @@
 
 // LoadResult is the outcome of a load.
 type LoadResult struct {
-	Ended       map[proto.Code]int // number of requests by the code of their answer; 0: no answer
+	CountByCode map[proto.Code]int // number of requests by the code of their answer; 0: no answer
 	MeanLatency time.Duration      // over Load.Requests, whatever their code; includes retries
 }
 
 // SendLoad sends a load until it is complete or ctx ends, and returns once all requests that were sent have
 // ended.
 func (c *Client) SendLoad(ctx context.Context, load Load) LoadResult {
-	result := LoadResult{Ended: map[proto.Code]int{}}
+	result := LoadResult{CountByCode: map[proto.Code]int{}}
 	var mu sync.Mutex
 	var total time.Duration
 	var requests sync.WaitGroup
@@ -52,7 +52,7 @@
 			outcome := c.Do(ctx, load.request(uint64(i), firstToken), []int{i % load.Instances}, 0)
 			mu.Lock()
 			defer mu.Unlock()
-			result.Ended[outcome.Code]++
+			result.CountByCode[outcome.Code]++
 			total += outcome.Latency
 		})
 	}
