--- a/internal/testbed/greedy.go
+++ b/internal/testbed/greedy.go
@@ -27,7 +27,7 @@
 
 	SendsToDraining    bool // sends to draining and removed nodes as well
 	IgnoresRetryBudget bool // retries at once, up to MaxAttempts, whatever the retry budget
-	RetriesAnywhere    bool // retries requests with an idempotency key in another zone
+	RetriesInOtherZone bool // retries requests with an idempotency key in another zone
 }
 
 type greedyRequest struct {
@@ -101,7 +101,7 @@
 	switch {
 	case g.IgnoresRetryBudget && attemptsLeft && retrySafe:
 		g.send(request, g.pick(request, false))
-	case g.RetriesAnywhere && attemptsLeft && idempotency == scheduler.IdempotentByKey:
+	case g.RetriesInOtherZone && attemptsLeft && idempotency == scheduler.IdempotentByKey:
 		g.send(request, g.pick(request, true))
 	case retrySafe:
 		g.finish(request, scheduler.Reject{ID: request.ID})
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -23,7 +23,7 @@
 		{RuleAnswers, smallScenario(t, readClass, "", reads), AnswerTwice()},
 		{RuleEffects, smallScenario(t, strings.Replace(writeClass, "(in-order)", "", 1), "",
 			`(traffic (class write) (plan free) (rate 400) (volumes 4) (units 1 4) (new-objects))`+resets),
-			Baseline(func(g *Greedy) { g.RetriesAnywhere = true })},
+			Baseline(func(g *Greedy) { g.RetriesInOtherZone = true })},
 		{RuleDrains, smallScenario(t, readClass, "", reads+`(at 500ms (drain (nodes 1)))`),
 			Baseline(func(g *Greedy) { g.SendsToDraining = true })},
 		{RuleCold, smallScenario(t, readClass, `(cold-share 0.05) (cold-units 20) (ramp 4s)
