--- a/internal/testbed/fault_nodes.go
+++ b/internal/testbed/fault_nodes.go
@@ -158,6 +158,6 @@
 func (f *StuckConnections) inject(_, _ context.Context, runner *scenarioRunner) {
 	runner.eachNode(f.Nodes, func(n *Node) {
 		runner.log.Add(Event{Kind: KindConnectionsStuck, Node: n.cfg.Number, Wait: int64(f.Duration)})
-		n.Faults.StickConnections(f.Duration)
+		n.Faults.BlockConnections(f.Duration)
 	})
 }
--- a/internal/testbed/node_faults.go
+++ b/internal/testbed/node_faults.go
@@ -68,9 +68,9 @@
 	f.set(func(f *NodeFaults) { f.pausedUntil = time.Now().Add(d) })
 }
 
-// StickConnections blocks reads and writes on the node's connections for d, but each of them for at most
+// BlockConnections blocks reads and writes on the node's connections for d, but each of them for at most
 // maxStuck; the connections stay open.
-func (f *NodeFaults) StickConnections(d time.Duration) {
+func (f *NodeFaults) BlockConnections(d time.Duration) {
 	f.set(func(f *NodeFaults) { f.stuckUntil = time.Now().Add(d) })
 }
 
