--- a/expect/expectation.go
+++ b/expect/expectation.go
@@ -40,8 +40,8 @@
 	Send    Measure = "send"      // attempts sent; always undecided: the send order depends on the scheduler
 )
 
-// Takes lists the kinds of selectors that each measure accepts.
-var Takes = map[Measure][]Kind{Reach: {Volumes, Plans}, Reserve: {Nodes, Zones}, Share: {Volumes, Plans},
+// SelectorKinds lists the kinds of selectors that each measure accepts.
+var SelectorKinds = map[Measure][]Kind{Reach: {Volumes, Plans}, Reserve: {Nodes, Zones}, Share: {Volumes, Plans},
 	Limit: {Volumes, Plans}, Cold: {Nodes}, Send: {Volumes, Plans}}
 
 // Missing is a failure under which an expectation must be true: any Count of the selected nodes or zones are
--- a/internal/config/expectation.go
+++ b/internal/config/expectation.go
@@ -97,7 +97,7 @@
 // parseMeasured parses the measure and the selector of (MEASURE OF).
 func parseMeasured(model *expect.Model, measured *sexpr.Node, expectation *expect.Expectation) (err error) {
 	expectation.Measure = expect.Measure(measured.Head())
-	kinds := expect.Takes[expectation.Measure]
+	kinds := expect.SelectorKinds[expectation.Measure]
 	if kinds == nil || len(measured.List) != 2 {
 		return sexpr.Errorf(measured.Pos,
 			"found %v; want a measure of something: reachable, reserve, share, limit, cold or send", measured)
