--- a/internal/proto/handshake.go
+++ b/internal/proto/handshake.go
@@ -15,12 +15,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return Greet(ctx, netConn, cfg)
+	return Handshake(ctx, netConn, cfg)
 }
 
-// Greet performs the handshake on a new connection, which either side may have opened. It takes ownership of
+// Handshake performs the handshake on a new connection, which either side may have opened. It takes ownership of
 // netConn, and closes it if the handshake fails or ctx ends during it.
-func Greet(ctx context.Context, netConn net.Conn, cfg Config) (*Conn, error) {
+func Handshake(ctx context.Context, netConn net.Conn, cfg Config) (*Conn, error) {
 	conn := newConn(netConn, cfg.Defaults())
 	stop := context.AfterFunc(ctx, func() { netConn.Close() })
 	err := conn.greet()
--- a/internal/proto/serve.go
+++ b/internal/proto/serve.go
@@ -36,7 +36,7 @@
 		}
 		group.Go(func() error {
 			defer func() { <-openConns }()
-			if conn, err := Greet(ctx, netConn, cfg); err == nil {
+			if conn, err := Handshake(ctx, netConn, cfg); err == nil {
 				serve(ctx, conn) // a failed handshake ends only its connection
 			}
 			return nil
