--- a/internal/sexpr/decode.go
+++ b/internal/sexpr/decode.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	if checker, ok := value.Addr().Interface().(Checker); ok {
-		return WrapError(form.Pos, checker.Check())
+		return WithPos(form.Pos, checker.Check())
 	}
 	return nil
 }
--- a/internal/sexpr/errors.go
+++ b/internal/sexpr/errors.go
@@ -19,9 +19,9 @@
 	return &Error{Pos: pos, Message: fmt.Sprintf(format, args...)}
 }
 
-// WrapError returns an *Error with the position and the text of err, which it does not wrap. It returns err
+// WithPos returns an *Error with the position and the text of err, which it does not wrap. It returns err
 // itself if that is nil or already has a position.
-func WrapError(pos Pos, err error) error {
+func WithPos(pos Pos, err error) error {
 	var positioned *Error
 	if err == nil || errors.As(err, &positioned) {
 		return err
--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -92,7 +92,7 @@
 	if errors.As(err, &positioned) {
 		return Errorf(posOf(name, positioned.Position()), "%s", positioned.Message())
 	}
-	return WrapError(startOf(name), err)
+	return WithPos(startOf(name), err)
 }
 
 // posOf converts a position of the lexer, which leaves line and column 0 if the position is unknown.
@@ -105,7 +105,7 @@
 func checkNesting(name string, data []byte) error {
 	tokens, err := symbols.LexString(name, string(data))
 	if err != nil {
-		return WrapError(startOf(name), err)
+		return WithPos(startOf(name), err)
 	}
 	types := symbols.Symbols()
 	var open []lexer.Position
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -87,7 +87,7 @@
 	if len(forms) != 1 {
 		return sexpr.Errorf(f.Pos, "(at …) names %d faults; want one", len(forms))
 	}
-	return sexpr.WrapError(f.Pos, forms[0].check(scenario))
+	return sexpr.WithPos(f.Pos, forms[0].check(scenario))
 }
 
 func checkNodes(scenario *Scenario, nodes []int) error {
