--- a/endpoints/view.go
+++ b/endpoints/view.go
@@ -89,7 +89,7 @@
 		if old, ok := before[endpoint.Server]; ok {
 			endpoint.StartedAt = max(endpoint.StartedAt, old.StartedAt)
 		}
-		if endpoint.Status == scheduler.Gone {
+		if endpoint.Status == scheduler.Removed {
 			delete(v.listed, endpoint.Server)
 		} else {
 			v.listed[endpoint.Server] = endpoint
--- a/endpoints/view_test.go
+++ b/endpoints/view_test.go
@@ -48,7 +48,7 @@
 			return e.Status
 		}
 	}
-	return scheduler.Gone
+	return scheduler.Removed
 }
 
 // After a gap, before the first full list, and from a registry with another epoch, only a full list is
@@ -58,7 +58,7 @@
 	view.Restore(clock(0), Snapshot{Epoch: 1, Version: 5, Endpoints: []Endpoint{ready(1, 0)}})
 	apply(t, view, 0, change(5, 6, ready(2, 0)), Gap) // the snapshot may be old: no change builds on it
 	apply(t, view, 0, fullList(6, ready(1, 0), ready(2, 0)), Applied)
-	apply(t, view, 0, change(6, 7, Endpoint{Server: server(1), Status: scheduler.Gone}), Applied)
+	apply(t, view, 0, change(6, 7, Endpoint{Server: server(1), Status: scheduler.Removed}), Applied)
 	apply(t, view, 0, change(8, 9, ready(1, 0)), Gap)
 	apply(t, view, 0, fullList(3), Stale)
 	otherEpoch := change(7, 8, ready(3, 0))
--- a/internal/daemon/preconditions.go
+++ b/internal/daemon/preconditions.go
@@ -38,7 +38,7 @@
 		n.byServer = make(map[scheduler.Server]notifiedEndpoint, len(update.Endpoints))
 	}
 	for _, endpoint := range update.Endpoints {
-		if endpoint.Status == scheduler.Gone {
+		if endpoint.Status == scheduler.Removed {
 			delete(n.byServer, endpoint.Server)
 			continue
 		}
--- a/internal/platform/address_table.go
+++ b/internal/platform/address_table.go
@@ -86,7 +86,7 @@
 	listed := map[scheduler.Server]bool{}
 	for i, endpoint := range parsed {
 		entry := addressEntry{id: instances[i].ID, address: instances[i].HostPort, cell: endpoint.Cell}
-		if endpoint.Status == scheduler.Gone {
+		if endpoint.Status == scheduler.Removed {
 			if known, ok := t.entries[endpoint.Server]; ok {
 				entry = known // a removed disk server may be listed without its address
 			}
--- a/internal/platform/endpoint_list.go
+++ b/internal/platform/endpoint_list.go
@@ -37,7 +37,7 @@
 var statusByLifecycle = map[string]scheduler.Status{
 	"ready":    scheduler.Ready,
 	"draining": scheduler.Draining,
-	"gone":     scheduler.Gone,
+	"gone":     scheduler.Removed,
 }
 
 var (
@@ -83,7 +83,7 @@
 	switch {
 	case l.ID == "":
 		return errIDMissing
-	case l.HostPort == "" && status != scheduler.Gone:
+	case l.HostPort == "" && status != scheduler.Removed:
 		return fmt.Errorf("%s: %w", l.ID, errHostPortMissing)
 	case l.Cell < 0 || l.Cell > math.MaxUint16:
 		return fmt.Errorf("%s: cell %d is out of range", l.ID, l.Cell)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -150,7 +150,7 @@
 	began = time.Now()
 	cancel()
 	wg.Wait()
-	if update := next(t, r.updates); update.Endpoints[0].Status != scheduler.Gone ||
+	if update := next(t, r.updates); update.Endpoints[0].Status != scheduler.Removed ||
 		time.Since(began) < 140*time.Millisecond {
 		t.Errorf("process ended: after %v got %+v, want Gone after 140 ms or more", time.Since(began), update)
 	}
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -160,7 +160,7 @@
 				continue // a later incarnation is listed
 			}
 			next.endpoint = current
-			next.endpoint.Status = scheduler.Gone
+			next.endpoint.Status = scheduler.Removed
 		}
 		s.publish(next.endpoint)
 	}
@@ -217,7 +217,7 @@
 	for _, endpoint := range s.listed {
 		included := s.changedIn[endpoint.Server] > stored.Version
 		if update.Full {
-			included = endpoint.Status != scheduler.Gone
+			included = endpoint.Status != scheduler.Removed
 		}
 		if included {
 			update.Endpoints = append(update.Endpoints, endpoint)
--- a/internal/registry/snapshot_file_test.go
+++ b/internal/registry/snapshot_file_test.go
@@ -41,7 +41,7 @@
 			StartedAt:       7,
 			NominalCapacity: 0.5,
 		},
-		{Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 5}, Port: 7102}, Status: scheduler.Gone}}}
+		{Server: scheduler.Server{Addr: [4]byte{10, 1, 2, 5}, Port: 7102}, Status: scheduler.Removed}}}
 }
 
 func TestSnapshotFile_ReadsAndWritesStoredList(t *testing.T) {
--- a/internal/testbed/greedy.go
+++ b/internal/testbed/greedy.go
@@ -78,7 +78,7 @@
 		return
 	case scheduler.UpdateFull:
 		for server, endpoint := range g.endpoints {
-			endpoint.Status = scheduler.Gone
+			endpoint.Status = scheduler.Removed
 			g.endpoints[server] = endpoint
 		}
 	}
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -23,7 +23,7 @@
 
 // The states of a node.
 const (
-	Gone Status = iota
+	Removed Status = iota
 	Ready
 	Draining
 )
--- a/scheduler/endpoint_view.go
+++ b/scheduler/endpoint_view.go
@@ -70,7 +70,7 @@
 	}
 	for server, n := range v.nodes {
 		if !isListed[server] {
-			n.Status = Gone
+			n.Status = Removed
 			v.markRemoved(n, now)
 		}
 	}
@@ -145,7 +145,7 @@
 		n.restart(s.startingDepth(), s.targetLatency())
 	}
 	n.Endpoint = e
-	if e.Status == Gone {
+	if e.Status == Removed {
 		s.endpoints.markRemoved(n, s.now)
 	} else {
 		n.removedAt = 0
--- a/scheduler/endpoint_view_test.go
+++ b/scheduler/endpoint_view_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestEndpointView_SendsNothingToDrainingOrRemovedNodes(t *testing.T) {
-	for _, status := range []Status{Draining, Gone} {
+	for _, status := range []Status{Draining, Removed} {
 		t.Run(status.String(), func(t *testing.T) {
 			driver := startDriver(t, smallSiteSettings(), 1)
 			driver.handle(EndpointUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{testEndpoint(0, status)}})
--- a/scheduler/node_state.go
+++ b/scheduler/node_state.go
@@ -20,7 +20,7 @@
 func (s *Scheduler) NodeStates() []NodeState {
 	var states []NodeState
 	for server, n := range s.endpoints.nodes {
-		if n.Status != Gone || len(n.inFlight) > 0 {
+		if n.Status != Removed || len(n.inFlight) > 0 {
 			states = append(states, NodeState{Server: server, Status: n.Status, InFlight: len(n.inFlight),
 				SlotsUsed: n.slotsUsed, Depth: n.depth, Latency: n.latency, Failures: n.failures})
 		}
