--- a/extent/scheduler_test.go
+++ b/extent/scheduler_test.go
@@ -292,7 +292,7 @@
 	}
 	for _, other := range withdrawn {
 		d.pieces[other].resolved = true
-		d.scheduler.Handle(d.now, scheduler.ClientGone{ID: other})
+		d.scheduler.Handle(d.now, scheduler.RequestWithdrawn{ID: other})
 	}
 }
 
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -110,7 +110,7 @@
 	for _, id := range ids {
 		if r := l.requests[id]; r != nil {
 			r.done = true
-			l.notify(scheduler.ClientGone{ID: id})
+			l.notify(scheduler.RequestWithdrawn{ID: id})
 			l.release(r)
 		}
 	}
--- a/internal/testbed/greedy.go
+++ b/internal/testbed/greedy.go
@@ -61,7 +61,7 @@
 		request := &greedyRequest{Request: event}
 		g.requests[event.ID] = request
 		g.send(request, g.pick(request, false))
-	case scheduler.ClientGone:
+	case scheduler.RequestWithdrawn:
 		delete(g.requests, event.ID)
 	case scheduler.AttemptResult:
 		if request := g.requests[event.ID]; request != nil {
--- a/internal/wire/batch_test.go
+++ b/internal/wire/batch_test.go
@@ -31,7 +31,7 @@
 		{Instance: 3, Event: scheduler.Request{ID: 0x5d3a91c4, VolumeInstances: 3, Key: 0x91f03b7c55d20a64,
 			ExpiresAt: 0x203b6db90, Volume: 0x2b8e6401d9f37c10, Units: 2}},
 		{Instance: 3, Event: scheduler.TimerFired{Token: 77}},
-		{Instance: 5, Event: scheduler.ClientGone{ID: 0x0e6f2b19}},
+		{Instance: 5, Event: scheduler.RequestWithdrawn{ID: 0x0e6f2b19}},
 	}
 	if !reflect.DeepEqual(batch.Records, want) {
 		t.Fatalf("got  %+v\nwant %+v", batch.Records, want)
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -62,7 +62,7 @@
 	case codeAttemptResult:
 		return d.attemptResult()
 	case codeClientGone:
-		return scheduler.ClientGone{ID: d.uint32()}
+		return scheduler.RequestWithdrawn{ID: d.uint32()}
 	case codeTimerFired:
 		return scheduler.TimerFired{Token: d.uint32()}
 	case codeHealthCheckResult:
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -40,10 +40,10 @@
 	driver := startDriver(t, smallSiteSettings(), 1)
 	driver.fixDepth(1)
 	driver.handle(driver.newRequest(nil), driver.newRequest(func(r *Request) { r.Units = 8 }))
-	driver.handle(ClientGone{ID: 2}, ClientGone{ID: 99}) // there is no request 99
+	driver.handle(RequestWithdrawn{ID: 2}, RequestWithdrawn{ID: 99}) // there is no request 99
 	wantEqual(t, "sent", sentIDs(driver.finishAttempt(1, 0, 0, OK, ms)))
-	driver.finishAttempt(1, 0, 0, OK, ms) // a second result of a finished request is ignored
-	driver.handle(ClientGone{ID: 1})      // as is a disconnect after the request is finished
+	driver.finishAttempt(1, 0, 0, OK, ms)  // a second result of a finished request is ignored
+	driver.handle(RequestWithdrawn{ID: 1}) // as is a disconnect after the request is finished
 }
 
 func TestDispatch_ShedsRequestThatCannotMeetItsDeadline(t *testing.T) {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -72,8 +72,8 @@
 	Latency time.Duration
 }
 
-// ClientGone reports that a request needs no answer any more, for example because its client disconnected.
-type ClientGone struct{ ID uint32 }
+// RequestWithdrawn reports that a request needs no answer any more, for example because its client disconnected.
+type RequestWithdrawn struct{ ID uint32 }
 
 // TimerFired reports that a timer set by SetTimer is due.
 type TimerFired struct{ Token uint32 }
@@ -96,7 +96,7 @@
 func (Request) isEvent()           {}
 func (AttemptResult) isEvent()     {}
 func (ResponseStarted) isEvent()   {}
-func (ClientGone) isEvent()        {}
+func (RequestWithdrawn) isEvent()  {}
 func (TimerFired) isEvent()        {}
 func (HealthCheckResult) isEvent() {}
 func (PeerMessage) isEvent()       {}
--- a/scheduler/ordering_test.go
+++ b/scheduler/ordering_test.go
@@ -17,7 +17,7 @@
 	sent := sentIDs(driver.handle(keyed(), keyed(), keyed(), driver.newRequest(nil)))
 	wantEqual(t, "sent, the first of the key and the one without a key", sent, 1, 4)
 	wantEqual(t, "sent when the first is finished", sentIDs(driver.finishAttempt(1, 0, 0, OK, ms)), 2)
-	driver.handle(ClientGone{ID: 2})
+	driver.handle(RequestWithdrawn{ID: 2})
 	wantEqual(t, "sent while the attempt has no result", sentIDs(driver.advance(10*ms)))
 	driver.handle(AttemptResult{ID: 2, Server: testServer(0), Code: TimedOut, Latency: 20 * ms,
 		RequestDone: true})
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -54,7 +54,7 @@
 		r := driver.newRequest(nil)
 		driver.handle(r)
 		driver.finishAttempt(r.ID, 0, 0, Error, ms)
-		driver.handle(ClientGone{ID: r.ID})
+		driver.handle(RequestWithdrawn{ID: r.ID})
 		if len(driver.scheduler.requests) > 0 { // its retry is in flight
 			driver.finishAttempt(r.ID, 1, 0, Error, ms)
 		}
--- a/scheduler/random_driver_test.go
+++ b/scheduler/random_driver_test.go
@@ -203,7 +203,7 @@
 		id := 1 + d.random.Uint32N(d.lastID)
 		if r := d.requests[id]; !r.answered {
 			r.answered, r.goneAt = true, d.now
-			d.handle(ClientGone{ID: id})
+			d.handle(RequestWithdrawn{ID: id})
 		}
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -106,7 +106,7 @@
 		s.admit(event)
 	case AttemptResult:
 		s.handleResult(event)
-	case ClientGone:
+	case RequestWithdrawn:
 		if r := s.requests[event.ID]; r != nil {
 			s.finish(r)
 		}
