--- a/internal/testbed/event.go
+++ b/internal/testbed/event.go
@@ -20,7 +20,7 @@
 	KindNotApplicable    Kind = "moot"    // the node does not serve the cell
 	KindStart            Kind = "start"   // work began
 	KindEnd              Kind = "end"     // work ended; a write has taken effect
-	KindRepeat           Kind = "repeat"  // ignored as a duplicate by the deduplication group
+	KindDuplicate        Kind = "repeat"  // ignored as a duplicate by the deduplication group
 	KindCancel           Kind = "cancel"  // cancelled; a write has not taken effect
 	KindCancelArrived    Kind = "called"  // a cancellation arrived, or the connection ended
 	KindReplied          Kind = "replied" // an answer was queued on the connection
--- a/internal/testbed/forms_test.go
+++ b/internal/testbed/forms_test.go
@@ -46,7 +46,7 @@
 
 var allKinds = []Kind{
 	KindSent, KindAnswer, KindBroken, KindClientLeft, KindTimedOut, KindNodeStarted, KindNodeStopped,
-	KindArrive, KindOverloaded, KindNotApplicable, KindStart, KindEnd, KindRepeat, KindCancel,
+	KindArrive, KindOverloaded, KindNotApplicable, KindStart, KindEnd, KindDuplicate, KindCancel,
 	KindCancelArrived, KindReplied, KindCollapsed, KindNotice, KindAcknowledged, KindInstanceStarted,
 	KindInstanceKilled, KindInstanceStalled, KindConnectionsStuck, KindProcessStalled,
 }
--- a/internal/testbed/node_answer.go
+++ b/internal/testbed/node_answer.go
@@ -10,7 +10,7 @@
 
 // answer ends an operation, logs its end as kind and sends its answer, unless a fault prevents that.
 func (p *nodeProcess) answer(op *operation, kind Kind, code proto.Code) {
-	if kind != KindRepeat { // registerMembers has logged it for each member
+	if kind != KindDuplicate { // registerMembers has logged it for each member
 		p.logOperation(kind, op, code)
 	}
 	answer := p.makeAnswer(op, code)
--- a/internal/testbed/node_dedup.go
+++ b/internal/testbed/node_dedup.go
@@ -39,7 +39,7 @@
 			p.enqueue(op)
 		}()
 	case allRepeats:
-		p.answer(op, KindRepeat, proto.OK)
+		p.answer(op, KindDuplicate, proto.OK)
 	default:
 		return true
 	}
@@ -66,7 +66,7 @@
 		m.dropped = repeats[i]
 		allRepeats = allRepeats && m.dropped
 		if m.dropped {
-			p.logOperation(KindRepeat, op.withOnly(member{Member: m.Member}), proto.OK)
+			p.logOperation(KindDuplicate, op.withOnly(member{Member: m.Member}), proto.OK)
 		}
 	}
 	return allRepeats, nil
--- a/internal/testbed/request_trace.go
+++ b/internal/testbed/request_trace.go
@@ -81,7 +81,7 @@
 		return
 	}
 	switch event.Kind {
-	case KindOverloaded, KindNotApplicable, KindRepeat, KindEnd, KindCancel:
+	case KindOverloaded, KindNotApplicable, KindDuplicate, KindEnd, KindCancel:
 		attempt.code = event.Code
 		attempt.tookEffect = event.Kind == KindEnd && event.Write
 		attempt.ended, attempt.sum = event.Kind == KindEnd, event.Checksum
