--- a/internal/daemon/actions.go
+++ b/internal/daemon/actions.go
@@ -7,8 +7,8 @@
 	"landingpaddle/scheduler"
 )
 
-// carryOut executes one action of the scheduler.
-func (l *loop) carryOut(action scheduler.Action) {
+// execute executes one action of the scheduler.
+func (l *loop) execute(action scheduler.Action) {
 	switch action := action.(type) {
 	case scheduler.Send:
 		l.startAttempt(action)
--- a/internal/daemon/actions_test.go
+++ b/internal/daemon/actions_test.go
@@ -14,10 +14,10 @@
 
 // observedEvents counts the events by which the loop reports the results of a decider's actions.
 type observedEvents struct {
-	events       <-chan scheduler.Event
-	lists        int // endpoint updates from the registry
-	healthChecks int // successful, with the load report nodeLoad
-	cancelled    int // attempts
+	events          <-chan scheduler.Event
+	endpointUpdates int // endpoint updates from the registry
+	healthChecks    int // successful, with the load report nodeLoad
+	cancelled       int // attempts
 }
 
 // nodeLoad is the load report in the node's answers to health checks.
@@ -32,7 +32,7 @@
 			o.observe(event)
 		case <-time.After(5 * time.Second):
 			t.Fatalf("no event for 5s; got only %d endpoint updates, %d health checks, %d cancelled",
-				o.lists, o.healthChecks, o.cancelled)
+				o.endpointUpdates, o.healthChecks, o.cancelled)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 		}
 	case scheduler.EndpointUpdate:
 		if event.Kind != scheduler.UpdateCached {
-			o.lists++
+			o.endpointUpdates++
 		}
 	}
 }
@@ -84,11 +84,11 @@
 	})
 	observed := observedEvents{events: decider.events}
 	// Waits for the endpoint list: an attempt to a node that is not on it fails its preconditions.
-	observed.awaitUntil(t, func() bool { return observed.lists >= 1 })
+	observed.awaitUntil(t, func() bool { return observed.endpointUpdates >= 1 })
 	client := env.client()
 	id := client.sendRequest(nil)
 	observed.awaitUntil(t, func() bool {
-		isListFetched := observed.lists >= 2 // the first one was pushed by the registry
+		isListFetched := observed.endpointUpdates >= 2 // the first one was pushed by the registry
 		return observed.healthChecks >= 1 && observed.cancelled >= 1 && isListFetched
 	})
 	env.awaitLog("hello operators")
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -20,14 +20,14 @@
 	Range      *extent.Range     // bytes of a ranged request; nil: not ranged
 	DataVolume uint64            // the volume that a ranged request reads or writes
 
-	rangedID uint64     // the planner's ID of a ranged call; 0: not ranged
-	requests []*request // one, or one for each piece of a ranged call
-	overdue  *timer
-	answered bool
+	rangedID     uint64     // the planner's ID of a ranged call; 0: not ranged
+	requests     []*request // one, or one for each piece of a ranged call
+	overdueTimer *timer
+	answered     bool
 
-	// unwanted is true once the call is answered, or its client has disconnected or cancelled: no attempt may
+	// closed is true once the call is answered, or its client has disconnected or cancelled: no attempt may
 	// start any more. Drivers read it on any goroutine.
-	unwanted atomic.Bool
+	closed atomic.Bool
 }
 
 func (c *Call) isRanged() bool { return c.rangedID != 0 }
@@ -35,7 +35,7 @@
 // startCall passes a submitted call to the scheduler: as one request, or as one for each piece of its range.
 func (l *loop) startCall(call *Call) {
 	expiresAt := call.ReceivedAt + call.Timeout - l.shared.cfg.ResponseMargin
-	call.overdue = l.timers.set(expiresAt+l.shared.cfg.AnswerSlack, func() { l.answerOverdue(call) })
+	call.overdueTimer = l.timers.set(expiresAt+l.shared.cfg.AnswerSlack, func() { l.answerOverdue(call) })
 	event := call.Request
 	event.ExpiresAt = expiresAt
 	if call.Range != nil {
@@ -80,7 +80,7 @@
 // answerOverdue fails a call that the scheduler has not answered when its time is up, and logs that as an
 // error: it is a bug of the scheduler or the loop.
 func (l *loop) answerOverdue(call *Call) {
-	if !call.answered && l.notified {
+	if !call.answered && l.eventsPending {
 		// If the loop's goroutine did not run for a long period, an attempt's end and this timer may be
 		// processed in one batch. The scheduler has received the end but not decided yet; it decides first.
 		l.decide()
@@ -98,9 +98,9 @@
 	l.failCall(call, ReasonOverdue)
 }
 
-// endCallOfGoneClient ends a call whose client has disconnected or cancelled it. It does nothing if the call
+// cancelCall ends a call whose client has disconnected or cancelled it. It does nothing if the call
 // is answered or not started.
-func (l *loop) endCallOfGoneClient(call *Call) {
+func (l *loop) cancelCall(call *Call) {
 	if call.answered || call.requests == nil {
 		return
 	}
@@ -137,8 +137,8 @@
 		return
 	}
 	call.answered = true
-	call.unwanted.Store(true)
-	l.timers.cancel(call.overdue)
+	call.closed.Store(true)
+	l.timers.cancel(call.overdueTimer)
 	l.shared.Stats.countAnswer(answer.Code)
 	if answer.Code != proto.OK {
 		l.logUnserved(call, answer)
@@ -150,7 +150,7 @@
 // logUnserved logs a rejection or failure, and the state and node of each piece of a partly done write, which
 // is recorded nowhere else.
 func (l *loop) logUnserved(call *Call, answer proto.Answer) {
-	l.shared.log.Debug(answerEvent(answer.Code), keyReason, answer.Reason, keyToken, call.Token,
+	l.shared.log.Debug(answerLogMessage(answer.Code), keyReason, answer.Reason, keyToken, call.Token,
 		keyRetryAfter, answer.RetryAfter)
 	if answer.Done == 0 || !call.Request.Write {
 		return
--- a/internal/daemon/event_loop_input.go
+++ b/internal/daemon/event_loop_input.go
@@ -29,8 +29,8 @@
 
 // CancelCall reports that a call's client has disconnected or has cancelled the call.
 func (e *EventLoop) CancelCall(call *Call) {
-	call.unwanted.Store(true) // at once: an attempt might start before the loop's next batch
-	e.inbox.put(clientGone{call})
+	call.closed.Store(true) // at once: an attempt might start before the loop's next batch
+	e.inbox.put(callCancelled{call})
 }
 
 // OperationEnded reports how an operation ended.
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -14,31 +14,31 @@
 	// counterLogInterval is the minimum time between two log messages with the counters. They are logged
 	// after a batch.
 	counterLogInterval = time.Minute
-	// idleWakeup is the longest wait of the loop when no timer is set.
-	idleWakeup = time.Hour
+	// maxIdleWait is the longest wait of the loop when no timer is set.
+	maxIdleWait = time.Hour
 )
 
 // loop is the state of a running EventLoop: the scheduler and all requests. The goroutine of Run owns it and
 // never blocks on a socket.
 type loop struct {
-	shared          *EventLoop // the part that other goroutines access too
-	drivers         Drivers
-	decider         Decider // the scheduler, or its replacement by Hooks.Decider
-	scheduler       *scheduler.Scheduler
-	settings        scheduler.Settings
-	savedStatistics *checkpoint.Record // of the previous incarnation; nil: none to restore
-	planner         *extent.Planner    // nil: no ranged requests
-	view            *endpoints.View
-	timers          timers
-	requests        map[uint32]*request
-	lastRequestID   uint32
-	lastRangedID    uint64        // planner's ID of the last ranged call
-	undispatched    []*Operation  // of this batch, not passed to the upstream yet
-	now             time.Duration // start of this batch
-	notified        bool          // the scheduler has received events since the last Decide
-	spareMessages   []message     // of the previous batch; reused
-	lastBatchEnd    time.Duration
-	countersLogged  time.Duration // time of the last log of the counters
+	shared           *EventLoop // the part that other goroutines access too
+	drivers          Drivers
+	decider          Decider // the scheduler, or its replacement by Hooks.Decider
+	scheduler        *scheduler.Scheduler
+	settings         scheduler.Settings
+	savedStatistics  *checkpoint.Record // of the previous incarnation; nil: none to restore
+	planner          *extent.Planner    // nil: no ranged requests
+	view             *endpoints.View
+	timers           timers
+	requests         map[uint32]*request
+	lastRequestID    uint32
+	lastRangedID     uint64        // planner's ID of the last ranged call
+	undispatched     []*Operation  // of this batch, not passed to the upstream yet
+	now              time.Duration // start of this batch
+	eventsPending    bool          // the scheduler has received events since the last Decide
+	spareMessages    []message     // of the previous batch; reused
+	lastBatchEnd     time.Duration
+	countersLoggedAt time.Duration // time of the last log of the counters
 }
 
 func newLoop(shared *EventLoop, drivers Drivers) *loop {
@@ -67,7 +67,7 @@
 func (l *loop) run(ctx context.Context) error {
 	l.restore()
 	close(l.shared.ready)
-	wakeup := time.NewTimer(idleWakeup)
+	wakeup := time.NewTimer(maxIdleWait)
 	defer wakeup.Stop()
 	stopRequested := l.shared.stopping // nil once the stop was processed
 	var shutdownTimeout <-chan time.Time
@@ -98,7 +98,7 @@
 func (l *loop) restore() {
 	snapshot := l.loadSnapshot()
 	l.now = l.shared.Now()
-	l.countersLogged = l.now
+	l.countersLoggedAt = l.now
 	l.updateEndpoints(l.view.Restore(l.shared.clock(), snapshot))
 	if l.shared.cfg.TrustInitialList {
 		l.view.TrustRestored()
@@ -114,7 +114,7 @@
 	if dueAt, ok := l.timers.next(); ok {
 		wakeup.Reset(max(0, dueAt-l.shared.Now()))
 	} else {
-		wakeup.Reset(idleWakeup)
+		wakeup.Reset(maxIdleWait)
 	}
 }
 
@@ -138,17 +138,17 @@
 	}
 	l.spareMessages = messages
 	l.timers.runDue(l.now)
-	if l.notified {
+	if l.eventsPending {
 		l.decide()
 	}
-	if l.notified {
+	if l.eventsPending {
 		// Executing the actions has produced new events (a cancelled attempt has its result at once). The
 		// scheduler's decision on these must not wait for the next message.
 		l.shared.inbox.signal()
 	}
 	l.publishPlannerStats()
-	if l.now-l.countersLogged >= counterLogInterval {
-		l.countersLogged = l.now
+	if l.now-l.countersLoggedAt >= counterLogInterval {
+		l.countersLoggedAt = l.now
 		l.shared.log.Info("counters", keyCounters, &l.shared.Stats)
 	}
 	l.lastBatchEnd = l.shared.Now()
@@ -156,16 +156,16 @@
 
 // notify passes an event to the scheduler.
 func (l *loop) notify(event scheduler.Event) {
-	l.notified = true
+	l.eventsPending = true
 	l.decider.Handle(l.now, event)
 }
 
 // decide executes the actions that the scheduler decides on.
 func (l *loop) decide() {
-	l.notified = false
+	l.eventsPending = false
 	l.shared.Stats.Batches.Add(1)
 	for _, action := range l.decider.Decide(l.now) {
-		l.carryOut(action)
+		l.execute(action)
 	}
 	l.dispatch()
 }
--- a/internal/daemon/messages.go
+++ b/internal/daemon/messages.go
@@ -17,10 +17,10 @@
 
 func (m callSubmitted) apply(l *loop) { l.startCall(m.call) }
 
-// clientGone reports that a call's client has disconnected or has cancelled the call.
-type clientGone struct{ call *Call }
+// callCancelled reports that a call's client has disconnected or has cancelled the call.
+type callCancelled struct{ call *Call }
 
-func (m clientGone) apply(l *loop) { l.endCallOfGoneClient(m.call) }
+func (m callCancelled) apply(l *loop) { l.cancelCall(m.call) }
 
 // operationResult reports how an operation ended.
 type operationResult struct {
@@ -71,10 +71,10 @@
 	l.updateFromNode("node draining", m.node.server, update, changed)
 }
 
-// greetingReceived reports which incarnation of a node completed the handshake of a new connection.
-type greetingReceived struct{ node nodeProcess }
+// helloReceived reports which incarnation of a node completed the handshake of a new connection.
+type helloReceived struct{ node nodeProcess }
 
-func (m greetingReceived) apply(l *loop) {
+func (m helloReceived) apply(l *loop) {
 	update, changed := l.view.ApplyHello(l.shared.clock(), m.node.server, m.node.startedAt)
 	l.updateFromNode("node restarted", m.node.server, update, changed)
 }
--- a/internal/daemon/operation.go
+++ b/internal/daemon/operation.go
@@ -50,7 +50,7 @@
 	operations := l.undispatched
 	l.undispatched = nil
 	for _, operation := range operations {
-		for _, sendable := range l.sendable(operation) {
+		for _, sendable := range l.sendableOperations(operation) {
 			l.shared.Stats.Attempts.Add(uint64(len(sendable.members)))
 			l.drivers.Upstream.Send(sendable)
 		}
@@ -59,10 +59,10 @@
 	l.undispatched = operations[:0]
 }
 
-// sendable returns the sealed operations to send in place of an operation: the operation itself or, if some
+// sendableOperations returns the sealed operations to send in place of an operation: the operation itself or, if some
 // members have ended already or are withheld because their request has ended or their time is up, a separate
 // operation for each other member, as their ranges may not touch any more.
-func (l *loop) sendable(operation *Operation) []*Operation {
+func (l *loop) sendableOperations(operation *Operation) []*Operation {
 	var remaining []*attempt
 	for _, member := range operation.members {
 		switch {
@@ -78,13 +78,13 @@
 		operation.seal(l.planner)
 		return []*Operation{operation}
 	}
-	return l.separate(remaining)
+	return l.separateOperations(remaining)
 }
 
-// separate returns a sealed operation for each attempt. Of several attempts of one ordered key only the first
+// separateOperations returns a sealed operation for each attempt. Of several attempts of one ordered key only the first
 // is sent; the others are reported to the scheduler as not sent, because nodes may execute operations in
 // flight together in any order.
-func (l *loop) separate(attempts []*attempt) []*Operation {
+func (l *loop) separateOperations(attempts []*attempt) []*Operation {
 	var operations []*Operation
 	sentKeys := map[uint64]bool{}
 	for _, a := range attempts {
--- a/internal/daemon/reasons.go
+++ b/internal/daemon/reasons.go
@@ -61,8 +61,8 @@
 	return ReasonNotInTime
 }
 
-// answerEvent returns the log message for an answer other than success.
-func answerEvent(code proto.Code) string {
+// answerLogMessage returns the log message for an answer other than success.
+func answerLogMessage(code proto.Code) string {
 	if code == proto.Rejected {
 		return "request rejected"
 	}
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// maxHandOver is the longest time expected between Admit and Submit of a call.
-	maxHandOver = 50 * time.Millisecond
-	// handOverPoll is the interval at which the loop polls the inbox for such calls.
-	handOverPoll = time.Millisecond
+	// maxSubmitDelay is the longest time expected between Admit and Submit of a call.
+	maxSubmitDelay = 50 * time.Millisecond
+	// submitPollInterval is the interval at which the loop polls the inbox for such calls.
+	submitPollInterval = time.Millisecond
 )
 
 // failOpenCalls answers all open calls as failed when the shutdown timeout is over. These include calls that
@@ -20,7 +20,7 @@
 	for _, r := range l.requests {
 		l.finish(r.call, stopping, nil)
 	}
-	for end := l.shared.Now() + maxHandOver; ; time.Sleep(handOverPoll) {
+	for end := l.shared.Now() + maxSubmitDelay; ; time.Sleep(submitPollInterval) {
 		for _, m := range l.shared.inbox.takeAll(nil) {
 			if submitted, ok := m.(callSubmitted); ok {
 				l.finish(submitted.call, stopping, nil)
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -97,7 +97,7 @@
 			eventLoop.Submit(call)
 		} else {
 			wg.Go(func() {
-				time.Sleep(maxHandOver / 10)
+				time.Sleep(maxSubmitDelay / 10)
 				eventLoop.Submit(call)
 			})
 		}
--- a/internal/daemon/upstream_pool.go
+++ b/internal/daemon/upstream_pool.go
@@ -106,7 +106,7 @@
 			return nil
 		}
 		connection := &upstreamConnection{server: server, conn: conn, operations: map[uint64]*Operation{}}
-		p.instance.inbox.put(greetingReceived{connection.process()})
+		p.instance.inbox.put(helloReceived{connection.process()})
 		p.instance.inbox.put(connectionEstablished{p, connection})
 		err = conn.Run(p.ctx, func(frame proto.Frame) error { return p.handleFrame(connection, frame) })
 		p.connectionEnded(connection, err)
@@ -150,7 +150,7 @@
 	waiting := node.waiting
 	node.waiting = nil
 	for _, operation := range waiting {
-		for _, sendable := range l.sendable(operation) {
+		for _, sendable := range l.sendableOperations(operation) {
 			// The scheduler's decision is void if the node began to drain or restarted during the dial.
 			if code := l.shared.CheckPreconditions(sendable); code != scheduler.OK {
 				l.operationEnded(operationResult{operation: sendable, code: code})
