--- a/endpoints/view.go
+++ b/endpoints/view.go
@@ -56,7 +56,7 @@
 // Apply applies an update from the registry. It returns an update for the scheduler only if the result is
 // Applied.
 func (v *View) Apply(clock Clock, update Update) (scheduler.EndpointUpdate, ApplyResult) {
-	if !update.Full && !v.isHeld(update) {
+	if !update.Full && !v.hasBaseOf(update) {
 		return scheduler.EndpointUpdate{}, Gap
 	}
 	if v.trusted && update.Epoch == v.epoch && update.Version < v.version {
@@ -72,9 +72,9 @@
 	return converted, Applied
 }
 
-// isHeld reports whether a change builds on the current list: the list is trusted, of the same epoch and at
+// hasBaseOf reports whether a change builds on the current list: the list is trusted, of the same epoch and at
 // the change's base version or later.
-func (v *View) isHeld(change Update) bool {
+func (v *View) hasBaseOf(change Update) bool {
 	return v.trusted && change.Epoch == v.epoch && change.BaseVersion <= v.version
 }
 
--- a/internal/daemon/actions_test.go
+++ b/internal/daemon/actions_test.go
@@ -57,7 +57,7 @@
 // cancellableNode starts a node that answers only health checks and cancel frames, and counts the latter.
 func cancellableNode(env *testEnvironment) (server scheduler.Server, cancels *atomic.Int64) {
 	cancels = &atomic.Int64{}
-	node := env.node(0, func(conn *proto.Conn, frame proto.Frame, _ proto.Request) error {
+	node := env.addNode(0, func(conn *proto.Conn, frame proto.Frame, _ proto.Request) error {
 		switch frame.Type {
 		case proto.TypeHealthCheck:
 			answer := proto.Answer{Code: proto.OK, Load: nodeLoad}
@@ -85,7 +85,7 @@
 	observed := observedEvents{events: decider.events}
 	// Waits for the endpoint list: an attempt to a node that is not on it fails its preconditions.
 	observed.awaitUntil(t, func() bool { return observed.endpointUpdates >= 1 })
-	client := env.client()
+	client := env.connectClient()
 	id := client.sendRequest(nil)
 	observed.awaitUntil(t, func() bool {
 		isListFetched := observed.endpointUpdates >= 2 // the first one was pushed by the registry
--- a/internal/daemon/client_listener_test.go
+++ b/internal/daemon/client_listener_test.go
@@ -11,10 +11,10 @@
 // rejected.
 func TestClientListener_ServesValidAndRejectsInvalidRequests(t *testing.T) {
 	env := newTestEnvironment(t)
-	env.node(0, echo)
+	env.addNode(0, echo)
 	env.start(nil)
 	env.awaitLog("node listed")
-	client := env.client()
+	client := env.connectClient()
 	if answer := client.call(nil); answer.Code != proto.OK || string(client.payloads[1]) != "data" {
 		t.Errorf("got %+v with payload %q; want OK with data", answer, client.payloads[1])
 	}
@@ -34,10 +34,10 @@
 // MaxOpenRequests carry a RetryAfter.
 func TestClientListener_AnswersEachRequestOfBurstOnce(t *testing.T) {
 	env := newTestEnvironment(t)
-	env.node(0, echo)
+	env.addNode(0, echo)
 	instance := env.start(func(cfg *Config) { cfg.Site.Limits.MaxOpenRequests = 2000 })
 	env.awaitLog("node listed")
-	clients := []*testClient{env.client(), env.client()} // each allows 128 * 64 requests in flight
+	clients := []*testClient{env.connectClient(), env.connectClient()} // each allows 128 * 64 requests in flight
 	for range 5000 {
 		for _, client := range clients {
 			client.sendRequest(nil)
@@ -63,10 +63,10 @@
 // When a client closes its connection, its open calls end.
 func TestClientListener_EndsCallsOfClosedConnection(t *testing.T) {
 	env := newTestEnvironment(t)
-	env.node(0, ignoreRequest)
+	env.addNode(0, ignoreRequest)
 	instance := env.start(nil)
 	env.awaitLog("node listed")
-	client := env.client()
+	client := env.connectClient()
 	for range 20 {
 		client.sendRequest(nil)
 	}
@@ -87,12 +87,12 @@
 func TestClientListener_RetryAfterOnlyWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		env := newTestEnvironment(t)
-		env.node(0, echoAfter(200*time.Millisecond))
+		env.addNode(0, echoAfter(200*time.Millisecond))
 		instance := env.start(
 			func(cfg *Config) { cfg.Site.Limits.RetryAfter, cfg.Site.Limits.MaxOpenRequests = allowed, 1 },
 		)
 		env.awaitLog("node listed")
-		client := env.client()
+		client := env.connectClient()
 		client.sendRequest(nil)
 		for instance.Stats.Attempts.Load() < 1 {
 			time.Sleep(time.Millisecond)
--- a/internal/daemon/endpoint_list_test.go
+++ b/internal/daemon/endpoint_list_test.go
@@ -13,10 +13,10 @@
 // was processed it receives no more requests, although the endpoint list still has it as ready.
 func TestEventLoop_SendsNothingAfterDrainNotice(t *testing.T) {
 	env := newTestEnvironment(t)
-	node := env.node(0, echo)
+	node := env.addNode(0, echo)
 	env.start(nil)
 	env.awaitLog("node listed")
-	client := env.client()
+	client := env.connectClient()
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	wg.Go(func() {
--- a/internal/daemon/environment_test.go
+++ b/internal/daemon/environment_test.go
@@ -103,12 +103,12 @@
 	return ln
 }
 
-// node starts a fake node, whose frames are passed to handle, and registers it for a cell.
-func (e *testEnvironment) node(cell uint16, handle frameHandler) *fakeNode {
-	return e.nodeWithConfig(proto.Config{}, cell, handle)
+// addNode starts a fake addNode, whose frames are passed to handle, and registers it for a cell.
+func (e *testEnvironment) addNode(cell uint16, handle frameHandler) *fakeNode {
+	return e.addNodeWithConfig(proto.Config{}, cell, handle)
 }
 
-func (e *testEnvironment) nodeWithConfig(cfg proto.Config, cell uint16,
+func (e *testEnvironment) addNodeWithConfig(cfg proto.Config, cell uint16,
 	handle frameHandler) *fakeNode {
 	node := &fakeNode{listener: e.listen(), connections: make(chan *proto.Conn, 64)}
 	e.serve(node, cfg, handle)
@@ -192,8 +192,8 @@
 	e.t.Fatalf("not logged within 5s: %s\nlog:\n%s", text, e.logs.String())
 }
 
-// client connects a client to the instance.
-func (e *testEnvironment) client() *testClient {
+// connectClient connects a connectClient to the instance.
+func (e *testEnvironment) connectClient() *testClient {
 	e.t.Helper()
 	conn, err := proto.Dial(
 		e.ctx,
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -16,7 +16,7 @@
 	env := newTestEnvironment(t)
 	const timeout = 60 * time.Millisecond
 	var answersSent atomic.Int64
-	env.node(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
+	env.addNode(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
 		if frame.Type != proto.TypeRequest {
 			return nil
 		}
@@ -34,7 +34,7 @@
 		cfg.Hooks.Decider = countResults(&timedOut, scheduler.TimedOut)
 	})
 	env.awaitLog("node listed")
-	client := env.client()
+	client := env.connectClient()
 	for range 300 {
 		client.sendRequest(func(q *proto.Request) { q.Timeout = timeout })
 		time.Sleep(500 * time.Microsecond)
@@ -63,11 +63,11 @@
 // If the scheduler never decides, the loop fails the call when it is overdue and logs that as an error.
 func TestEventLoop_FailsAndLogsOverdueCall(t *testing.T) {
 	env := newTestEnvironment(t)
-	env.node(0, echo)
+	env.addNode(0, echo)
 	instance := env.start(func(cfg *Config) {
 		cfg.Hooks.Decider = func(scheduler.Settings, Decider) Decider { return silentDecider{} }
 	})
-	client := env.client()
+	client := env.connectClient()
 	answer := client.call(func(q *proto.Request) { q.Timeout = 100 * time.Millisecond })
 	if answer.Code != proto.Failed || answer.Reason != ReasonOverdue || instance.Stats.Overdue.Load() != 1 {
 		t.Errorf("got %+v; want Failed, overdue, counted once", answer)
--- a/internal/daemon/merging_failures_test.go
+++ b/internal/daemon/merging_failures_test.go
@@ -19,12 +19,12 @@
 			return false
 		}
 		unreadable := []proto.UnreadableRange{{Offset: badOffset - request.Offset, Length: 1}}
-		_ = disk.carryOut(conn, frame, request, unreadable)
+		_ = disk.execute(conn, frame, request, unreadable)
 		return true
 	}
 	var ids []uint64
 	for i := range uint64(4) {
-		ids = append(ids, env.read(volume, i*2000, 2000, nil))
+		ids = append(ids, env.sendRead(volume, i*2000, 2000, nil))
 	}
 	for i, id := range ids {
 		if i != 2 {
@@ -36,7 +36,7 @@
 			t.Errorf("got %+v for the range with the unreadable byte; want node-error", answer)
 		}
 	}
-	ops := disk.ranged()
+	ops := disk.rangedOperations()
 	if len(ops[0].Members) != 4 {
 		t.Errorf("got first operation %+v; want 4 members", ops[0])
 	}
@@ -66,12 +66,12 @@
 			}
 			var ids []uint64
 			for i := range uint64(4) {
-				ids = append(ids, env.read(volume, i*1000, 1000, nil))
+				ids = append(ids, env.sendRead(volume, i*1000, 1000, nil))
 			}
 			for i, id := range ids {
 				env.expectRead(id, volume, uint64(i)*1000, 1000)
 			}
-			if ops := disk.ranged(); len(ops) != 5 || len(ops[0].Members) != 4 {
+			if ops := disk.rangedOperations(); len(ops) != 5 || len(ops[0].Members) != 4 {
 				t.Errorf("got %d operations, the first with %d members; want 5 and 4",
 					len(ops), len(ops[0].Members))
 			}
@@ -91,17 +91,17 @@
 			return false
 		}
 		_ = conn.Send(proto.TypeDrain, 0, nil, nil)
-		next.fakeNode = env.node(0, next.serve)
+		next.fakeNode = env.addNode(0, next.serve)
 		return sendAnswer(conn, frame, proto.Answer{Code: proto.Overloaded})
 	}
 	var ids []uint64
 	for i := range uint64(4) {
-		ids = append(ids, env.read(volume, i*1000, 1000, nil))
+		ids = append(ids, env.sendRead(volume, i*1000, 1000, nil))
 	}
 	for i, id := range ids {
 		env.expectRead(id, volume, uint64(i)*1000, 1000)
 	}
-	if first, retries := disk.ranged(), next.ranged(); len(first) != 1 || len(first[0].Members) != 4 ||
+	if first, retries := disk.rangedOperations(), next.rangedOperations(); len(first) != 1 || len(first[0].Members) != 4 ||
 		len(retries) != 4 {
 		t.Errorf("got %d operations at the draining node, %d at the next; want 1 with 4 members, and 4",
 			len(first), len(retries))
@@ -118,14 +118,14 @@
 	pending := make(chan func(), 8)
 	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 		if request.Ranged {
-			pending <- func() { _ = disk.carryOut(conn, frame, request, nil) }
+			pending <- func() { _ = disk.execute(conn, frame, request, nil) }
 		}
 		return request.Ranged
 	}
 	cancel := func(id uint64) { _ = env.defaultClient.conn.Send(proto.TypeCancel, id, nil, nil) }
 	var ids []uint64
 	for i := range uint64(5) {
-		ids = append(ids, env.read(volume, i*1000, 1000, nil))
+		ids = append(ids, env.sendRead(volume, i*1000, 1000, nil))
 	}
 	cancel(ids[4]) // queued
 	serve := <-pending
@@ -142,7 +142,7 @@
 	if answer := env.defaultClient.awaitAnswer(ids[0]); answer.Reason != ReasonClientGone {
 		t.Errorf("got %+v for the cancelled leader; want reason client-gone", answer)
 	}
-	if ops := disk.ranged(); len(ops) != 1 || len(ops[0].Members) != 4 {
+	if ops := disk.rangedOperations(); len(ops) != 1 || len(ops[0].Members) != 4 {
 		t.Errorf("got %d operations, the first with %d members; want 1 and 4", len(ops), len(ops[0].Members))
 	}
 	env.defaultClient.call(nil) // answered only after the cancel of the answered read was processed
@@ -158,7 +158,7 @@
 		return len(request.Members) > 0 && sendAnswer(conn, frame, proto.Answer{Code: proto.OK,
 			Unreadable: []proto.UnreadableRange{{Offset: 1 << 63, Length: 1 << 63}}})
 	}
-	ids := []uint64{env.read(volume, 0, 1000, nil), env.read(volume, 1000, 1000, nil)}
+	ids := []uint64{env.sendRead(volume, 0, 1000, nil), env.sendRead(volume, 1000, 1000, nil)}
 	for i, id := range ids {
 		env.expectRead(id, volume, uint64(i)*1000, 1000)
 	}
--- a/internal/daemon/merging_test.go
+++ b/internal/daemon/merging_test.go
@@ -20,12 +20,12 @@
 			volume := env.volumeAt(0, 0)
 			var ids []uint64
 			for i := range uint64(8) {
-				ids = append(ids, env.read(volume, i*2000, 2000+uint32(i%2)*100, nil))
+				ids = append(ids, env.sendRead(volume, i*2000, 2000+uint32(i%2)*100, nil))
 			}
 			for i, id := range ids {
 				env.expectRead(id, volume, uint64(i)*2000, 2000+i%2*100)
 			}
-			ops, stats, want := env.disks[0].ranged(), &env.instance.Stats, 1
+			ops, stats, want := env.disks[0].rangedOperations(), &env.instance.Stats, 1
 			if mergingDisabled {
 				want = 8
 			}
@@ -53,12 +53,12 @@
 	delayed := make(chan func(), 8)
 	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
 		if request.Ranged {
-			delayed <- func() { _ = disk.carryOut(conn, frame, request, nil) }
+			delayed <- func() { _ = disk.execute(conn, frame, request, nil) }
 		}
 		return request.Ranged
 	}
-	long := env.read(volume, 0, 1000, nil)
-	short := env.read(volume, 1000, 1000, func(q *proto.Request) { q.Timeout = 700 * time.Millisecond })
+	long := env.sendRead(volume, 0, 1000, nil)
+	short := env.sendRead(volume, 1000, 1000, func(q *proto.Request) { q.Timeout = 700 * time.Millisecond })
 	start := time.Now()
 	answer := env.defaultClient.awaitAnswer(short)
 	if answer.Code == proto.OK || time.Since(start) > 1500*time.Millisecond {
@@ -70,7 +70,7 @@
 	}
 	(<-delayed)()
 	env.expectRead(long, volume, 0, 1000)
-	if ops := disk.ranged(); len(ops[0].Members) != 2 || ops[0].Timeout > 700*time.Millisecond {
+	if ops := disk.rangedOperations(); len(ops[0].Members) != 2 || ops[0].Timeout > 700*time.Millisecond {
 		t.Errorf("got operation %+v; want 2 members and a time-out of at most 700ms", ops[0])
 	}
 	for env.instance.Stats.LateResults.Load() == 0 { // the short member's part arrives after its time-out
@@ -84,15 +84,15 @@
 	env := newRangedEnvironment(t, func(cfg *Config) { cfg.Site.Limits.BatchInterval = 0 })
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
 	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
-		time.AfterFunc(60*time.Millisecond, func() { _ = disk.carryOut(conn, frame, request, nil) })
+		time.AfterFunc(60*time.Millisecond, func() { _ = disk.execute(conn, frame, request, nil) })
 		return true
 	}
 	for range 24 { // until the scheduler has statistics of the latency of reads
-		env.defaultClient.awaitAnswer(env.read(volume, 0, 10, nil))
+		env.defaultClient.awaitAnswer(env.sendRead(volume, 0, 10, nil))
 	}
 	var ids []uint64
 	for i := range uint64(40) {
-		ids = append(ids, env.read(volume, i*10, 10, func(q *proto.Request) {
+		ids = append(ids, env.sendRead(volume, i*10, 10, func(q *proto.Request) {
 			if i%2 == 1 {
 				q.Timeout = 40 * time.Millisecond
 			}
@@ -103,7 +103,7 @@
 			t.Errorf("read %d: got %+v; want OK for even reads, a failure for odd ones", i, answer)
 		}
 	}
-	for _, request := range disk.ranged()[24:] {
+	for _, request := range disk.rangedOperations()[24:] {
 		for _, member := range request.Members {
 			if member.Offset/10%2 != 0 && request.Offset/10%2 == 0 {
 				t.Errorf("got %+v; want no member with a short time-out in it", request)
@@ -120,12 +120,12 @@
 	volume := env.volumeAt(0, 0)
 	var ids []uint64
 	for range 1000 {
-		ids = append(ids, env.read(volume, 4096, 4096, nil))
+		ids = append(ids, env.sendRead(volume, 4096, 4096, nil))
 	}
 	for _, id := range ids {
 		env.expectRead(id, volume, 4096, 4096)
 	}
-	if n := len(env.disks[0].ranged()); n > 100 {
+	if n := len(env.disks[0].rangedOperations()); n > 100 {
 		t.Errorf("got %d operations; want at most 100", n)
 	} else {
 		t.Logf("1000 requests, %d operations", n)
@@ -144,24 +144,24 @@
 			Weight: 1, PriorityWeight: 1})
 	})
 	volume := env.volumeAt(0, 0)
-	first := env.read(volume, 0, 1000, nil)
-	limited := env.read(volume+1, 1000, 1000, func(q *proto.Request) { q.DataVolumeID, q.Plan = volume, 1 })
-	third := env.read(volume+2, 2000, 1000, func(q *proto.Request) { q.DataVolumeID = volume })
-	fourth := env.read(volume+3, 0, 2000, func(q *proto.Request) { q.DataVolumeID = volume })
+	first := env.sendRead(volume, 0, 1000, nil)
+	limited := env.sendRead(volume+1, 1000, 1000, func(q *proto.Request) { q.DataVolumeID, q.Plan = volume, 1 })
+	third := env.sendRead(volume+2, 2000, 1000, func(q *proto.Request) { q.DataVolumeID = volume })
+	fourth := env.sendRead(volume+3, 0, 2000, func(q *proto.Request) { q.DataVolumeID = volume })
 	env.expectRead(first, volume, 0, 1000)
 	env.expectRead(fourth, volume, 0, 2000)
 	env.expectRead(third, volume, 2000, 1000)
 	if answer := env.defaultClient.awaitAnswer(limited); answer.Code != proto.Rejected {
 		t.Errorf("got %+v for the volume over its limit; want Rejected", answer)
 	}
-	for _, request := range env.disks[0].ranged() {
+	for _, request := range env.disks[0].rangedOperations() {
 		for _, member := range request.Members {
 			if member.Volume == volume+1 {
 				t.Error("got a member of the volume over its limit; want none")
 			}
 		}
 	}
-	if ops := env.disks[0].ranged(); len(ops) != 1 || len(ops[0].Members) != 3 {
+	if ops := env.disks[0].rangedOperations(); len(ops) != 1 || len(ops[0].Members) != 3 {
 		t.Errorf("got %d operations; want 1 with 3 members", len(ops))
 	}
 	env.defaultClient.expectOneAnswerEach()
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -18,7 +18,7 @@
 // Invalid datagrams are discarded, valid ones reach the scheduler, and the instance continues to serve.
 func TestInstance_DropsInvalidPeerMessages(t *testing.T) {
 	env := newTestEnvironment(t)
-	env.node(0, echo)
+	env.addNode(0, echo)
 	peers := map[uint32]netip.AddrPort{}
 	other, err := peer.Listen("127.0.0.1:0", 1, peers, nil)
 	if err != nil {
@@ -46,7 +46,7 @@
 	if _, err := conn.Write(valid); err != nil {
 		t.Fatal(err)
 	}
-	client := env.client()
+	client := env.connectClient()
 	if answer := client.call(nil); answer.Code != proto.OK {
 		t.Errorf("got %+v; want OK", answer)
 	}
--- a/internal/daemon/preconditions_test.go
+++ b/internal/daemon/preconditions_test.go
@@ -22,7 +22,7 @@
 	env.registry.Put(endpoint)
 	env.start(nil)
 	env.awaitLog("node=" + node.listener.Addr().String())
-	client := env.client()
+	client := env.connectClient()
 	if answer := client.call(nil); answer.Code != proto.OK {
 		t.Errorf("got %+v; want OK", answer)
 	}
--- a/internal/daemon/ranged_call_test.go
+++ b/internal/daemon/ranged_call_test.go
@@ -10,8 +10,8 @@
 func TestRangedCall_ReadsAcrossExtents(t *testing.T) {
 	env := newRangedEnvironment(t, nil)
 	volume := env.volumeAt(0, 0)
-	env.expectRead(env.read(volume, 16<<10-100, 300, nil), volume, 16<<10-100, 300)
-	first, second := env.disks[0].ranged(), env.disks[1].ranged()
+	env.expectRead(env.sendRead(volume, 16<<10-100, 300, nil), volume, 16<<10-100, 300)
+	first, second := env.disks[0].rangedOperations(), env.disks[1].rangedOperations()
 	if len(first) != 1 || len(second) != 1 || first[0].Length != 100 || second[0].Offset != 16<<10 ||
 		first[0].Piece != 0 || second[0].Piece != 1 {
 		t.Errorf("got operations %+v and %+v; want piece 0 and piece 1 of the read, one at each node",
@@ -25,12 +25,12 @@
 	env := newRangedEnvironment(t, nil)
 	volume := env.volumeAt(0, 0)
 	for name, id := range map[string]uint64{
-		"empty":                env.read(volume, 10, 0, nil),
-		"overflow":             env.read(volume, 1<<64-5, 10, nil),
-		"too many pieces":      env.read(volume, 0, 80<<10, nil),
-		"over maximum payload": env.read(volume, 0, 9<<20, nil),
-		"short payload":        env.write(volume, 0, 10, 1, func(q *proto.Request) { q.Length = 11 }),
-		"payload on read": env.write(volume, 0, 10, 1, func(q *proto.Request) {
+		"empty":                env.sendRead(volume, 10, 0, nil),
+		"overflow":             env.sendRead(volume, 1<<64-5, 10, nil),
+		"too many pieces":      env.sendRead(volume, 0, 80<<10, nil),
+		"over maximum payload": env.sendRead(volume, 0, 9<<20, nil),
+		"short payload":        env.sendWrite(volume, 0, 10, 1, func(q *proto.Request) { q.Length = 11 }),
+		"payload on read": env.sendWrite(volume, 0, 10, 1, func(q *proto.Request) {
 			q.Write, q.Class = false, 0
 		}),
 	} {
@@ -39,8 +39,8 @@
 			t.Errorf("%s: got %+v; want Rejected, bad-range", name, answer)
 		}
 	}
-	env.expectRead(env.read(volume, 1, 1, nil), volume, 1, 1)
-	if n := len(env.disks[0].ranged()) + len(env.disks[1].ranged()); n != 1 {
+	env.expectRead(env.sendRead(volume, 1, 1, nil), volume, 1, 1)
+	if n := len(env.disks[0].rangedOperations()) + len(env.disks[1].rangedOperations()); n != 1 {
 		t.Errorf("got %d operations at the nodes; want 1", n)
 	}
 	env.defaultClient.expectOneAnswerEach()
--- a/internal/daemon/ranged_environment_test.go
+++ b/internal/daemon/ranged_environment_test.go
@@ -63,11 +63,11 @@
 	if d.intercept != nil && d.intercept(n, conn, frame, request) {
 		return nil
 	}
-	return d.carryOut(conn, frame, request, nil)
+	return d.execute(conn, frame, request, nil)
 }
 
-// carryOut executes an operation and answers it, with the ranges that could not be read.
-func (d *fakeDisk) carryOut(conn *proto.Conn, frame proto.Frame, request proto.Request,
+// execute executes an operation and answers it, with the ranges that could not be read.
+func (d *fakeDisk) execute(conn *proto.Conn, frame proto.Frame, request proto.Request,
 	unreadable []proto.UnreadableRange) error {
 	answer := proto.Answer{Code: proto.OK, Unreadable: unreadable}
 	d.mu.Lock()
@@ -94,8 +94,8 @@
 	return true
 }
 
-// ranged returns the ranged operations received so far.
-func (d *fakeDisk) ranged() (out []proto.Request) {
+// rangedOperations returns the rangedOperations operations received so far.
+func (d *fakeDisk) rangedOperations() (out []proto.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, request := range d.operations {
@@ -120,7 +120,7 @@
 	env := &rangedEnvironment{testEnvironment: newTestEnvironment(t)}
 	for cell := range uint16(2) {
 		disk := &fakeDisk{bytes: map[uint64][]byte{}}
-		disk.fakeNode = env.node(cell, disk.serve)
+		disk.fakeNode = env.addNode(cell, disk.serve)
 		env.disks = append(env.disks, disk)
 	}
 	env.start(func(cfg *Config) {
@@ -146,13 +146,13 @@
 	for range env.disks {
 		env.awaitLog("node listed")
 	}
-	env.defaultClient = env.client()
-	env.warm()
+	env.defaultClient = env.connectClient()
+	env.connectToNodes()
 	return env
 }
 
-// warm establishes the connections to both nodes and leaves the loop at the start of a batch interval.
-func (e *rangedEnvironment) warm() {
+// connectToNodes establishes the connections to both nodes and leaves the loop at the start of a batch interval.
+func (e *rangedEnvironment) connectToNodes() {
 	e.t.Helper()
 	for cell := range int32(2) {
 		if answer := e.defaultClient.call(func(q *proto.Request) { q.Cell = cell }); answer.Code != proto.OK {
@@ -173,8 +173,8 @@
 	}
 }
 
-// read sends a read of a range of a volume and returns its stream. change may be nil.
-func (e *rangedEnvironment) read(volume, offset uint64, length uint32, change func(*proto.Request)) uint64 {
+// sendRead sends a sendRead of a range of a volume and returns its stream. change may be nil.
+func (e *rangedEnvironment) sendRead(volume, offset uint64, length uint32, change func(*proto.Request)) uint64 {
 	return e.defaultClient.sendRequest(func(q *proto.Request) {
 		q.Volume, q.Ranged, q.Offset, q.Length = volume, true, offset, length
 		if change != nil {
@@ -183,8 +183,8 @@
 	})
 }
 
-// write sends a write of length bytes of value b to a volume and returns its stream. change may be nil.
-func (e *rangedEnvironment) write(volume, offset uint64, length int, b byte,
+// sendWrite sends a sendWrite of length bytes of value b to a volume and returns its stream. change may be nil.
+func (e *rangedEnvironment) sendWrite(volume, offset uint64, length int, b byte,
 	change func(*proto.Request)) uint64 {
 	return e.defaultClient.sendPayload(bytes.Repeat([]byte{b}, length), func(q *proto.Request) {
 		q.Volume, q.Ranged, q.Offset, q.Length = volume, true, offset, uint32(length)
--- a/internal/daemon/ranged_write_test.go
+++ b/internal/daemon/ranged_write_test.go
@@ -37,14 +37,14 @@
 				mu.Lock()
 				inFlight[request.Token]--
 				mu.Unlock()
-				_ = disk.carryOut(conn, frame, request, nil)
+				_ = disk.execute(conn, frame, request, nil)
 			})
 			return true
 		}
 	}
 	var ids []uint64
 	for i := range 3 {
-		ids = append(ids, env.write(volume, 12<<10, 8<<10, byte(i+1), withKey(7)))
+		ids = append(ids, env.sendWrite(volume, 12<<10, 8<<10, byte(i+1), withKey(7)))
 	}
 	for _, id := range ids {
 		if answer := env.defaultClient.awaitAnswer(id); answer.Code != proto.OK {
@@ -69,14 +69,14 @@
 	volume := env.volumeAt(0, 0)
 	var ids []uint64
 	for i := range 4 {
-		ids = append(ids, env.write(volume, uint64(i)*1000, 1000, byte(i+1), withKey(7)))
+		ids = append(ids, env.sendWrite(volume, uint64(i)*1000, 1000, byte(i+1), withKey(7)))
 	}
 	for _, id := range ids {
 		if answer := env.defaultClient.awaitAnswer(id); answer.Code != proto.OK {
 			t.Errorf("write %d: got %+v; want OK", id, answer)
 		}
 	}
-	ops := env.disks[0].ranged()
+	ops := env.disks[0].rangedOperations()
 	if len(ops) != 1 || len(ops[0].Members) != 4 {
 		t.Fatalf("got operations %+v; want 1 with 4 members", ops)
 	}
@@ -103,20 +103,20 @@
 		}
 		return len(request.Members) > 0
 	}
-	long := env.write(volume, 0, 1000, 1, func(q *proto.Request) { q.Key, q.Timeout = 8, 2*time.Second })
-	short := env.write(volume, 1000, 1000, 2, func(q *proto.Request) {
+	long := env.sendWrite(volume, 0, 1000, 1, func(q *proto.Request) { q.Key, q.Timeout = 8, 2*time.Second })
+	short := env.sendWrite(volume, 1000, 1000, 2, func(q *proto.Request) {
 		q.Key, q.Timeout = 7, 700*time.Millisecond
 	})
 	if answer := env.defaultClient.awaitAnswer(short); answer.Code == proto.OK {
 		t.Errorf("got %+v for the short time-out; want a failure", answer)
 	}
-	answer := env.defaultClient.awaitAnswer(env.write(volume, 1000, 1000, 3, withKey(7)))
+	answer := env.defaultClient.awaitAnswer(env.sendWrite(volume, 1000, 1000, 3, withKey(7)))
 	if answer.Code != proto.OK {
 		t.Errorf("got %+v for the next write of the key; want OK", answer)
 	}
 	env.defaultClient.awaitAnswer(long)
-	if len(disk.ranged()) < 2 || len(disk.ranged()[0].Members) != 2 {
-		t.Fatalf("got operations %+v; want 2 or more, the first with 2 members", disk.ranged())
+	if len(disk.rangedOperations()) < 2 || len(disk.rangedOperations()[0].Members) != 2 {
+		t.Fatalf("got operations %+v; want 2 or more, the first with 2 members", disk.rangedOperations())
 	}
 	if disk.mu.Lock(); cancelsBefore < 1 || fmt.Sprint(disk.cancelled[0]) != "[1]" {
 		t.Errorf("got %d cancels before the next write, of members %v; want 1 or more, the first of [1]",
@@ -149,13 +149,13 @@
 			mu.Lock()
 			inFlight--
 			mu.Unlock()
-			_ = slow.carryOut(conn, frame, request, nil)
+			_ = slow.execute(conn, frame, request, nil)
 		})
 		return true
 	}
 	var ids []uint64
 	for i := range 3 {
-		ids = append(ids, env.write(volume, uint64(i)*1000, 1000, byte(i+1), withKey(7)))
+		ids = append(ids, env.sendWrite(volume, uint64(i)*1000, 1000, byte(i+1), withKey(7)))
 	}
 	for env.instance.Stats.Operations.Load() == 0 {
 		time.Sleep(time.Millisecond)
@@ -170,7 +170,7 @@
 			t.Errorf("write %d: got %+v; want OK", id, answer)
 		}
 	}
-	if ops := slow.ranged(); len(ops) != 2 || ops[0].Token != ids[1] || ops[1].Token != ids[2] {
+	if ops := slow.rangedOperations(); len(ops) != 2 || ops[0].Token != ids[1] || ops[1].Token != ids[2] {
 		t.Errorf("got operations %+v; want the second and third write, in order", ops)
 	}
 	env.defaultClient.expectOneAnswerEach()
@@ -187,7 +187,7 @@
 	}
 	env.disks[1].intercept = overloaded
 	put := func(q *proto.Request) { q.Class = 2 }
-	answer := env.defaultClient.awaitAnswer(env.write(volume, 12<<10, 24<<10, 9, put))
+	answer := env.defaultClient.awaitAnswer(env.sendWrite(volume, 12<<10, 24<<10, 9, put))
 	if answer.Code != proto.Failed || answer.Reason != ReasonNodeOverloaded || answer.Done < 1 ||
 		answer.Done+answer.Uncertain+answer.Unsent != 3 {
 		t.Errorf("got %+v; want Failed, node-full, 3 pieces, at least 1 done", answer)
@@ -197,7 +197,7 @@
 		env.awaitLog(want)
 	}
 	env.disks[0].intercept = overloaded
-	answer = env.defaultClient.awaitAnswer(env.write(volume, 12<<10, 8<<10, 9, put))
+	answer = env.defaultClient.awaitAnswer(env.sendWrite(volume, 12<<10, 8<<10, 9, put))
 	if answer.Code != proto.Rejected || answer.Done+answer.Uncertain != 0 {
 		t.Errorf("got %+v without an executed piece; want Rejected", answer)
 	}
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -12,7 +12,7 @@
 // A graceful shutdown answers all open calls and rejects new ones; then Run returns nil.
 func TestInstance_AnswersOpenCallsBeforeStopping(t *testing.T) {
 	env := newTestEnvironment(t)
-	env.node(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
+	env.addNode(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
 		if frame.Type == proto.TypeRequest {
 			time.AfterFunc(200*time.Millisecond, func() {
 				conn.CloseStream(frame.Stream)
@@ -23,7 +23,7 @@
 	})
 	instance := env.start(nil)
 	env.awaitLog("node listed")
-	client := env.client()
+	client := env.connectClient()
 	for range 5 {
 		client.sendRequest(nil)
 	}
@@ -55,10 +55,10 @@
 // A kill takes effect immediately: connections close, open calls get no answer, no goroutine is left.
 func TestInstance_KillEndsAtOnce(t *testing.T) {
 	env := newTestEnvironment(t)
-	env.node(0, ignoreRequest)
+	env.addNode(0, ignoreRequest)
 	instance := env.start(nil)
 	env.awaitLog("node listed")
-	client := env.client()
+	client := env.connectClient()
 	client.sendRequest(nil)
 	for instance.Stats.Attempts.Load() < 1 {
 		time.Sleep(time.Millisecond)
@@ -119,12 +119,12 @@
 	env := newRangedEnvironment(t, nil)
 	volume, disk := env.volumeAt(0, 0), env.disks[0]
 	disk.intercept = func(n int, conn *proto.Conn, frame proto.Frame, request proto.Request) bool {
-		time.AfterFunc(300*time.Millisecond, func() { _ = disk.carryOut(conn, frame, request, nil) })
+		time.AfterFunc(300*time.Millisecond, func() { _ = disk.execute(conn, frame, request, nil) })
 		return true
 	}
 	var ids []uint64
 	for i := range uint64(12) {
-		ids = append(ids, env.read(volume, i*1000, 1000, nil))
+		ids = append(ids, env.sendRead(volume, i*1000, 1000, nil))
 	}
 	for env.instance.Stats.Merged.Load() == 0 {
 		time.Sleep(time.Millisecond)
--- a/internal/daemon/snapshot_test.go
+++ b/internal/daemon/snapshot_test.go
@@ -16,7 +16,7 @@
 // ignored and logged. On a full disk only the snapshot is lost; requests are served.
 func TestInstance_RestoresEndpointSnapshot(t *testing.T) {
 	env := newTestEnvironment(t)
-	env.node(0, echo)
+	env.addNode(0, echo)
 	file := registry.SnapshotFile{Path: filepath.Join(t.TempDir(), "list")}
 	instance := env.start(func(cfg *Config) { cfg.Snapshot = file })
 	env.awaitLog("node listed")
@@ -30,7 +30,7 @@
 	<-env.ended
 	env.registry.SetDown(true)
 	env.start(func(cfg *Config) { cfg.Snapshot, cfg.Site.PollEndpoints = file, true })
-	client := env.client()
+	client := env.connectClient()
 	if answer := client.call(nil); answer.Code != proto.OK {
 		t.Errorf("got %+v with the snapshot alone; want OK", answer)
 	}
@@ -46,7 +46,7 @@
 	env.start(func(cfg *Config) { cfg.Snapshot = fullDisk })
 	env.awaitLog("endpoint snapshot ignored")
 	env.awaitLog("no space left on device")
-	client = env.client()
+	client = env.connectClient()
 	if answer := client.call(nil); answer.Code != proto.OK {
 		t.Errorf("got %+v with a full disk; want OK", answer)
 	}
--- a/internal/daemon/statistics_test.go
+++ b/internal/daemon/statistics_test.go
@@ -40,12 +40,12 @@
 func restartWithChangedSite(t *testing.T, modify func(path string)) (*testEnvironment, *testClient) {
 	t.Helper()
 	env, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
-	env.node(0, echoAfter(60*time.Millisecond))
-	env.node(1, echoAfter(5*time.Millisecond))
+	env.addNode(0, echoAfter(60*time.Millisecond))
+	env.addNode(1, echoAfter(5*time.Millisecond))
 	old := env.start(func(cfg *Config) { cfg.StatisticsFile = path })
 	env.awaitLog("cell=0")
 	env.awaitLog("cell=1")
-	client := env.client()
+	client := env.connectClient()
 	for i := range 24 {
 		client.call(func(q *proto.Request) { q.Cell, q.Volume = int32(i%2), uint64(i%2) })
 	}
@@ -66,7 +66,7 @@
 		modify(path)
 	}
 	env.start(func(cfg *Config) { cfg.StatisticsFile, cfg.Site = path, changedSite() })
-	return env, env.client()
+	return env, env.connectClient()
 }
 
 // After a restart with changed settings the instance restores its statistics, serves reads and non-idempotent
@@ -107,11 +107,11 @@
 // An incarnation without requests keeps the statistics that the previous one saved.
 func TestStatistics_IdleIncarnationKeepsThem(t *testing.T) {
 	env, path := newTestEnvironment(t), filepath.Join(t.TempDir(), "learnt")
-	env.node(0, echo)
+	env.addNode(0, echo)
 	for incarnation := range 2 {
 		env.start(func(cfg *Config) { cfg.StatisticsFile = path })
 		env.awaitLog("node listed")
-		if client := env.client(); incarnation == 0 {
+		if client := env.connectClient(); incarnation == 0 {
 			client.call(nil)
 		}
 		env.instance.Stop()
--- a/internal/daemon/stored_test.go
+++ b/internal/daemon/stored_test.go
@@ -16,8 +16,8 @@
 // The files in testdata were written before Go fields of the record were renamed. They must stay readable,
 // and the same record must still be encoded to the same bytes.
 const (
-	storedFigures = "testdata/learnt.bin"      // storedRecord, with every field set
-	stoppedLearnt = "testdata/learnt-stop.bin" // written by an instance at a graceful shutdown
+	storedRecordFile   = "testdata/learnt.bin"      // storedRecord, with every field set
+	shutdownRecordFile = "testdata/learnt-stop.bin" // written by an instance at a graceful shutdown
 )
 
 // storedRecord returns a record with a distinct value in every field.
@@ -76,20 +76,20 @@
 // same bytes.
 func TestStoredStatistics_ReadAndWriteAsBefore(t *testing.T) {
 	var got checkpoint.Record
-	if err := statefile.Read(storedFigures, statisticsMagic, &got); err != nil {
+	if err := statefile.Read(storedRecordFile, statisticsMagic, &got); err != nil {
 		t.Fatal(err)
 	}
 	if want := storedRecord(); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\nwant %+v", got, want)
 	}
-	sameBytes(t, storedFigures, storedRecord())
+	checkEncoding(t, storedRecordFile, storedRecord())
 }
 
 // A file that an instance wrote at a graceful shutdown is valid, has no field that was lost and read as zero,
 // and is still encoded to the same bytes.
 func TestStoredStatistics_OfGracefulShutdownReadAndWriteAsBefore(t *testing.T) {
 	var got checkpoint.Record
-	if err := statefile.Read(stoppedLearnt, statisticsMagic, &got); err != nil {
+	if err := statefile.Read(shutdownRecordFile, statisticsMagic, &got); err != nil {
 		t.Fatal(err)
 	}
 	fingerprint := checkpoint.Fingerprint{Instance: 0, MeanUnits: 2, MaxUnits: 8,
@@ -118,11 +118,11 @@
 		got.RecentLatency == 0 {
 		t.Errorf("got %+v; want units, count and latencies above 0", got)
 	}
-	sameBytes(t, stoppedLearnt, got)
+	checkEncoding(t, shutdownRecordFile, got)
 }
 
-// sameBytes checks that a record is encoded to the bytes of a file.
-func sameBytes(t *testing.T, path string, record checkpoint.Record) {
+// checkEncoding checks that a record is encoded to the bytes of a file.
+func checkEncoding(t *testing.T, path string, record checkpoint.Record) {
 	t.Helper()
 	want, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/daemon/upstream_pool_test.go
+++ b/internal/daemon/upstream_pool_test.go
@@ -17,7 +17,7 @@
 	env := newTestEnvironment(t)
 	var node *fakeNode
 	var broken atomic.Bool
-	node = env.node(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
+	node = env.addNode(0, func(conn *proto.Conn, frame proto.Frame, request proto.Request) error {
 		if node.requestCount.Load() >= 30 && broken.CompareAndSwap(false, true) {
 			conn.Close(nil)
 			return nil
@@ -30,7 +30,7 @@
 	var resets atomic.Int64
 	env.start(func(cfg *Config) { cfg.Hooks.Decider = countResults(&resets, scheduler.Reset) })
 	env.awaitLog("node listed")
-	client := env.client()
+	client := env.connectClient()
 	for range 30 {
 		client.sendRequest(nil)
 	}
@@ -50,10 +50,10 @@
 func TestUpstreamPool_OversizedRequestsTakeNoStreams(t *testing.T) {
 	env := newTestEnvironment(t)
 	limits := proto.Limits{MaxHeader: 4096, MaxPayload: 10, MaxStreams: 4, MaxBacklog: 1 << 20}
-	env.nodeWithConfig(proto.Config{Limits: limits}, 0, echo)
+	env.addNodeWithConfig(proto.Config{Limits: limits}, 0, echo)
 	env.start(func(cfg *Config) { cfg.Site.Limits.NodeConnections = 1 })
 	env.awaitLog("node listed")
-	client := env.client()
+	client := env.connectClient()
 	for range 8 {
 		client.lastStream++
 		request := proto.Request{
@@ -85,10 +85,10 @@
 // in flight on a connection do not exceed the agreed stream limit.
 func TestUpstreamPool_KeepsStreamLimitOfSilentNode(t *testing.T) {
 	env := newTestEnvironment(t)
-	node := env.node(0, ignoreRequest)
+	node := env.addNode(0, ignoreRequest)
 	env.start(func(cfg *Config) { cfg.Site.Limits.Streams, cfg.Site.Limits.NodeConnections = 8, 2 })
 	env.awaitLog("node listed")
-	client := env.client()
+	client := env.connectClient()
 	start := time.Now()
 	for range 100 {
 		client.sendRequest(func(q *proto.Request) { q.Timeout = 500 * time.Millisecond })
@@ -118,7 +118,7 @@
 	}
 	env.start(nil)
 	env.awaitLog("cell=1")
-	client := env.client()
+	client := env.connectClient()
 	for cell := range int32(2) {
 		answer := client.call(func(q *proto.Request) { q.Cell, q.Class = cell, 1; q.Key = uint64(cell) + 1 })
 		if answer.Code != proto.Rejected ||
