--- a/endpoints/view_properties_test.go
+++ b/endpoints/view_properties_test.go
@@ -16,13 +16,13 @@
 
 // viewModel applies messages of a registry and of nodes to a view and checks the resulting updates.
 type viewModel struct {
-	view     *View
-	elapsed  time.Duration
-	version  uint64 // of the registry's list
-	listed   map[scheduler.Server]Endpoint
-	starts   map[scheduler.Server]int64                   // last start of a node, in Unix nanoseconds
-	noticed  map[scheduler.Server]int64                   // the start stated in the last drain notice
-	reported map[scheduler.Server]map[int64]time.Duration // by start: its converted time
+	view         *View
+	elapsed      time.Duration
+	version      uint64 // of the registry's list
+	listed       map[scheduler.Server]Endpoint
+	starts       map[scheduler.Server]int64                   // last start of a node, in Unix nanoseconds
+	drainNotices map[scheduler.Server]int64                   // the start stated in the last drain notice
+	reported     map[scheduler.Server]map[int64]time.Duration // by start: its converted time
 }
 
 // For any order of inputs: no update has a start in the future; a repeated start is always converted to the
@@ -31,11 +31,11 @@
 func TestView_Properties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &viewModel{
-			view:     New(skew),
-			listed:   map[scheduler.Server]Endpoint{},
-			starts:   map[scheduler.Server]int64{},
-			noticed:  map[scheduler.Server]int64{},
-			reported: map[scheduler.Server]map[int64]time.Duration{},
+			view:         New(skew),
+			listed:       map[scheduler.Server]Endpoint{},
+			starts:       map[scheduler.Server]int64{},
+			drainNotices: map[scheduler.Server]int64{},
+			reported:     map[scheduler.Server]map[int64]time.Duration{},
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			model.step(t)
@@ -57,7 +57,7 @@
 	case 2:
 		m.sendFullList(t, now)
 	case 3:
-		m.sendGreeting(t, now, server(node))
+		m.sendHello(t, now, server(node))
 	}
 }
 
@@ -84,7 +84,7 @@
 		return
 	}
 	if update, changed := m.view.ApplyDrainNotice(now, address, startedAt); changed {
-		m.noticed[address] = startedAt
+		m.drainNotices[address] = startedAt
 		m.check(t, update)
 	}
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-func (m *viewModel) sendGreeting(t *rapid.T, now Clock, address scheduler.Server) {
+func (m *viewModel) sendHello(t *rapid.T, now Clock, address scheduler.Server) {
 	startedAt, hasStarted := m.starts[address]
 	if !hasStarted {
 		return
@@ -114,7 +114,7 @@
 	for _, endpoint := range update.Endpoints {
 		m.checkStart(t, endpoint)
 		startedAt := m.starts[endpoint.Server]
-		noticed, hasNotice := m.noticed[endpoint.Server]
+		noticed, hasNotice := m.drainNotices[endpoint.Server]
 		if hasNotice && startedAt <= noticed && endpoint.Status == scheduler.Ready {
 			t.Fatal("a node is ready again in the incarnation that sent a drain notice")
 		}
--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -151,16 +151,16 @@
 			t.Fatalf("with all nodes missing, the reachable fraction is %v, want 0", last)
 		}
 		m := New(f)
-		for c := range m.holders {
+		for c := range m.nodesByCell {
 			sum := 0.0
 			for i := range f.Volumes {
 				for _, x := range m.cellsOf(&f.Volumes[i]) {
 					if v := f.Volumes[i]; x == c {
-						sum += float64(v.Count) * f.Plans[v.Plan].Weight / m.weight[c]
+						sum += float64(v.Count) * f.Plans[v.Plan].Weight / m.weightByCell[c]
 					}
 				}
 			}
-			if m.weight[c] > 0 && math.Abs(sum-1) > 1e-9 {
+			if m.weightByCell[c] > 0 && math.Abs(sum-1) > 1e-9 {
 				t.Fatalf("shares at cell %d add up to %v, want 1", c, sum)
 			}
 		}
--- a/expect/measure.go
+++ b/expect/measure.go
@@ -25,7 +25,7 @@
 func (m *Model) measureReach(e Expectation, down []bool, report reportFunc) {
 	served := map[int]bool{}
 	for _, cell := range m.cells {
-		served[cell] = m.isHeld(cell, down)
+		served[cell] = m.isServed(cell, down)
 	}
 	for _, i := range m.selectVolumes(e.Of) {
 		cells, reached := m.cellsOf(&m.Volumes[i]), 0
@@ -43,8 +43,8 @@
 func (m *Model) measureReserve(of Selector, down []bool, report reportFunc) {
 	reserved := make([]float64, len(m.Nodes))
 	for _, cell := range m.cells {
-		if node := m.holder(cell, down); node >= 0 {
-			reserved[node] += m.reserve[cell]
+		if node := m.servingNode(cell, down); node >= 0 {
+			reserved[node] += m.reserveByCell[cell]
 		}
 	}
 	if of.Kind == Nodes {
@@ -74,10 +74,10 @@
 		volume := &m.Volumes[i]
 		worst, found := 0.0, false
 		for _, cell := range m.cellsOf(volume) {
-			if !m.isHeld(cell, down) {
+			if !m.isServed(cell, down) {
 				continue
 			}
-			share := ratio(m.Plans[volume.Plan].Weight, m.weight[cell])
+			share := ratio(m.Plans[volume.Plan].Weight, m.weightByCell[cell])
 			if !found || e.worse(share, worst) {
 				worst, found = share, true
 			}
--- a/expect/model.go
+++ b/expect/model.go
@@ -10,24 +10,24 @@
 // once.
 type Model struct {
 	*Fleet
-	cells       []int            // of all nodes, ascending
-	holders     map[int][]int    // indices of nodes by cell, ascending
-	reserve     map[int]float64  // sum over all volumes, by cell
-	weight      map[int]float64  // sum over all volumes, by cell
-	selected    map[string][]int // indices of volumes by selector; filled on first use
-	nodesByZone map[string][]int // indices of nodes
-	zoneNames   []string         // in the order of the nodes
+	cells             []int            // of all nodes, ascending
+	nodesByCell       map[int][]int    // indices of nodes by cell, ascending
+	reserveByCell     map[int]float64  // sum over all volumes, by cell
+	weightByCell      map[int]float64  // sum over all volumes, by cell
+	volumesBySelector map[string][]int // indices of volumes by selector; filled on first use
+	nodesByZone       map[string][]int // indices of nodes
+	zoneNames         []string         // in the order of the nodes
 }
 
 // New returns a model of a fleet, which must not change afterwards.
 func New(fleet *Fleet) *Model {
 	m := &Model{
-		Fleet:       fleet,
-		holders:     map[int][]int{},
-		reserve:     map[int]float64{},
-		weight:      map[int]float64{},
-		selected:    map[string][]int{},
-		nodesByZone: map[string][]int{},
+		Fleet:             fleet,
+		nodesByCell:       map[int][]int{},
+		reserveByCell:     map[int]float64{},
+		weightByCell:      map[int]float64{},
+		volumesBySelector: map[string][]int{},
+		nodesByZone:       map[string][]int{},
 	}
 	m.addNodes()
 	m.addVolumes()
@@ -36,13 +36,13 @@
 
 func (m *Model) addNodes() {
 	for i, node := range m.Nodes {
-		m.holders[node.Cell] = append(m.holders[node.Cell], i)
+		m.nodesByCell[node.Cell] = append(m.nodesByCell[node.Cell], i)
 		if m.nodesByZone[node.Zone] == nil {
 			m.zoneNames = append(m.zoneNames, node.Zone)
 		}
 		m.nodesByZone[node.Zone] = append(m.nodesByZone[node.Zone], i)
 	}
-	for cell := range m.holders {
+	for cell := range m.nodesByCell {
 		m.cells = append(m.cells, cell)
 	}
 	slices.Sort(m.cells)
@@ -54,8 +54,8 @@
 		plan, count := m.Plans[volume.Plan], float64(max(1, volume.Count))
 		cells := m.cellsOf(volume)
 		for _, cell := range cells {
-			m.reserve[cell] += count * plan.Reserve / float64(len(cells))
-			m.weight[cell] += count * plan.Weight
+			m.reserveByCell[cell] += count * plan.Reserve / float64(len(cells))
+			m.weightByCell[cell] += count * plan.Weight
 		}
 	}
 }
@@ -106,7 +106,7 @@
 // have thousands of volumes with few different properties.
 func (m *Model) selectVolumes(s Selector) []int {
 	key := s.String()
-	if volumes, ok := m.selected[key]; ok {
+	if volumes, ok := m.volumesBySelector[key]; ok {
 		return volumes
 	}
 	var volumes []int
@@ -122,13 +122,13 @@
 			volumes = append(volumes, i)
 		}
 	}
-	m.selected[key] = volumes
+	m.volumesBySelector[key] = volumes
 	return volumes
 }
 
-// holder returns the index of the node that serves a cell while some nodes are down; -1: none.
-func (m *Model) holder(cell int, down []bool) int {
-	for _, node := range m.holders[cell] {
+// servingNode returns the index of the node that serves a cell while some nodes are down; -1: none.
+func (m *Model) servingNode(cell int, down []bool) int {
+	for _, node := range m.nodesByCell[cell] {
 		if !down[node] {
 			return node
 		}
@@ -136,4 +136,4 @@
 	return -1
 }
 
-func (m *Model) isHeld(cell int, down []bool) bool { return m.holder(cell, down) >= 0 }
+func (m *Model) isServed(cell int, down []bool) bool { return m.servingNode(cell, down) >= 0 }
--- a/extent/answer.go
+++ b/extent/answer.go
@@ -39,7 +39,7 @@
 	if r.answered {
 		return nil, nil
 	}
-	answer, withdrawn = p.end(r)
+	answer, withdrawn = p.endRequest(r)
 	answer.Outcome = outcome
 	if outcome == Rejected && !r.RetrySafe && answer.Done+answer.Uncertain > 0 {
 		answer.Outcome = Failed
@@ -72,13 +72,13 @@
 	if r == nil || r.answered {
 		return nil, nil
 	}
-	answer, withdrawn = p.end(r)
+	answer, withdrawn = p.endRequest(r)
 	answer.Outcome = Failed
 	return answer, withdrawn
 }
 
-// end closes a request that is not served, and counts its pieces by state.
-func (p *Planner) end(r *request) (answer *Answer, withdrawn []uint32) {
+// endRequest closes a request that is not served, and counts its pieces by state.
+func (p *Planner) endRequest(r *request) (answer *Answer, withdrawn []uint32) {
 	r.answered = true
 	answer = &Answer{Request: r.ID}
 	for _, x := range r.pieces {
--- a/extent/merge.go
+++ b/extent/merge.go
@@ -53,13 +53,13 @@
 	m := &merge{planner: p, leader: leader, join: join,
 		operation: Operation{Range: leader.Range, Members: []Piece{leader.Piece}},
 		size:      operationSize{}.add(leader.Piece, leader.Range)}
-	m.looksLeft = scanFactor * p.settings.MaxMembers
+	m.scansLeft = scanFactor * p.settings.MaxMembers
 	p.queued.AscendGreaterOrEqual(leader, func(x *piece) bool {
-		return x.Range.Offset <= m.operation.Range.End() && m.consider(x)
+		return x.Range.Offset <= m.operation.Range.End() && m.tryJoin(x)
 	})
-	m.looksLeft = scanFactor * p.settings.MaxMembers
+	m.scansLeft = scanFactor * p.settings.MaxMembers
 	p.queued.DescendLessOrEqual(leader, func(x *piece) bool {
-		return m.operation.Range.Offset-x.Range.Offset <= p.settings.MaxOperation && m.consider(x)
+		return m.operation.Range.Offset-x.Range.Offset <= p.settings.MaxOperation && m.tryJoin(x)
 	})
 	for _, x := range m.joined { // only now: the queue must not change while it is iterated
 		p.dequeue(x)
@@ -74,15 +74,15 @@
 	operation Operation
 	size      operationSize
 	joined    []*piece
-	looksLeft int
+	scansLeft int
 }
 
-// consider adds a queued piece to the operation if it fits and join accepts it, and reports whether to
+// tryJoin adds a queued piece to the operation if it fits and join accepts it, and reports whether to
 // inspect further pieces.
-func (m *merge) consider(x *piece) bool {
+func (m *merge) tryJoin(x *piece) bool {
 	settings := &m.planner.settings
-	m.looksLeft--
-	if m.looksLeft < 0 || x.compareKind(m.leader) != 0 || len(m.operation.Members) >= settings.MaxMembers {
+	m.scansLeft--
+	if m.scansLeft < 0 || x.compareKind(m.leader) != 0 || len(m.operation.Members) >= settings.MaxMembers {
 		return false
 	}
 	if m.planner.isTooFarApart(x, m.leader) || !m.operation.touches(x.Range, x.request.Write) {
@@ -93,7 +93,7 @@
 		return true
 	}
 	size := m.size.add(x.Piece, covered)
-	if !m.join(x.ID, size.work) {
+	if !m.join(x.ID, size.chargedUnits) {
 		return true
 	}
 	m.size, m.operation.Range = size, covered
@@ -109,15 +109,15 @@
 }
 
 // operationSize is the sum of the members' bytes and units, and the units of the whole operation.
-type operationSize struct{ bytes, units, work float64 }
+type operationSize struct{ memberBytes, memberUnits, chargedUnits float64 }
 
 // add returns the size with one more member, when the operation covers the given range. The operation's
 // units are the members' units, scaled down to the covered bytes, since bytes that members share are
 // processed once. They are never fewer than without the member: one with few units for its bytes must not
 // make the others cheaper.
 func (s operationSize) add(member Piece, covered Range) operationSize {
-	s.bytes += float64(member.Range.Length)
-	s.units += float64(member.chargedUnits())
-	s.work = max(1, s.work, math.Ceil(s.units*min(1, float64(covered.Length)/s.bytes)))
+	s.memberBytes += float64(member.Range.Length)
+	s.memberUnits += float64(member.chargedUnits())
+	s.chargedUnits = max(1, s.chargedUnits, math.Ceil(s.memberUnits*min(1, float64(covered.Length)/s.memberBytes)))
 	return s
 }
--- a/extent/operation.go
+++ b/extent/operation.go
@@ -35,7 +35,7 @@
 		size = size.add(x.Piece, operation.Range)
 		operation.Members = append(operation.Members, x.Piece)
 	}
-	operation.Units = int(size.work)
+	operation.Units = int(size.chargedUnits)
 	return operation
 }
 
--- a/extent/planner_checks_test.go
+++ b/extent/planner_checks_test.go
@@ -102,8 +102,8 @@
 	return offset >= writer.Range.Offset && offset < writer.Range.End()
 }
 
-// checkNothingIsLeft abandons all requests, ends all operations and checks that the planner is empty.
-func (d *plannerDriver) checkNothingIsLeft() {
+// checkEmpty abandons all requests, ends all operations and checks that the planner is empty.
+func (d *plannerDriver) checkEmpty() {
 	for id, request := range d.requests {
 		d.planner.Abandon(id)
 		request.answered = true
--- a/extent/planner_model_test.go
+++ b/extent/planner_model_test.go
@@ -55,7 +55,7 @@
 // operations stay within their limits; in the end the planner is empty.
 func TestPlanner_MatchesAModelWithoutMerging(t *testing.T) {
 	merged := 0
-	rapid.Check(t, playRandomCase(&merged))
+	rapid.Check(t, runRandomCase(&merged))
 	if merged < 10 {
 		t.Errorf("only %d merged operations in all cases: too few for a meaningful test", merged)
 	}
@@ -64,17 +64,17 @@
 // FuzzPlanner runs the same driver on inputs of the fuzzer.
 func FuzzPlanner(f *testing.F) {
 	merged := 0
-	f.Fuzz(rapid.MakeFuzz(playRandomCase(&merged)))
+	f.Fuzz(rapid.MakeFuzz(runRandomCase(&merged)))
 }
 
-// playRandomCase returns a function that runs one random case and adds its merged operations to merged.
-func playRandomCase(merged *int) func(*rapid.T) {
+// runRandomCase returns a function that runs one random case and adds its merged operations to merged.
+func runRandomCase(merged *int) func(*rapid.T) {
 	return func(t *rapid.T) {
 		d := newPlannerDriver(t, drawNarrowSettings(t))
 		for range rapid.SampledFrom([]int{20, 60, 150}).Draw(t, "steps") {
 			d.step()
 		}
-		d.checkNothingIsLeft()
+		d.checkEmpty()
 		*merged += d.merged
 	}
 }
--- a/internal/proto/handshake.go
+++ b/internal/proto/handshake.go
@@ -23,7 +23,7 @@
 func Handshake(ctx context.Context, netConn net.Conn, cfg Config) (*Conn, error) {
 	conn := newConn(netConn, cfg.Defaults())
 	stop := context.AfterFunc(ctx, func() { netConn.Close() })
-	err := conn.greet()
+	err := conn.handshake()
 	if !stop() || err != nil {
 		netConn.Close()
 		return nil, errors.Join(err, context.Cause(ctx))
@@ -31,7 +31,7 @@
 	return conn, nil
 }
 
-func (c *Conn) greet() error {
+func (c *Conn) handshake() error {
 	if err := c.netConn.SetDeadline(time.Now().Add(c.cfg.HandshakeTimeout)); err != nil {
 		return err
 	}
