--- a/internal/platform/address_table.go
+++ b/internal/platform/address_table.go
@@ -27,10 +27,10 @@
 type addressEntry struct {
 	id, address string
 	cell        uint16
-	goneAt      time.Time // when it was removed; zero: it is listed
+	removedAt   time.Time // when it was removed; zero: it is listed
 }
 
-func (e addressEntry) isGone() bool { return !e.goneAt.IsZero() }
+func (e addressEntry) isGone() bool { return !e.removedAt.IsZero() }
 
 // errHashCollision rejects a list in which an id has the hash of another id in the table; the scheduler could
 // not distinguish the two disk servers.
@@ -90,7 +90,7 @@
 			if known, ok := t.entries[endpoint.Server]; ok {
 				entry = known // a removed disk server may be listed without its address
 			}
-			entry.goneAt = now
+			entry.removedAt = now
 		}
 		t.entries[endpoint.Server] = entry
 		listed[endpoint.Server] = true
@@ -104,9 +104,9 @@
 	for server, entry := range t.entries {
 		switch {
 		case isFull && !listed[server] && !entry.isGone():
-			entry.goneAt = now
+			entry.removedAt = now
 			t.entries[server] = entry
-		case entry.isGone() && now.Sub(entry.goneAt) > goneRetention:
+		case entry.isGone() && now.Sub(entry.removedAt) > goneRetention:
 			delete(t.entries, server)
 		}
 	}
--- a/internal/platform/address_table_test.go
+++ b/internal/platform/address_table_test.go
@@ -30,7 +30,7 @@
 	if !found || !entry.isGone() {
 		t.Fatalf("got %+v, found %v; want it found and marked as removed", entry, found)
 	}
-	entry.goneAt = entry.goneAt.Add(-2 * goneRetention)
+	entry.removedAt = entry.removedAt.Add(-2 * goneRetention)
 	table.entries[server] = entry
 	if _, err := table.applyList(List{Reset: true}, 0, site); err != nil || len(table.entries) != 0 {
 		t.Errorf("got %d entries, error %v; want none", len(table.entries), err)
--- a/internal/proto/conn_read.go
+++ b/internal/proto/conn_read.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// silence is the limit that applies to a connection on which nothing is received.
-type silence struct {
+// silenceLimit is the limit that applies to a connection on which nothing is received.
+type silenceLimit struct {
 	idle  bool // no requests are in flight
 	limit time.Duration
 	since time.Time // from when the limit counts
@@ -77,21 +77,21 @@
 
 // allowedSilence returns the limit that applies at present to a connection on which nothing was received
 // since the given time.
-func (c *Conn) allowedSilence(since time.Time) silence {
+func (c *Conn) allowedSilence(since time.Time) silenceLimit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.openStreams) == 0 {
-		return silence{idle: true, limit: c.cfg.IdleTimeout, since: since}
+		return silenceLimit{idle: true, limit: c.cfg.IdleTimeout, since: since}
 	}
 	if c.busySince.After(since) {
 		since = c.busySince // idle time before the first request does not count
 	}
-	return silence{limit: c.cfg.SilenceTimeout, since: since}
+	return silenceLimit{limit: c.cfg.SilenceTimeout, since: since}
 }
 
 // endSilentConnection returns the error of a connection that has reached its limit; it closes an idle one
 // gracefully.
-func (c *Conn) endSilentConnection(allowed silence) error {
+func (c *Conn) endSilentConnection(allowed silenceLimit) error {
 	if allowed.idle {
 		c.CloseGracefully(goodbyeIdle)
 		return io.EOF // Run returns nil, as CloseGracefully recorded ErrClosed as the cause
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -172,7 +172,7 @@
 // disconnected handles the end of the connection: it reports the cause if a call was sent on the connection,
 // and schedules a reconnect.
 func (l *clientLoop) disconnected(ctx context.Context, cause error) {
-	called := l.link.called
+	called := l.link.callSent
 	l.link = nil
 	if called && ctx.Err() == nil {
 		cause = cmp.Or(cause, proto.ErrClosed)
@@ -194,7 +194,7 @@
 	conn       *proto.Conn
 	ended      chan error
 	watching   bool
-	called     bool // a call was sent on this connection
+	callSent   bool // a call was sent on this connection
 	lastStream uint64
 }
 
@@ -220,7 +220,7 @@
 	if command != fetchFull && storedVersion != nil {
 		version.Epoch, version.Version = storedVersion()
 	}
-	l.called = true
+	l.callSent = true
 	switch command {
 	case watchOn:
 		l.watching = true
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -25,8 +25,8 @@
 		NominalCapacity: 1}
 }
 
-// rig is a stand-in registry with one client.
-type rig struct {
+// testRegistry is a stand-in registry with one client.
+type testRegistry struct {
 	server       *Server
 	client       *Client
 	updates      chan endpoints.Update
@@ -35,14 +35,14 @@
 	addr         string
 }
 
-// start runs a registry and a client until the test ends.
-func start(t *testing.T, cfg ServerConfig, push bool, storedVersion func() (uint64, uint64)) *rig {
+// startRegistry runs a registry and a client until the test ends.
+func startRegistry(t *testing.T, cfg ServerConfig, push bool, storedVersion func() (uint64, uint64)) *testRegistry {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{
+	r := &testRegistry{
 		updates:      make(chan endpoints.Update, 64),
 		errs:         make(chan error, 64),
 		acknowledged: make(chan endpoints.Endpoint, 64),
@@ -64,8 +64,8 @@
 	return r
 }
 
-// next receives a value that must arrive within 5 s.
-func next[T any](t *testing.T, c chan T) T {
+// receive receives a value that must arrive within 5 s.
+func receive[T any](t *testing.T, c chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
@@ -79,18 +79,18 @@
 // A watch sends the full list and then each change. Once it is cancelled, updates are only sent for fetches.
 // The client states no stored version, so that a fetch returns the full list.
 func TestClient_WatchGetsTheFullListThenChanges(t *testing.T) {
-	r := start(t, ServerConfig{MaxWait: time.Second}, false, nil)
+	r := startRegistry(t, ServerConfig{MaxWait: time.Second}, false, nil)
 	r.server.Put(endpoint(1, scheduler.Ready))
 	time.Sleep(50 * time.Millisecond) // until the registry has published the endpoint
 	r.client.Watch(true)
-	if update := next(t, r.updates); !update.Full || len(update.Endpoints) != 1 || update.Epoch != 9 {
+	if update := receive(t, r.updates); !update.Full || len(update.Endpoints) != 1 || update.Epoch != 9 {
 		t.Fatalf("first update: got %+v, want the full list of 1 endpoint in epoch 9", update)
 	}
-	if e := next(t, r.acknowledged); e.Server.Port != 1 {
+	if e := receive(t, r.acknowledged); e.Server.Port != 1 {
 		t.Errorf("acknowledged: got %+v, want port 1", e)
 	}
 	r.server.Put(endpoint(2, scheduler.Draining))
-	update := next(t, r.updates)
+	update := receive(t, r.updates)
 	if update.Full || update.BaseVersion+1 != update.Version ||
 		update.Endpoints[0].Status != scheduler.Draining {
 		t.Errorf("change: got %+v, want a Draining endpoint and the previous version as base", update)
@@ -101,7 +101,7 @@
 	// The registry publishes a change from a timer: a fetch may be served before the change is published.
 	for tries := 1; ; tries++ {
 		r.client.Fetch()
-		update := next(t, r.updates)
+		update := receive(t, r.updates)
 		if update.Full && len(update.Endpoints) == 3 {
 			return
 		}
@@ -115,17 +115,17 @@
 // The client states that it stores version 1, the first of two endpoints: Fetch returns only the second one,
 // FetchFull returns both.
 func TestClient_FetchGetsOnlyChangesToTheStoredList(t *testing.T) {
-	r := start(t, ServerConfig{MaxWait: time.Second}, false, func() (uint64, uint64) { return 9, 1 })
+	r := startRegistry(t, ServerConfig{MaxWait: time.Second}, false, func() (uint64, uint64) { return 9, 1 })
 	r.server.Put(endpoint(1, scheduler.Ready))
 	r.server.Put(endpoint(2, scheduler.Ready))
 	time.Sleep(50 * time.Millisecond) // until the registry has published both
 	r.client.Fetch()
-	if update := next(t, r.updates); update.Full || update.BaseVersion != 1 || len(update.Endpoints) != 1 ||
+	if update := receive(t, r.updates); update.Full || update.BaseVersion != 1 || len(update.Endpoints) != 1 ||
 		update.Endpoints[0].Server.Port != 2 {
 		t.Errorf("changes: got %+v, want endpoint 2 with base version 1", update)
 	}
 	r.client.FetchFull()
-	if update := next(t, r.updates); !update.Full || len(update.Endpoints) != 2 {
+	if update := receive(t, r.updates); !update.Full || len(update.Endpoints) != 2 {
 		t.Errorf("full list: got %+v, want 2 endpoints", update)
 	}
 }
@@ -133,8 +133,8 @@
 // Endpoints are published after the configured delay; a node whose process ended is removed after the same
 // delay.
 func TestServer_DelaysChangesAndRemovesEndedNodes(t *testing.T) {
-	r := start(t, ServerConfig{MaxWait: time.Second, Delay: 150 * time.Millisecond}, true, nil)
-	if update := next(t, r.updates); !update.Full || len(update.Endpoints) != 0 {
+	r := startRegistry(t, ServerConfig{MaxWait: time.Second, Delay: 150 * time.Millisecond}, true, nil)
+	if update := receive(t, r.updates); !update.Full || len(update.Endpoints) != 0 {
 		t.Fatalf("first update: got %+v, want an empty full list", update)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -143,14 +143,14 @@
 	wg.Go(func() { _ = Register(ctx, r.addr, proto.Config{}, changes) })
 	began := time.Now()
 	changes <- endpoint(5, scheduler.Ready)
-	if update := next(t, r.updates); update.Endpoints[0].Status != scheduler.Ready ||
+	if update := receive(t, r.updates); update.Endpoints[0].Status != scheduler.Ready ||
 		time.Since(began) < 150*time.Millisecond {
 		t.Errorf("registered: after %v got %+v, want Ready after 150 ms or more", time.Since(began), update)
 	}
 	began = time.Now()
 	cancel()
 	wg.Wait()
-	if update := next(t, r.updates); update.Endpoints[0].Status != scheduler.Removed ||
+	if update := receive(t, r.updates); update.Endpoints[0].Status != scheduler.Removed ||
 		time.Since(began) < 140*time.Millisecond {
 		t.Errorf("process ended: after %v got %+v, want Gone after 140 ms or more", time.Since(began), update)
 	}
@@ -159,17 +159,17 @@
 // Calls that would wait longer than MaxWait for a worker fail; the others are served. The only worker serves
 // a call in 100 ms, so that the five calls would wait 0, 100 and three times 200 ms, with 150 ms allowed.
 func TestServer_FailsCallsThatWaitTooLong(t *testing.T) {
-	r := start(t, ServerConfig{Workers: 1, ServiceTime: 100 * time.Millisecond,
+	r := startRegistry(t, ServerConfig{Workers: 1, ServiceTime: 100 * time.Millisecond,
 		MaxWait: 150 * time.Millisecond}, false,
 		nil)
 	for range 5 {
 		r.client.Fetch()
 	}
 	for range 2 {
-		next(t, r.updates)
+		receive(t, r.updates)
 	}
 	for range 3 {
-		if err := next(t, r.errs); !strings.Contains(err.Error(), "busy") {
+		if err := receive(t, r.errs); !strings.Contains(err.Error(), "busy") {
 			t.Error("want an error with reason busy, got:", err)
 		}
 	}
@@ -199,14 +199,14 @@
 		if !push {
 			c.Watch(true)
 		}
-		next(t, errs)
+		receive(t, errs)
 		if push {
 			ln, err := net.Listen("tcp4", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			wg.Go(func() { _ = NewServer(ServerConfig{MaxWait: time.Second}).Serve(ctx, ln) })
-			next(t, updates)
+			receive(t, updates)
 		}
 		cancel()
 		wg.Wait()
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -41,24 +41,24 @@
 type Server struct {
 	cfg ServerConfig
 
-	mu          sync.Mutex
-	delay       time.Duration // of later changes
-	down        bool
-	version     uint64                                  // of the list; each published change adds 1
-	listed      map[scheduler.Server]endpoints.Endpoint // as published; removed nodes stay, with status Gone
-	changedIn   map[scheduler.Server]uint64             // version of each endpoint's last change
-	watchers    map[*session]struct{}
-	workersFree []time.Time // at which each worker becomes free
-	timers      map[*time.Timer]struct{}
-	unpublished []change // in the order of arrival
-	closed      bool     // Serve has ended
+	mu           sync.Mutex
+	delay        time.Duration // of later changes
+	down         bool
+	version      uint64                                  // of the list; each published change adds 1
+	listed       map[scheduler.Server]endpoints.Endpoint // as published; removed nodes stay, with status Gone
+	changedIn    map[scheduler.Server]uint64             // version of each endpoint's last change
+	watchers     map[*session]struct{}
+	workerFreeAt []time.Time // at which each worker becomes free
+	timers       map[*time.Timer]struct{}
+	unpublished  []change // in the order of arrival
+	closed       bool     // Serve has ended
 }
 
 // change is a change to an endpoint that is not published yet.
 type change struct {
-	due      time.Time
-	endpoint endpoints.Endpoint
-	ended    bool // the process ended; the change is ignored if a later incarnation is listed when it is due
+	due          time.Time
+	endpoint     endpoints.Endpoint
+	processEnded bool // the process ended; the change is ignored if a later incarnation is listed when it is due
 }
 
 // NewServer returns a registry with an empty list.
@@ -68,13 +68,13 @@
 	cfg.Conn.IdleTimeout = watchIdleTimeout
 	cfg.Conn.Hello.Role = "list"
 	return &Server{
-		cfg:         cfg,
-		delay:       cfg.Delay,
-		listed:      map[scheduler.Server]endpoints.Endpoint{},
-		changedIn:   map[scheduler.Server]uint64{},
-		watchers:    map[*session]struct{}{},
-		workersFree: make([]time.Time, cfg.Workers),
-		timers:      map[*time.Timer]struct{}{},
+		cfg:          cfg,
+		delay:        cfg.Delay,
+		listed:       map[scheduler.Server]endpoints.Endpoint{},
+		changedIn:    map[scheduler.Server]uint64{},
+		watchers:     map[*session]struct{}{},
+		workerFreeAt: make([]time.Time, cfg.Workers),
+		timers:       map[*time.Timer]struct{}{},
 	}
 }
 
@@ -111,8 +111,8 @@
 	return err
 }
 
-// after runs f, with the lock held, after d, unless Serve has ended by then. The caller holds the lock.
-func (s *Server) after(d time.Duration, f func()) {
+// afterFunc runs f, with the lock held, afterFunc d, unless Serve has ended by then. The caller holds the lock.
+func (s *Server) afterFunc(d time.Duration, f func()) {
 	var timer *time.Timer
 	run := func() {
 		s.mu.Lock()
@@ -131,7 +131,7 @@
 
 // remove marks an endpoint as removed, after the delay.
 func (s *Server) remove(endpoint endpoints.Endpoint) {
-	s.schedule(change{endpoint: endpoint, ended: true})
+	s.schedule(change{endpoint: endpoint, processEnded: true})
 }
 
 // schedule queues a change. Changes are published in the order of arrival, even if the delay is reduced
@@ -147,7 +147,7 @@
 		c.due = s.unpublished[n-1].due
 	}
 	s.unpublished = append(s.unpublished, c)
-	s.after(time.Until(c.due), s.publishDue)
+	s.afterFunc(time.Until(c.due), s.publishDue)
 }
 
 // publishDue publishes all changes that are due. The caller holds the lock.
@@ -155,7 +155,7 @@
 	for len(s.unpublished) > 0 && !s.unpublished[0].due.After(time.Now()) {
 		next := s.unpublished[0]
 		s.unpublished = s.unpublished[1:]
-		if current := s.listed[next.endpoint.Server]; next.ended {
+		if current := s.listed[next.endpoint.Server]; next.processEnded {
 			if current.StartedAt > next.endpoint.StartedAt {
 				continue // a later incarnation is listed
 			}
@@ -187,7 +187,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	earliestFree := slices.MinFunc(s.workersFree, time.Time.Compare)
+	earliestFree := slices.MinFunc(s.workerFreeAt, time.Time.Compare)
 	start := now
 	if earliestFree.After(now) {
 		start = earliestFree
@@ -196,10 +196,10 @@
 	case s.down:
 		caller.fail(stream, reasonDown)
 	case wait > s.cfg.MaxWait:
-		s.after(s.cfg.MaxWait, func() { caller.fail(stream, reasonBusy) })
+		s.afterFunc(s.cfg.MaxWait, func() { caller.fail(stream, reasonBusy) })
 	default:
-		s.workersFree[slices.Index(s.workersFree, earliestFree)] = start.Add(s.cfg.ServiceTime)
-		s.after(wait+s.cfg.ServiceTime, func() {
+		s.workerFreeAt[slices.Index(s.workerFreeAt, earliestFree)] = start.Add(s.cfg.ServiceTime)
+		s.afterFunc(wait+s.cfg.ServiceTime, func() {
 			if kind == proto.TypeWatch {
 				s.watchers[caller] = struct{}{}
 			}
--- a/internal/registry/snapshot_file_test.go
+++ b/internal/registry/snapshot_file_test.go
@@ -52,7 +52,7 @@
 	if want := storedSnapshot(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
 	}
-	sameListBytes(t, storedList, storedSnapshot())
+	checkListBytes(t, storedList, storedSnapshot())
 }
 
 func TestSnapshotFile_ReadsListOfAStoppedProcess(t *testing.T) {
@@ -69,11 +69,11 @@
 			t.Errorf("read %+v, want a Ready endpoint of 127.0.0.1 with a port and a start time", e)
 		}
 	}
-	sameListBytes(t, stoppedList, got)
+	checkListBytes(t, stoppedList, got)
 }
 
-// sameListBytes checks that saving a list yields the bytes of the file at path.
-func sameListBytes(t *testing.T, path string, snapshot endpoints.Snapshot) {
+// checkListBytes checks that saving a list yields the bytes of the file at path.
+func checkListBytes(t *testing.T, path string, snapshot endpoints.Snapshot) {
 	t.Helper()
 	want, err := os.ReadFile(path)
 	if err != nil {
