--- a/internal/platform/address_table.go
+++ b/internal/platform/address_table.go
@@ -11,9 +11,9 @@
 	"landingpaddle/scheduler"
 )
 
-// goneRetention is how long the address of a removed disk server stays available: attempts that the scheduler
+// removedRetention is how long the address of a removed disk server stays available: attempts that the scheduler
 // decided on before it received the removal may not be connected yet.
-const goneRetention = time.Minute
+const removedRetention = time.Minute
 
 // addressTable stores the address at which this scheduler reaches each disk server. A disk server is
 // identified by its instanceId, the same at every scheduler; its address may differ between schedulers. The
@@ -30,7 +30,7 @@
 	removedAt   time.Time // when it was removed; zero: it is listed
 }
 
-func (e addressEntry) isGone() bool { return !e.removedAt.IsZero() }
+func (e addressEntry) isRemoved() bool { return !e.removedAt.IsZero() }
 
 // errHashCollision rejects a list in which an id has the hash of another id in the table; the scheduler could
 // not distinguish the two disk servers.
@@ -75,13 +75,13 @@
 		update.Endpoints = append(update.Endpoints, endpoint)
 	}
 	now := time.Now()
-	listed := t.noteEndpoints(list.Instances, update.Endpoints, now)
+	listed := t.recordEndpoints(list.Instances, update.Endpoints, now)
 	t.expire(list.Reset, listed, now)
 	return update, nil
 }
 
-// noteEndpoints records the addresses of a list and returns the servers in it. The caller holds t.mu.
-func (t *addressTable) noteEndpoints(instances []ListedServer, parsed []endpoints.Endpoint,
+// recordEndpoints records the addresses of a list and returns the servers in it. The caller holds t.mu.
+func (t *addressTable) recordEndpoints(instances []ListedServer, parsed []endpoints.Endpoint,
 	now time.Time) map[scheduler.Server]bool {
 	listed := map[scheduler.Server]bool{}
 	for i, endpoint := range parsed {
@@ -103,10 +103,10 @@
 func (t *addressTable) expire(isFull bool, listed map[scheduler.Server]bool, now time.Time) {
 	for server, entry := range t.entries {
 		switch {
-		case isFull && !listed[server] && !entry.isGone():
+		case isFull && !listed[server] && !entry.isRemoved():
 			entry.removedAt = now
 			t.entries[server] = entry
-		case entry.isGone() && now.Sub(entry.removedAt) > goneRetention:
+		case entry.isRemoved() && now.Sub(entry.removedAt) > removedRetention:
 			delete(t.entries, server)
 		}
 	}
--- a/internal/platform/address_table_test.go
+++ b/internal/platform/address_table_test.go
@@ -27,10 +27,10 @@
 	}
 	server := serverOf("s-1")
 	entry, found := table.find(server)
-	if !found || !entry.isGone() {
+	if !found || !entry.isRemoved() {
 		t.Fatalf("got %+v, found %v; want it found and marked as removed", entry, found)
 	}
-	entry.removedAt = entry.removedAt.Add(-2 * goneRetention)
+	entry.removedAt = entry.removedAt.Add(-2 * removedRetention)
 	table.entries[server] = entry
 	if _, err := table.applyList(List{Reset: true}, 0, site); err != nil || len(table.entries) != 0 {
 		t.Errorf("got %d entries, error %v; want none", len(table.entries), err)
--- a/internal/platform/answer.go
+++ b/internal/platform/answer.go
@@ -26,7 +26,7 @@
 // writeAnswer writes the answer to the client's connection and wakes the session.
 func (r *inFlightRequest) writeAnswer(answer proto.Answer, payload []byte) {
 	f := r.frontend
-	r.isLast = f.isLastAnswer(r.client, r.closeWanted)
+	r.isLast = f.isLastAnswer(r.client, r.closeAfterAnswer)
 	status, header := statusOf(answer), answerHeader(answer)
 	if answer.Code != proto.OK {
 		payload = nil
@@ -65,9 +65,9 @@
 	return append(header, http1.Field{Name: fieldReason, Value: answer.Reason})
 }
 
-// refuse answers a request with an HTTP error and ends the connection. The cause is an *http1.Error, or a
+// answerError answers a request with an HTTP error and ends the connection. The cause is an *http1.Error, or a
 // timeout while the request was read; after any other error the client has disconnected and gets no answer.
-func (f *frontend) refuse(client *clientConn, cause error) {
+func (f *frontend) answerError(client *clientConn, cause error) {
 	var invalid *http1.Error
 	switch {
 	case errors.As(cause, &invalid):
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -21,8 +21,8 @@
 	minReadTimeout = time.Minute
 	// budgetDecimals is the precision of X-Budget, in decimals of a second.
 	budgetDecimals = 4
-	// maxUsageFigure bounds the usage values that disk servers report.
-	maxUsageFigure = 1e6
+	// maxUsageValue bounds the usage values that disk servers report.
+	maxUsageValue = 1e6
 )
 
 // attempt sends a request to a disk server once; it is the driver's state of an operation. Its goroutine runs
@@ -174,7 +174,7 @@
 		return 0, false
 	}
 	value, err := strconv.ParseFloat(text, 64)
-	if err != nil || value > maxUsageFigure {
+	if err != nil || value > maxUsageValue {
 		return 0, false
 	}
 	return uint32(value + 0.5), true
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -14,10 +14,10 @@
 
 // firstResponse is a disk server's response to the first attempt at a request, and the expected outcome.
 type firstResponse struct {
-	first  []byte // nil: the connection is closed after the whole request was received
-	class  string
-	status int // of the answer to the client
-	sends  int // requests that the disk server receives
+	response []byte // nil: the connection is closed after the whole request was received
+	class    string
+	status   int // of the answer to the client
+	sends    int // requests that the disk server receives
 }
 
 // firstResponses returns the test cases by class and response. The class read is idempotent, write is
@@ -56,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			diskServer := newFakeDiskServer(t, func(n int, _ *receivedRequest) []byte {
 				if n == 0 {
-					return test.first
+					return test.response
 				}
 				return okResponse("ok")
 			})
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -21,12 +21,12 @@
 // second call returns the list within the 6 s after which the scheduler counts as notified of the changes
 // that the watch missed. The scheduler sets the delays between the calls, under a second in total.
 const (
-	heartbeatTimeout = 2500 * time.Millisecond // heartbeats arrive every 2 s; one that is late ends the watch
-	callTimeout      = 1200 * time.Millisecond // until discovery's response to a call begins
-	fetchTimeout     = 2 * time.Second         // until the full list has arrived
-	maxListBytes     = 1 << 20                 // of a full list, or of one message of a watch
-	maxResponseHead  = 16 << 10                // bytes of a response's head
-	pathServers      = "/v1/servers"
+	heartbeatTimeout     = 2500 * time.Millisecond // heartbeats arrive every 2 s; one that is late ends the watch
+	discoveryCallTimeout = 1200 * time.Millisecond // until discovery's response to a call begins
+	fetchTimeout         = 2 * time.Second         // until the full list has arrived
+	maxListBytes         = 1 << 20                 // of a full list, or of one message of a watch
+	maxResponseHead      = 16 << 10                // bytes of a response's head
+	pathServers          = "/v1/servers"
 )
 
 var (
@@ -46,14 +46,14 @@
 	client    *http.Client
 	calls     sync.WaitGroup
 
-	firstOutcome chan struct{} // closed once a call has returned a list or failed
-	firstOnce    sync.Once
+	firstOutcome     chan struct{} // closed once a call has returned a list or failed
+	firstOutcomeOnce sync.Once
 
-	mu          sync.Mutex
-	address     string // host:port
-	watchWanted bool
-	cancelWatch context.CancelFunc // of the watch that was opened last
-	cancelFetch context.CancelFunc // of the fetch in progress; nil: none
+	mu             sync.Mutex
+	address        string // host:port
+	isWatchEnabled bool
+	cancelWatch    context.CancelFunc // of the watch that was opened last
+	cancelFetch    context.CancelFunc // of the fetch in progress; nil: none
 }
 
 var _ daemon.EndpointSource = (*discovery)(nil)
@@ -71,7 +71,7 @@
 func (d *discovery) Watch(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watchWanted = on
+	d.isWatchEnabled = on
 	d.openWatch()
 }
 
@@ -109,7 +109,7 @@
 		d.cancelWatch()
 		d.cancelWatch = nil
 	}
-	if !d.watchWanted {
+	if !d.isWatchEnabled {
 		return
 	}
 	ctx, cancel := context.WithCancel(d.ctx)
@@ -214,4 +214,4 @@
 	d.markFirstOutcome()
 }
 
-func (d *discovery) markFirstOutcome() { d.firstOnce.Do(func() { close(d.firstOutcome) }) }
+func (d *discovery) markFirstOutcome() { d.firstOutcomeOnce.Do(func() { close(d.firstOutcome) }) }
--- a/internal/platform/discovery_call.go
+++ b/internal/platform/discovery_call.go
@@ -24,7 +24,7 @@
 	silenceTimeout time.Duration) (*callResponse, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	c := &callResponse{ctx: ctx, silenceTimeout: silenceTimeout, cancel: func() { cancel(nil) }}
-	c.silenceTimer = time.AfterFunc(callTimeout, func() { cancel(errDiscoverySilent) })
+	c.silenceTimer = time.AfterFunc(discoveryCallTimeout, func() { cancel(errDiscoverySilent) })
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err == nil {
 		c.response, err = d.client.Do(request)
--- a/internal/platform/eviction.go
+++ b/internal/platform/eviction.go
@@ -20,8 +20,8 @@
 	evictSilentAfter  = 5 * time.Millisecond
 	evictReadingAfter = 700 * time.Millisecond
 
-	// noneKept makes closeIdle close every connection that has idled for the given time.
-	noneKept = -1
+	// keepNone makes closeIdle close every connection that has idled for the given time.
+	keepNone = -1
 )
 
 // Eviction ranks; connections of a lower rank are closed first.
@@ -79,7 +79,7 @@
 // evicted one. A connection with unread data stays open. Without force, it evicts none while the limit of
 // lingering connections is reached, and none before it has been in its state for the time of its rank.
 func (f *frontend) makeRoom(force bool) bool {
-	if f.isLingeringFull() && !force {
+	if f.isLingerLimitReached() && !force {
 		return false // lingering connections end shortly
 	}
 	candidates := f.rankForEviction(func(client *clientConn) (int, bool) {
@@ -120,7 +120,7 @@
 func (f *frontend) sweepIdle(ctx context.Context) {
 	runPeriodically(ctx, clientSweepInterval, func() {
 		if !f.keepIdle.Load() {
-			f.closeIdle(maxIdleTime, noneKept)
+			f.closeIdle(maxIdleTime, keepNone)
 			f.closeIdle(evictIdleAfter, f.limits.keptIdle)
 		}
 	})
--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -49,7 +49,7 @@
 	label := fmt.Sprintf("answer %d %q after %v, last %t", answer.Code, answer.Reason, answer.RetryAfter,
 		isLast)
 	r.record(label, func(client *clientConn) {
-		request := &inFlightRequest{frontend: r.frontend, client: client, closeWanted: isLast,
+		request := &inFlightRequest{frontend: r.frontend, client: client, closeAfterAnswer: isLast,
 			answered: make(chan struct{})}
 		request.writeAnswer(answer, []byte("payload"))
 	})
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -89,7 +89,7 @@
 	f.mu.Unlock()
 	if !hasRoom {
 		// Lingering connections end shortly; until then new ones wait in the listener's queue.
-		for wait := 0; wait < maxLingerWaits && f.isLingeringFull(); wait++ {
+		for wait := 0; wait < maxLingerWaits && f.isLingerLimitReached(); wait++ {
 			time.Sleep(lingerWait)
 		}
 		if !f.makeRoom(false) {
@@ -144,7 +144,7 @@
 	f.mu.Lock()
 	f.closing = true
 	f.mu.Unlock()
-	f.closeIdle(0, noneKept)
+	f.closeIdle(0, keepNone)
 }
 
 // waitUntilClosed waits until every connection has ended, including lingering ones, or until a deadline.
--- a/internal/platform/linger.go
+++ b/internal/platform/linger.go
@@ -9,9 +9,9 @@
 	// Data that arrives after the last answer is drained and discarded, so that the answer is delivered: at
 	// most maxLingerBytes, for at most lingerTimeout. If the limit of lingering connections is reached, the
 	// timeout is crowdedLingerTimeout, which is enough only for data that has already arrived.
-	maxLingerBytes       = 1 << 20
-	lingerTimeout        = 300 * time.Millisecond
-	crowdedLingerTimeout = time.Millisecond
+	maxLingerBytes     = 1 << 20
+	lingerTimeout      = 300 * time.Millisecond
+	shortLingerTimeout = time.Millisecond
 )
 
 // linger ends a client's connection gracefully; its session closes it afterwards. A connection whose client
@@ -22,14 +22,14 @@
 	f.mu.Lock()
 	f.moveToLingering(client)
 	f.mu.Unlock()
-	isLimitReached := f.isLingeringFull()
+	isLimitReached := f.isLingerLimitReached()
 	tcp, ok := client.conn.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
 		return
 	}
 	timeout := lingerTimeout
 	if isLimitReached {
-		timeout = crowdedLingerTimeout
+		timeout = shortLingerTimeout
 	}
 	client.conn.SetReadDeadline(time.Now().Add(timeout))
 	client.reader.Discard(maxLingerBytes)
@@ -50,5 +50,5 @@
 	return f.lingering
 }
 
-// isLingeringFull reports whether the limit of lingering connections is reached.
-func (f *frontend) isLingeringFull() bool { return f.lingeringCount() >= f.limits.lingering }
+// isLingerLimitReached reports whether the limit of lingering connections is reached.
+func (f *frontend) isLingerLimitReached() bool { return f.lingeringCount() >= f.limits.lingering }
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -14,17 +14,17 @@
 // inFlightRequest is one client's request from its last byte to the end of its answer. It is the responder
 // of its call.
 type inFlightRequest struct {
-	frontend    *frontend
-	client      *clientConn
-	call        *daemon.Call
-	id          string
-	method      string
-	target      string
-	forwarded   http1.Header // fields that are forwarded to the disk server unchanged
-	body        []byte
-	closeWanted bool          // the client sends no more requests on its connection
-	answered    chan struct{} // closed once the answer is written
-	isLast      bool          // it was the connection's last answer; valid once answered is closed
+	frontend         *frontend
+	client           *clientConn
+	call             *daemon.Call
+	id               string
+	method           string
+	target           string
+	forwarded        http1.Header // fields that are forwarded to the disk server unchanged
+	body             []byte
+	closeAfterAnswer bool          // the client sends no more requests on its connection
+	answered         chan struct{} // closed once the answer is written
+	isLast           bool          // it was the connection's last answer; valid once answered is closed
 }
 
 // readRequest validates a request's head, which has arrived, and then reads the body. The error of an invalid
@@ -34,7 +34,7 @@
 		return nil, &http1.Error{Status: http.StatusMethodNotAllowed, Reason: "reads are GET, writes are PUT"}
 	}
 	request := &inFlightRequest{frontend: f, client: client, method: head.Method, target: head.Target,
-		closeWanted: head.Close, answered: make(chan struct{}), call: &daemon.Call{}}
+		closeAfterAnswer: head.Close, answered: make(chan struct{}), call: &daemon.Call{}}
 	if err := f.validate(request, head); err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 	defer f.bodyBytes.Add(-int64(len(request.body)))
 	if !f.reserveID(request.id) {
 		f.counters.duplicateIDs.Add(1)
-		f.refuse(client, &http1.Error{Status: http.StatusConflict, Reason: "a request of this id is open"})
+		f.answerError(client, &http1.Error{Status: http.StatusConflict, Reason: "a request of this id is open"})
 		return false
 	}
 	f.beginProcessing(client)
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -19,7 +19,7 @@
 	for f.awaitRequest(client) {
 		head, err := client.reader.ReadRequest()
 		if err != nil {
-			f.refuse(client, err)
+			f.answerError(client, err)
 			return
 		}
 		if isHealthRequest(head) {
@@ -30,7 +30,7 @@
 		}
 		request, err := f.readRequest(client, head)
 		if err != nil {
-			f.refuse(client, err)
+			f.answerError(client, err)
 			return
 		}
 		if !f.process(request) {
@@ -103,7 +103,7 @@
 // read ahead, and false when the client has disconnected.
 func (f *frontend) readAheadUntilAnswered(client *clientConn) bool {
 	for {
-		if isAnswered := f.notePipelined(client); isAnswered {
+		if isAnswered := f.recordPipelined(client); isAnswered {
 			return true
 		}
 		buffered := client.reader.Buffered()
@@ -125,9 +125,9 @@
 	}
 }
 
-// notePipelined records whether a part of a next request has arrived, and reports whether the one in flight
+// recordPipelined records whether a part of a next request has arrived, and reports whether the one in flight
 // has been answered.
-func (f *frontend) notePipelined(client *clientConn) (isAnswered bool) {
+func (f *frontend) recordPipelined(client *clientConn) (isAnswered bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	client.hasPipelined = client.reader.Buffered() > 0
--- a/internal/platform/upstream_conn.go
+++ b/internal/platform/upstream_conn.go
@@ -191,7 +191,7 @@
 	runPeriodically(ctx, upstreamSweepInterval, func() {
 		p.closeIdleWhere(func(server scheduler.Server, connection *upstreamConn) bool {
 			entry, known := p.addresses.find(server)
-			return time.Since(connection.idleSince) >= p.idleTimeout() || !known || entry.isGone()
+			return time.Since(connection.idleSince) >= p.idleTimeout() || !known || entry.isRemoved()
 		})
 	})
 	p.closeIdleWhere(func(scheduler.Server, *upstreamConn) bool { return true })
