--- a/internal/daemon/upstream_connection.go
+++ b/internal/daemon/upstream_connection.go
@@ -33,8 +33,8 @@
 	id         uint64
 }
 
-// process returns the incarnation of the node that completed the handshake.
-func (c *upstreamConnection) process() nodeProcess {
+// peerProcess returns the incarnation of the node that completed the handshake.
+func (c *upstreamConnection) peerProcess() nodeProcess {
 	return nodeProcess{c.server, c.conn.PeerHello().StartedAt}
 }
 
@@ -124,7 +124,7 @@
 		}
 		return nil
 	case proto.TypeDrain:
-		p.instance.inbox.put(drainNotice{connection.process()})
+		p.instance.inbox.put(drainNotice{connection.peerProcess()})
 		return nil
 	case proto.TypeHealthCheckResult:
 		connection.conn.CloseStream(frame.Stream)
--- a/internal/daemon/upstream_pool.go
+++ b/internal/daemon/upstream_pool.go
@@ -106,7 +106,7 @@
 			return nil
 		}
 		connection := &upstreamConnection{server: server, conn: conn, operations: map[uint64]*Operation{}}
-		p.instance.inbox.put(helloReceived{connection.process()})
+		p.instance.inbox.put(helloReceived{connection.peerProcess()})
 		p.instance.inbox.put(connectionEstablished{p, connection})
 		err = conn.Run(p.ctx, func(frame proto.Frame) error { return p.handleFrame(connection, frame) })
 		p.connectionEnded(connection, err)
--- a/internal/platform/attempt_preconditions_test.go
+++ b/internal/platform/attempt_preconditions_test.go
@@ -17,7 +17,7 @@
 	client.send(readText("a1"))
 	<-held.requested
 	client.conn.Close()
-	fixture.awaitClientGone()
+	fixture.awaitClientDisconnect()
 	held.release <- struct{}{}
 	fixture.awaitIdleConnections(1)
 	if n := len(diskServer.received()); n != 0 {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -12,18 +12,18 @@
 	"landingpaddle/internal/http1"
 )
 
-// firstResponse is a disk server's response to the first attempt at a request, and the expected outcome.
-type firstResponse struct {
+// retryCase is a disk server's response to the first attempt at a request, and the expected outcome.
+type retryCase struct {
 	response []byte // nil: the connection is closed after the whole request was received
 	class    string
 	status   int // of the answer to the client
 	sends    int // requests that the disk server receives
 }
 
-// firstResponses returns the test cases by class and response. The class read is idempotent, write is
+// retryCases returns the test cases by class and response. The class read is idempotent, write is
 // idempotent by key, and pay is not idempotent.
-func firstResponses() map[string]firstResponse {
-	return map[string]firstResponse{
+func retryCases() map[string]retryCase {
+	return map[string]retryCase{
 		"read, rejected": {http1.AppendResponse(nil, 503, "x",
 			http1.Header{{Name: "X-Rejected", Value: "1"}}, nil), "read", 200, 2},
 		"pay, rejected": {http1.AppendResponse(nil, 504, "x",
@@ -52,7 +52,7 @@
 // A rejected attempt never ran and is retried. One that may have run is retried if the class of its request
 // allows that; a request that is not idempotent is not retried then.
 func TestAttempt_RetriesIfClassAllows(t *testing.T) {
-	for name, test := range firstResponses() {
+	for name, test := range retryCases() {
 		t.Run(name, func(t *testing.T) {
 			diskServer := newFakeDiskServer(t, func(n int, _ *receivedRequest) []byte {
 				if n == 0 {
@@ -160,7 +160,7 @@
 	held.release <- struct{}{}
 	diskServer.awaitRequests(t, 1)
 	client.conn.Close()
-	fixture.awaitClientGone()
+	fixture.awaitClientDisconnect()
 	close(hold)
 	fixture.awaitIdleConnections(1)
 	if n := len(diskServer.received()); n != 1 {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -18,7 +18,7 @@
 // silentWatch is the script of a discovery service whose first call, a watch, falls silent. The second call
 // runs fail unless that is nil, and further calls return the list.
 type silentWatch struct {
-	said string // sent before the watch falls silent
+	sent string // sent before the watch falls silent
 	fail discoveryScript
 	list string // as JSON
 
@@ -29,7 +29,7 @@
 func (w *silentWatch) script(n int, target string, connection net.Conn, ended <-chan struct{}) {
 	switch {
 	case n == 0:
-		io.WriteString(connection, w.said)
+		io.WriteString(connection, w.sent)
 		w.mu.Lock()
 		w.silentSince = time.Now()
 		w.mu.Unlock()
@@ -89,7 +89,7 @@
 				t.Parallel()
 				diskServer := newOKDiskServer(t)
 				list := listDocument(9, true, listedServer("s-0", diskServer, 0))
-				watch := &silentWatch{said: sent, fail: fail, list: list}
+				watch := &silentWatch{sent: sent, fail: fail, list: list}
 				discovery := newScriptedDiscovery(t, watch.script)
 				fixture := startGatewayAt(t, discovery.address(), diskServer, nil)
 				fixture.awaitListVersion(9, watch.awaitSilence(t).Add(notifiedWithin))
--- a/internal/platform/eviction_test.go
+++ b/internal/platform/eviction_test.go
@@ -66,7 +66,7 @@
 
 // A connection with a request in flight is never evicted.
 func TestEviction_KeepsConnectionWithRequestInFlight(t *testing.T) {
-	diskServer, release := newHeldDiskServer(t)
+	diskServer, release := newBlockingDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
 	client.send(readText("a1"))
--- a/internal/platform/fake_disk_server_test.go
+++ b/internal/platform/fake_disk_server_test.go
@@ -57,9 +57,9 @@
 	return newFakeDiskServer(t, func(int, *receivedRequest) []byte { return okResponse("ok") })
 }
 
-// newHeldDiskServer returns a disk server that answers one request with its id for each value sent to
+// newBlockingDiskServer returns a disk server that answers one request with its id for each value sent to
 // release.
-func newHeldDiskServer(t *testing.T) (server *fakeDiskServer, release chan struct{}) {
+func newBlockingDiskServer(t *testing.T) (server *fakeDiskServer, release chan struct{}) {
 	t.Helper()
 	release = make(chan struct{}, 64)
 	server = newFakeDiskServer(t, func(n int, request *receivedRequest) []byte {
@@ -125,8 +125,8 @@
 	return slices.Clone(s.requests)
 }
 
-// forgetRequests deletes the received requests, to free their memory.
-func (s *fakeDiskServer) forgetRequests() {
+// clearRequests deletes the received requests, to free their memory.
+func (s *fakeDiskServer) clearRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests = nil
--- a/internal/platform/frontend_test.go
+++ b/internal/platform/frontend_test.go
@@ -50,7 +50,7 @@
 
 // A request with the id of one in flight is rejected, and the one in flight continues.
 func TestFrontend_RejectsDuplicateID(t *testing.T) {
-	diskServer, release := newHeldDiskServer(t)
+	diskServer, release := newBlockingDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	first, second := fixture.dial(), fixture.dial()
 	first.send(readText("a1"))
--- a/internal/platform/gateway_fixture_test.go
+++ b/internal/platform/gateway_fixture_test.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// awaitClientGone waits until the scheduler has recorded that one request's client disconnected.
-func (f *gatewayFixture) awaitClientGone() {
+// awaitClientDisconnect waits until the scheduler has recorded that one request's client disconnected.
+func (f *gatewayFixture) awaitClientDisconnect() {
 	f.t.Helper()
 	eventually(f.t, "the client is counted as disconnected", func() bool {
 		return f.gateway.loop.Stats.ClientGone.Load() == 1
--- a/internal/platform/gateway_test.go
+++ b/internal/platform/gateway_test.go
@@ -52,7 +52,7 @@
 	eventually(t, "all clients have disconnected and their goroutines have ended", func() bool {
 		return frontend.countByState() == connectionCounts{} && runtime.NumGoroutine() <= goroutinesBefore+2
 	})
-	diskServer.forgetRequests()
+	diskServer.clearRequests()
 	if heapAfter := heapBytes(); heapAfter > heapBefore+(3<<20) {
 		t.Errorf("heap before: %d bytes; got %d after, want at most 3 MiB more", heapBefore, heapAfter)
 	}
--- a/internal/platform/linger_test.go
+++ b/internal/platform/linger_test.go
@@ -19,7 +19,7 @@
 			"Content-Length: 60000000") + strings.Repeat("x", 100<<10), 413},
 	} {
 		t.Run(name, func(t *testing.T) {
-			diskServer, release := newHeldDiskServer(t)
+			diskServer, release := newBlockingDiskServer(t)
 			client := startGateway(t, 256, diskServer).dial()
 			release <- struct{}{}
 			client.send(test.text)
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -30,7 +30,7 @@
 	client.send(readText("a1"))
 	diskServer.awaitRequests(t, 1)
 	client.conn.Close()
-	fixture.awaitClientGone()
+	fixture.awaitClientDisconnect()
 	eventually(t, "no attempt is in flight and no connection to the disk server is open", func() bool {
 		fixture.gateway.upstream.mu.Lock()
 		defer fixture.gateway.upstream.mu.Unlock()
@@ -50,13 +50,13 @@
 		"invalid bytes":        "\x00\x00\x00",
 	} {
 		t.Run(name, func(t *testing.T) {
-			diskServer, release := newHeldDiskServer(t)
+			diskServer, release := newBlockingDiskServer(t)
 			fixture := startGateway(t, 256, diskServer)
 			client := fixture.dial()
 			client.send(payText("a1", "") + pipelined)
 			diskServer.awaitRequests(t, 1)
 			client.conn.Close()
-			fixture.awaitClientGone()
+			fixture.awaitClientDisconnect()
 			release <- struct{}{}
 			eventually(t, "its connection is closed", func() bool {
 				return fixture.gateway.frontend.countByState() == connectionCounts{}
@@ -73,7 +73,7 @@
 
 // The time of a pipelined request counts from its arrival, not from the end of the request before it.
 func TestSession_CountsTimeFromArrivalOfPipelinedRequest(t *testing.T) {
-	diskServer, release := newHeldDiskServer(t)
+	diskServer, release := newBlockingDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
 	sent := time.Now()
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -55,7 +55,7 @@
 // At a shutdown every received request is answered, pipelined ones too, and only the last answer has
 // Connection: close.
 func TestShutdown_AnswersPipelinedRequests(t *testing.T) {
-	diskServer, release := newHeldDiskServer(t)
+	diskServer, release := newBlockingDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
 	client.send(readText("a1") + payText("a2", "hello") + readText("a3"))
@@ -115,7 +115,7 @@
 // A connection is accepted during a shutdown: a request on it is rejected, and without a request the
 // connection is closed.
 func TestShutdown_RejectsNewConnections(t *testing.T) {
-	diskServer, release := newHeldDiskServer(t)
+	diskServer, release := newBlockingDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	working := fixture.dial() // its request keeps the loop running
 	working.send(readText("a1"))
@@ -157,7 +157,7 @@
 
 // A scheduler that is shutting down reports that it is not ready.
 func TestShutdown_ReportsUnhealthy(t *testing.T) {
-	diskServer, release := newHeldDiskServer(t)
+	diskServer, release := newBlockingDiskServer(t)
 	fixture := startGateway(t, 256, diskServer)
 	client := fixture.dial()
 	client.send(readText("a1") + healthRequest)
