--- a/expect/check.go
+++ b/expect/check.go
@@ -33,7 +33,7 @@
 	if e.Missing != nil {
 		count = min(e.Missing.Count, len(groups))
 	}
-	if cases := combinations(len(groups), count); cases > maxCases {
+	if cases := binomial(len(groups), count); cases > maxCases {
 		return undecided(e, fmt.Sprintf("%d of %d missing at once are %.3g cases; the limit is %d",
 			count, len(groups), cases, maxCases))
 	}
@@ -114,8 +114,8 @@
 	return strings.Join(names, " and ")
 }
 
-// combinations returns the binomial coefficient n over k, as exactly as a float64 represents it.
-func combinations(n, k int) float64 {
+// binomial returns the binomial coefficient n over k, as exactly as a float64 represents it.
+func binomial(n, k int) float64 {
 	count := 1.0
 	for i := range k {
 		count *= float64(n-i) / float64(i+1)
--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -141,7 +141,7 @@
 				Missing: &Missing{n, Selector{Nodes, "*"}},
 			}
 			got := New(f).Check([]Expectation{e})[0]
-			if got.Value > last || float64(got.CasesChecked) != combinations(len(f.Nodes), n) {
+			if got.Value > last || float64(got.CasesChecked) != binomial(len(f.Nodes), n) {
 				t.Fatalf("%d nodes missing: got %v, want up to %v; %d cases",
 					n, got.Value, last, got.CasesChecked)
 			}
--- a/internal/daemon/upstream_connection.go
+++ b/internal/daemon/upstream_connection.go
@@ -38,8 +38,8 @@
 	return nodeProcess{c.server, c.conn.PeerHello().StartedAt}
 }
 
-// open assigns the next stream to an operation; false if the connection accepts no more.
-func (c *upstreamConnection) open(operation *Operation) (stream uint64, opened bool) {
+// openStream assigns the next stream to an operation; false if the connection accepts no more.
+func (c *upstreamConnection) openStream(operation *Operation) (stream uint64, opened bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastStream++
@@ -72,7 +72,7 @@
 // it cannot have run.
 func (p *upstreamPool) write(connection *upstreamConnection, operation *Operation) {
 	unsent := operationResult{operation: operation, code: scheduler.ConnectFailed}
-	stream, opened := connection.open(operation)
+	stream, opened := connection.openStream(operation)
 	if !opened {
 		p.instance.inbox.put(unsent)
 		return
