--- a/internal/proto/conn.go
+++ b/internal/proto/conn.go
@@ -100,7 +100,7 @@
 // causes, the first is kept.
 func (c *Conn) Close(cause error) {
 	c.setCause(cause)
-	c.stopQueueing()
+	c.finishWriting()
 	c.netConn.Close()
 }
 
@@ -109,7 +109,7 @@
 func (c *Conn) CloseGracefully(reason string) {
 	_ = c.Send(TypeGoodbye, 0, Goodbye{Reason: reason}, nil) // a closed connection needs no goodbye
 	c.setCause(ErrClosed)
-	c.stopQueueing()
+	c.finishWriting()
 }
 
 // setCause records why the connection ended, unless a cause is recorded already.
@@ -121,5 +121,5 @@
 	}
 }
 
-// stopQueueing makes the writer write the queued frames, close the socket and return.
-func (c *Conn) stopQueueing() { c.closeOnce.Do(func() { close(c.closing) }) }
+// finishWriting makes the writer write the queued frames, close the socket and return.
+func (c *Conn) finishWriting() { c.closeOnce.Do(func() { close(c.closing) }) }
--- a/internal/proto/conn_write.go
+++ b/internal/proto/conn_write.go
@@ -24,7 +24,7 @@
 	}
 	if c.pending.Len() > c.peerLimits.MaxBacklog {
 		c.err = ErrBacklogFull
-		c.stopQueueing()
+		c.finishWriting()
 		return ErrBacklogFull
 	}
 	c.notifyWriter()
