--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -33,7 +33,7 @@
 		if len(body) > r.limits.MaxBody {
 			return nil, errBodyTooLong
 		}
-		if err := r.fillHead(); errors.Is(err, io.EOF) {
+		if err := r.fillToHeadLimit(); errors.Is(err, io.EOF) {
 			return body, nil
 		} else if err != nil {
 			return nil, err
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -39,7 +39,7 @@
 	if r.Buffered() > 0 {
 		return nil
 	}
-	return r.fillHead()
+	return r.fillToHeadLimit()
 }
 
 // Shrink releases the buffer if it holds no unconsumed bytes: an idle connection needs no buffer.
@@ -65,8 +65,8 @@
 	}
 }
 
-// fillHead reads more bytes into the buffer, up to Limits.MaxHead bytes in total.
-func (r *Reader) fillHead() error { return r.fill(r.limits.MaxHead, errHeadTooLong) }
+// fillToHeadLimit reads more bytes into the buffer, up to Limits.MaxHead bytes in total.
+func (r *Reader) fillToHeadLimit() error { return r.fill(r.limits.MaxHead, errHeadTooLong) }
 
 // fill reads more bytes into the buffer, which grows up to maxBuffered bytes. It returns errFull if the
 // buffer is full at that size.
@@ -123,7 +123,7 @@
 		if scanned > *budget {
 			return "", errHeadTooLong
 		}
-		if err := r.fillHead(); err != nil {
+		if err := r.fillToHeadLimit(); err != nil {
 			return "", unexpectedEOF(err)
 		}
 	}
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -70,7 +70,7 @@
 		if count == len(prefix) {
 			return nil
 		}
-		if err := r.fillHead(); err != nil {
+		if err := r.fillToHeadLimit(); err != nil {
 			if count > 0 {
 				err = unexpectedEOF(err)
 			}
--- a/internal/platform/discovery_call.go
+++ b/internal/platform/discovery_call.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// callResponse is the response to a call. Reading it fails with errDiscoverySilent if no byte arrives for
+// discoveryResponse is the response to a call. Reading it fails with errDiscoverySilent if no byte arrives for
 // silenceTimeout, and with errListTooLong if a message exceeds bytesLeft. It has one reader, which closes it.
-type callResponse struct {
+type discoveryResponse struct {
 	ctx            context.Context
 	cancel         func()
 	response       *http.Response
@@ -21,9 +21,9 @@
 // call starts a call. Its response must begin within callTimeout; after that at most silenceTimeout may pass
 // without a byte.
 func (d *discovery) call(ctx context.Context, url string,
-	silenceTimeout time.Duration) (*callResponse, error) {
+	silenceTimeout time.Duration) (*discoveryResponse, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	c := &callResponse{ctx: ctx, silenceTimeout: silenceTimeout, cancel: func() { cancel(nil) }}
+	c := &discoveryResponse{ctx: ctx, silenceTimeout: silenceTimeout, cancel: func() { cancel(nil) }}
 	c.silenceTimer = time.AfterFunc(discoveryCallTimeout, func() { cancel(errDiscoverySilent) })
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err == nil {
@@ -43,7 +43,7 @@
 }
 
 // Read reads a part of the response body.
-func (c *callResponse) Read(buffer []byte) (int, error) {
+func (c *discoveryResponse) Read(buffer []byte) (int, error) {
 	n, err := c.response.Body.Read(buffer)
 	if n > 0 {
 		c.silenceTimer.Reset(c.silenceTimeout)
@@ -55,14 +55,14 @@
 }
 
 // cause returns why this side cancelled the call, if it did, in place of the error that resulted.
-func (c *callResponse) cause(err error) error {
+func (c *discoveryResponse) cause(err error) error {
 	if cause := context.Cause(c.ctx); err != nil && cause != nil {
 		return cause
 	}
 	return err
 }
 
-func (c *callResponse) close() {
+func (c *discoveryResponse) close() {
 	c.silenceTimer.Stop()
 	if c.response != nil {
 		c.response.Body.Close()
--- a/internal/proto/config.go
+++ b/internal/proto/config.go
@@ -7,10 +7,10 @@
 
 // Defaults of the timeouts in Config.
 const (
-	defaultHandshake = time.Second
-	defaultIdle      = time.Minute
-	defaultSilence   = 30 * time.Second
-	defaultWrite     = 10 * time.Second
+	defaultHandshakeTimeout = time.Second
+	defaultIdleTimeout      = time.Minute
+	defaultSilenceTimeout   = 30 * time.Second
+	defaultWriteTimeout     = 10 * time.Second
 )
 
 // Config configures a connection. Defaults apply to zero limits and timeouts.
@@ -32,10 +32,10 @@
 
 // Defaults returns the configuration with defaults in place of zero values.
 func (c Config) Defaults() Config {
-	c.HandshakeTimeout = cmp.Or(c.HandshakeTimeout, defaultHandshake)
-	c.IdleTimeout = cmp.Or(c.IdleTimeout, defaultIdle)
-	c.SilenceTimeout = cmp.Or(c.SilenceTimeout, defaultSilence)
-	c.WriteTimeout = cmp.Or(c.WriteTimeout, defaultWrite)
+	c.HandshakeTimeout = cmp.Or(c.HandshakeTimeout, defaultHandshakeTimeout)
+	c.IdleTimeout = cmp.Or(c.IdleTimeout, defaultIdleTimeout)
+	c.SilenceTimeout = cmp.Or(c.SilenceTimeout, defaultSilenceTimeout)
+	c.WriteTimeout = cmp.Or(c.WriteTimeout, defaultWriteTimeout)
 	c.Limits = cmp.Or(c.Limits, DefaultLimits)
 	c.Hello.Version = Version
 	c.Hello.Header = uint32(c.Limits.MaxHeader)
