--- a/internal/platform/forms_test.go
+++ b/internal/platform/forms_test.go
@@ -16,19 +16,19 @@
 	"landingpaddle/internal/wire"
 )
 
-// formsRecorder records the bytes that clients receive.
-type formsRecorder struct {
+// wireRecorder records the bytes that clients receive.
+type wireRecorder struct {
 	frontend *frontend
 	out      strings.Builder
 }
 
-func newFormsRecorder(loop *daemon.EventLoop) *formsRecorder {
+func newWireRecorder(loop *daemon.EventLoop) *wireRecorder {
 	limits := resourceLimits{clients: 1, lingering: 1, openRequests: 1}
-	return &formsRecorder{frontend: newFrontend(loop, &wire.Site{}, slog.New(slog.DiscardHandler), limits)}
+	return &wireRecorder{frontend: newFrontend(loop, &wire.Site{}, slog.New(slog.DiscardHandler), limits)}
 }
 
 // record records the bytes that send writes to a client's connection.
-func (r *formsRecorder) record(label string, send func(client *clientConn)) {
+func (r *wireRecorder) record(label string, send func(client *clientConn)) {
 	local, remote := net.Pipe()
 	sent := make(chan []byte)
 	go func() {
@@ -41,11 +41,11 @@
 	fmt.Fprintf(&r.out, "%s: %q\n", label, <-sent)
 }
 
-func (r *formsRecorder) recordHealth(label string) {
+func (r *wireRecorder) recordHealth(label string) {
 	r.record(label, func(client *clientConn) { r.frontend.answerHealth(client, true) })
 }
 
-func (r *formsRecorder) recordAnswer(answer proto.Answer, isLast bool) {
+func (r *wireRecorder) recordAnswer(answer proto.Answer, isLast bool) {
 	label := fmt.Sprintf("answer %d %q after %v, last %t", answer.Code, answer.Reason, answer.RetryAfter,
 		isLast)
 	r.record(label, func(client *clientConn) {
@@ -60,7 +60,7 @@
 // contains them.
 func TestWireFormat_MatchesGoldenFile(t *testing.T) {
 	loop := daemon.NewEventLoop(daemon.EventLoopConfig{})
-	recorder := newFormsRecorder(loop)
+	recorder := newWireRecorder(loop)
 	recorder.recordHealth("health before the list is there")
 	recorder.recordAnswer(proto.Answer{Code: proto.OK}, false)
 	recorder.recordAnswer(proto.Answer{Code: proto.OK}, true)
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -45,14 +45,14 @@
 // quotaRemaining returns the units of a volume's quota that remain at this instance.
 func (s *Scheduler) quotaRemaining(v *volume) float64 {
 	rate, burst := v.quota()
-	v.limit.refill(s.now, rate, burst)
-	return v.limit.level
+	v.quotaBucket.refill(s.now, rate, burst)
+	return v.quotaBucket.level
 }
 
 // chargeQuota charges a request to its volume's quota, once for all its attempts.
 func (s *Scheduler) chargeQuota(r *request) {
 	if !r.quotaCharged {
 		r.quotaCharged = true
-		r.volume.limit.level -= r.Units
+		r.volume.quotaBucket.level -= r.Units
 	}
 }
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -37,7 +37,7 @@
 	driver.now += time.Second
 	driver.handle(driver.newRequest(nil))
 	driver.finishAttempt(1, 0, 0, Error, ms)
-	if got := driver.scheduler.volumes.byID[1].limit.level; got != 9 {
+	if got := driver.scheduler.volumes.byID[1].quotaBucket.level; got != 9 {
 		t.Errorf("units in the quota's bucket after two attempts of one request: got %v, want 9", got)
 	}
 }
@@ -65,7 +65,7 @@
 			driver.scheduler.now = now
 			v := driver.scheduler.volumeFor(Request{Volume: 1, VolumeInstances: instances})
 			for units := float64(1 + i); driver.scheduler.quotaRemaining(v) >= units; {
-				v.limit.level -= units
+				v.quotaBucket.level -= units
 				level -= units
 				total += units
 			}
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -11,7 +11,7 @@
 	plan         Plan
 	instances    float64 // through which its requests arrive: the largest number stated so far
 	reserve      tokenBucket
-	limit        tokenBucket             // of the quota
+	quotaBucket  tokenBucket             // of the quota
 	finishTags   map[*shardQueue]float64 // of its last request in each shard
 	openRequests int
 }
@@ -54,7 +54,7 @@
 	v := s.volumes.byID[r.Volume]
 	if v == nil {
 		v = &volume{id: r.Volume, finishTags: map[*shardQueue]float64{},
-			limit: tokenBucket{filledAt: s.startedAt}, reserve: tokenBucket{filledAt: s.now}}
+			quotaBucket: tokenBucket{filledAt: s.startedAt}, reserve: tokenBucket{filledAt: s.now}}
 		if r.Plan < len(s.settings.Plans) {
 			v.plan = s.settings.Plans[r.Plan]
 		}
@@ -81,7 +81,7 @@
 	// A new bucket must contain as many units as this one, so both must be full.
 	rate, burst := v.quota()
 	fresh := tokenBucket{filledAt: s.startedAt}
-	if v.plan.Limit > 0 && !(v.limit.isFullAt(s.now, rate, burst) && fresh.isFullAt(s.now, rate, burst)) {
+	if v.plan.Limit > 0 && !(v.quotaBucket.isFullAt(s.now, rate, burst) && fresh.isFullAt(s.now, rate, burst)) {
 		return false
 	}
 	if !v.reserve.isFullAt(s.now, v.plan.Reserve, v.reserveCapacity(s.settings.MaxUnits)) {
--- a/scheduler/volume_test.go
+++ b/scheduler/volume_test.go
@@ -64,7 +64,7 @@
 	for range 10_000 {
 		load.step(7)
 	}
-	if level := volumes.byID[7].limit.level; level > 1 {
+	if level := volumes.byID[7].quotaBucket.level; level > 1 {
 		t.Fatalf("quota left with 1000 requests per second: got %v units, want 1 at most", level)
 	}
 	for range 500 { // of another volume: not enough time for the quota to refill
