--- a/internal/sexpr/parse.go
+++ b/internal/sexpr/parse.go
@@ -26,7 +26,7 @@
 
 // The grammar. A file is a sequence of terms; a comment extends from ; to the end of the line.
 var (
-	symbols = lexer.MustSimple([]lexer.SimpleRule{
+	lexerDefinition = lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Comment", Pattern: `;[^\n]*`},
 		{Name: "Space", Pattern: `\s+`},
 		{Name: "String", Pattern: `"(\\.|[^"\\\n])*"`},
@@ -35,7 +35,7 @@
 		{Name: "Atom", Pattern: `[^\s()";]+`},
 	})
 	grammar = participle.MustBuild[fileSyntax](
-		participle.Lexer(symbols),
+		participle.Lexer(lexerDefinition),
 		participle.Elide("Comment", "Space"),
 	)
 )
@@ -103,11 +103,11 @@
 // checkNesting limits the nesting depth before the parser recurses, and finds unmatched parentheses, whose
 // position the parser would not report.
 func checkNesting(name string, data []byte) error {
-	tokens, err := symbols.LexString(name, string(data))
+	tokens, err := lexerDefinition.LexString(name, string(data))
 	if err != nil {
 		return WithPos(startOf(name), err)
 	}
-	types := symbols.Symbols()
+	types := lexerDefinition.Symbols()
 	var open []lexer.Position
 	for {
 		token, err := tokens.Next()
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -26,7 +26,7 @@
 	queued          bool
 	answered        bool
 	slotsReleased   bool          // its attempt uses no slots (as a member), or no longer does (as lost)
-	sends           []sendRef     // references to the send records of its attempts
+	sendRefs        []sendRef     // references to the send records of its attempts
 	uncertainAt     time.Duration // end of its last attempt that may still be running at the node; 0: none
 }
 
--- a/scheduler/random_driver_test.go
+++ b/scheduler/random_driver_test.go
@@ -15,7 +15,7 @@
 	maxRandomWait    = 800 * ms // time that a client waits
 	maxRandomLatency = 150 * ms // duration of an attempt
 	overdueAfter     = 400 * ms // time past its deadline after which a request is overdue
-	drainSteps       = 2000     // steps at the end, in which all requests finish
+	finalSteps       = 2000     // steps at the end, in which all requests finish
 )
 
 // The classes of a randomDriver.
@@ -165,7 +165,7 @@
 		d.endAttempts()
 		d.decide()
 	}
-	for range drainSteps {
+	for range finalSteps {
 		d.now += 2 * ms
 		d.fireTimers()
 		d.endAttempts()
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -86,7 +86,7 @@
 // since a node that restarts is cold at once.
 func (s *Scheduler) recordSend(r *request, n *node) {
 	n.dropOldSends(s.now, s.settings.OverloadWindow)
-	r.sends = append(r.sends, sendRef{n, n.sends.pushed()})
+	r.sendRefs = append(r.sendRefs, sendRef{n, n.sends.pushed()})
 	n.sends.push(sendRecord{s.now, r.Units})
 	n.unitsSent += r.Units
 }
@@ -112,7 +112,7 @@
 	if factor <= 1 {
 		return
 	}
-	for _, ref := range r.sends {
+	for _, ref := range r.sendRefs {
 		if ref.node != n {
 			continue // the index is valid only in the records of its own node
 		}
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -153,7 +153,7 @@
 		other.sends.push(sendRecord{time.Second, 4})
 	}
 	answering.sends.push(sendRecord{time.Second, 4})
-	r := &request{sends: []sendRef{{other, 49}, {answering, 0}}}
+	r := &request{sendRefs: []sendRef{{other, 49}, {answering, 0}}}
 	scheduler.creditServed(answering, r)
 	if got := answering.sends.values()[0].units; got != 2 {
 		t.Errorf("units of the record at the answering node: got %v, want 2", got)
