--- a/internal/testbed/invariants_log_test.go
+++ b/internal/testbed/invariants_log_test.go
@@ -160,7 +160,7 @@
 func TestInvariants_CheckHandWrittenLogs(t *testing.T) {
 	scenario := smallScenario(t, readClass+writeClass+
 		`(class once (aim 400ms) (deadline 1s) (repeat unsafe))`,
-		`(order-pause 100ms) (budget (floor 1) (ratio 0) (window 1s))`, reads)
+		`(order-pause 100ms) (budget (floor 1) (ratio 0) (window 1s))`, readTraffic)
 	// An answer is checked only if it is due before the end of the log.
 	logEnd := Event{Time: logTime(9000), Kind: KindInstanceStarted, Instance: 99}
 	for _, c := range handWrittenLogs {
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -20,20 +20,20 @@
 func ruleScenarios(t *testing.T) []ruleScenario {
 	t.Helper()
 	return []ruleScenario{
-		{RuleAnswers, smallScenario(t, readClass, "", reads), AnswerTwice()},
+		{RuleAnswers, smallScenario(t, readClass, "", readTraffic), AnswerTwice()},
 		{RuleEffects, smallScenario(t, strings.Replace(writeClass, "(in-order)", "", 1), "",
 			`(traffic (class write) (plan free) (rate 400) (volumes 4) (units 1 4) (new-objects))`+resets),
 			Baseline(func(g *Greedy) { g.RetriesInOtherZone = true })},
-		{RuleDrains, smallScenario(t, readClass, "", reads+`(at 500ms (drain (nodes 1)))`),
+		{RuleDrains, smallScenario(t, readClass, "", readTraffic+`(at 500ms (drain (nodes 1)))`),
 			Baseline(func(g *Greedy) { g.SendsToDraining = true })},
 		{RuleCold, smallScenario(t, readClass, `(cold-share 0.05) (cold-units 20) (ramp 4s)
-			(fall-window 500ms) (fall-multiple 2)`, reads+`(at 500ms (kill-node (nodes 0) (back 300ms)))
+			(fall-window 500ms) (fall-multiple 2)`, readTraffic+`(at 500ms (kill-node (nodes 0) (back 300ms)))
 			(at 600ms (burst (times 4) (for 2s)))`), Baseline(nil)},
 		{RuleOrder, smallScenario(t, writeClass, `(order-pause 50ms)`,
 			`(traffic (class write) (plan free) (rate 200) (volumes 2) (units 1 4) (keys 3))`),
 			Baseline(nil)},
 		{RuleBudget, smallScenario(t, readClass, `(budget (floor 2) (ratio 0.001) (window 2s))`,
-			strings.Replace(reads, "150", "500", 1)+resets),
+			strings.Replace(readTraffic, "150", "500", 1)+resets),
 			Baseline(func(g *Greedy) { g.IgnoresRetryBudget = true })},
 		{RuleLimits, smallScenario(t, readClass, "",
 			`(traffic (class read) (plan tight) (rate 150) (volumes 2) (units 1 4) (writers 2))`),
--- a/internal/testbed/node_test.go
+++ b/internal/testbed/node_test.go
@@ -70,7 +70,7 @@
 // An operation may end after its connection, so that its answer cannot be sent: the node logs the operation
 // as cancelled.
 func TestNode_LogsAnAnswerToABrokenConnectionAsCancelled(t *testing.T) {
-	scenario := smallScenario(t, readClass, "", reads)
+	scenario := smallScenario(t, readClass, "", readTraffic)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/runner_test.go
+++ b/internal/testbed/runner_test.go
@@ -70,7 +70,7 @@
 // nothing is sent for requests that it has rejected, and it serves again.
 func TestRunner_StalledInstanceServesAgain(t *testing.T) {
 	t.Parallel()
-	scenario := smallScenario(t, readClass+writeClass, "(order-pause 50ms)", reads+
+	scenario := smallScenario(t, readClass+writeClass, "(order-pause 50ms)", readTraffic+
 		`(traffic (class write) (plan free) (rate 80) (volumes 2) (units 1 4) (keys 10) (writers 2))
 		 (at 800ms (stall (instances 0) (for 1s)))`)
 	var resumedAt int64
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -17,7 +17,7 @@
 		(writes))`
 	resets = `(at 500ms (reset (nodes 0 1 2))) (at 800ms (reset (nodes 0 1 2)))
 		(at 1100ms (reset (nodes 0 1 2))) (at 1400ms (reset (nodes 0 1 2)))`
-	reads = `(traffic (class read) (plan free) (rate 150) (volumes 4) (units 1 4) (writers 2))`
+	readTraffic = `(traffic (class read) (plan free) (rate 150) (volumes 4) (units 1 4) (writers 2))`
 )
 
 // smallScenario returns a short scenario with the given forms: classes are added to the site, rules to the
