--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -22,7 +22,7 @@
 	return []ruleScenario{
 		{RuleAnswers, smallScenario(t, readClass, "", readTraffic), AnswerTwice()},
 		{RuleEffects, smallScenario(t, strings.Replace(writeClass, "(in-order)", "", 1), "",
-			`(traffic (class write) (plan free) (rate 400) (volumes 4) (units 1 4) (new-objects))`+resets),
+			`(traffic (class write) (plan free) (rate 400) (volumes 4) (units 1 4) (new-objects))`+connectionResets),
 			Baseline(func(g *Greedy) { g.RetriesInOtherZone = true })},
 		{RuleDrains, smallScenario(t, readClass, "", readTraffic+`(at 500ms (drain (nodes 1)))`),
 			Baseline(func(g *Greedy) { g.SendsToDraining = true })},
@@ -33,7 +33,7 @@
 			`(traffic (class write) (plan free) (rate 200) (volumes 2) (units 1 4) (keys 3))`),
 			Baseline(nil)},
 		{RuleBudget, smallScenario(t, readClass, `(budget (floor 2) (ratio 0.001) (window 2s))`,
-			strings.Replace(readTraffic, "150", "500", 1)+resets),
+			strings.Replace(readTraffic, "150", "500", 1)+connectionResets),
 			Baseline(func(g *Greedy) { g.IgnoresRetryBudget = true })},
 		{RuleLimits, smallScenario(t, readClass, "",
 			`(traffic (class read) (plan tight) (rate 150) (volumes 2) (units 1 4) (writers 2))`),
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -15,7 +15,7 @@
 	readClass  = `(class read (aim 400ms) (deadline 1s) (repeat safe))`
 	writeClass = `(class write (aim 400ms) (deadline 1s) (repeat keyed) (group cell) (window 5s) (in-order)
 		(writes))`
-	resets = `(at 500ms (reset (nodes 0 1 2))) (at 800ms (reset (nodes 0 1 2)))
+	connectionResets = `(at 500ms (reset (nodes 0 1 2))) (at 800ms (reset (nodes 0 1 2)))
 		(at 1100ms (reset (nodes 0 1 2))) (at 1400ms (reset (nodes 0 1 2)))`
 	readTraffic = `(traffic (class read) (plan free) (rate 150) (volumes 4) (units 1 4) (writers 2))`
 )
--- a/scheduler/endpoint_view.go
+++ b/scheduler/endpoint_view.go
@@ -123,7 +123,7 @@
 		s.watchFailed()
 		return
 	}
-	s.watch.heard = s.watch.heard || update.Kind != UpdateCached
+	s.watch.updateReceived = s.watch.updateReceived || update.Kind != UpdateCached
 	if update.Kind != UpdateDelta {
 		s.endpoints.removeUnlisted(update.Endpoints, s.now)
 	}
--- a/scheduler/endpoint_watch.go
+++ b/scheduler/endpoint_watch.go
@@ -18,10 +18,10 @@
 
 // endpointWatch tracks the watch of the endpoint list.
 type endpointWatch struct {
-	heard       bool          // an update arrived since the watch was last opened or failed
-	reopenAt    time.Duration // when to reopen it unless an update arrives
-	reopenDelay time.Duration // minimum delay after a failure
-	speedup     time.Duration // divisor of the next delay; 0: the delay is not divided
+	updateReceived bool          // an update arrived since the watch was last opened or failed
+	reopenAt       time.Duration // when to reopen it unless an update arrives
+	reopenDelay    time.Duration // minimum delay after a failure
+	speedup        time.Duration // divisor of the next delay; 0: the delay is not divided
 }
 
 func newEndpointWatch(settings Settings) endpointWatch {
@@ -32,7 +32,7 @@
 // openWatch opens the watch and schedules that it is reopened unless an update arrives within half of
 // PollTimeout, or within two reopen delays if those are longer: the registry's answer may be lost.
 func (s *Scheduler) openWatch() {
-	s.watch.heard = false
+	s.watch.updateReceived = false
 	s.emit(WatchEndpoints{On: true})
 	s.scheduleWatch(max(s.settings.PollTimeout/2, 2*s.watch.reopenDelay))
 }
@@ -43,7 +43,7 @@
 }
 
 func (s *Scheduler) reopenSilentWatch() {
-	if !s.watch.heard && s.now >= s.watch.reopenAt {
+	if !s.watch.updateReceived && s.now >= s.watch.reopenAt {
 		s.openWatch()
 	}
 }
@@ -55,16 +55,16 @@
 // the delays after the break are shorter.
 func (s *Scheduler) watchFailed() {
 	delay := s.watch.reopenDelay
-	pending := !s.watch.heard && s.watch.reopenAt <= s.now+2*delay
+	pending := !s.watch.updateReceived && s.watch.reopenAt <= s.now+2*delay
 	if !s.settings.PollEndpoints || pending {
 		return
 	}
 	wait := delay + time.Duration(s.random.Int64N(int64(delay)))
-	if s.watch.heard {
+	if s.watch.updateReceived {
 		s.watch.speedup = brokenWatchSpeedup
 	}
 	wait /= max(1, s.watch.speedup)
 	s.watch.speedup /= 2
-	s.watch.heard = false
+	s.watch.updateReceived = false
 	s.scheduleWatch(wait)
 }
