--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -71,7 +71,7 @@
 	}
 	s.assignTags(r)
 	s.backlog.enqueue(r)
-	s.forgetIdleVolumes()
+	s.evictIdleVolumes()
 }
 
 func (s *Scheduler) isAdmissible(incoming Request) bool {
--- a/scheduler/characterization_test.go
+++ b/scheduler/characterization_test.go
@@ -59,16 +59,16 @@
 	for _, c := range characterizations() {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			if got := c.play(t); got != c.want {
+			if got := c.run(t); got != c.want {
 				t.Errorf("hash of actions and state: got %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// play runs the driver, restores its statistics in a second instance, runs that as well, and returns the hash
+// run runs the driver, restores its statistics in a second instance, runs that as well, and returns the hash
 // over both runs.
-func (c characterization) play(t *testing.T) string {
+func (c characterization) run(t *testing.T) string {
 	t.Helper()
 	const batches, minEvents = 3000, 5000
 	sum := sha256.New()
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	initialDepth        = 8.0  // slots at a new or restarted node
-	fleetSlots          = 128  // slots that all instances together may use at a node that answers quickly
-	congestionThreshold = 0.3  // of the shortest objective: higher latencies reduce fleetSlots
-	congestionExponent  = 4.0  // fleetSlots is divided by (latency / threshold) to this power
-	maxDepth            = 24.0 // in slots; also the limit of attempts in flight at a node, lost ones included
-	depthGain           = 3.0  // slots that all instances together add to the target depth per period
-	depthStep           = 0.5  // fraction of the difference to the target depth that is applied per period
-	nodeTimeFraction    = 0.1  // target latency at a node, as a fraction of the shortest objective
-	extraSlots          = 8.0  // added to the limit at latency 0, for start tags up to the virtual time
-	extraSlotsThreshold = 0.5  // of the shortest objective: latency from which there are no extra slots
-	minAdaptPeriod      = 50 * time.Millisecond
+	initialDepth          = 8.0  // slots at a new or restarted node
+	fleetSlots            = 128  // slots that all instances together may use at a node that answers quickly
+	congestionThreshold   = 0.3  // of the shortest objective: higher latencies reduce fleetSlots
+	congestionExponent    = 4.0  // fleetSlots is divided by (latency / threshold) to this power
+	maxDepth              = 24.0 // in slots; also the limit of attempts in flight at a node, lost ones included
+	depthGain             = 3.0  // slots that all instances together add to the target depth per period
+	depthStep             = 0.5  // fraction of the difference to the target depth that is applied per period
+	targetLatencyFraction = 0.1  // target latency at a node, as a fraction of the shortest objective
+	extraSlots            = 8.0  // added to the limit at latency 0, for start tags up to the virtual time
+	extraSlotsThreshold   = 0.5  // of the shortest objective: latency from which there are no extra slots
+	minAdaptPeriod        = 50 * time.Millisecond
 )
 
 // exceedsSlots reports whether a request must wait for slots of its shard's node. Where none are in use, any
@@ -81,7 +81,7 @@
 
 // targetLatency returns the latency of a node at which adaptDepth aims; 0: no class has an objective.
 func (s *Scheduler) targetLatency() time.Duration {
-	return time.Duration(nodeTimeFraction * float64(s.objectives.shortest))
+	return time.Duration(targetLatencyFraction * float64(s.objectives.shortest))
 }
 
 // adaptDepth adapts a node's depth so that its latency meets the target, and requests wait here, in tag
--- a/scheduler/endpoint_view.go
+++ b/scheduler/endpoint_view.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// forgetRemoved deletes nodes that were removed removedNodeRetention ago, so that they do not accumulate over
+// evictRemoved deletes nodes that were removed removedNodeRetention ago, so that they do not accumulate over
 // months. A node that is listed again sooner keeps its state, and one with attempts in flight is kept.
-func (v *endpointView) forgetRemoved(now time.Duration) {
+func (v *endpointView) evictRemoved(now time.Duration) {
 	for len(v.removals) > 0 && now-v.removals[0].at >= removedNodeRetention {
 		oldest := v.removals[0]
 		if oldest.node.removedAt == oldest.at {
@@ -131,7 +131,7 @@
 		s.applyEndpoint(e)
 	}
 	s.endpoints.assignNodes()
-	s.endpoints.forgetRemoved(s.now)
+	s.endpoints.evictRemoved(s.now)
 }
 
 // applyEndpoint applies one entry of an update. A later start means that the process restarted.
--- a/scheduler/endpoint_watch.go
+++ b/scheduler/endpoint_watch.go
@@ -9,11 +9,11 @@
 	// watchReopenDelay is the minimum delay before a failed watch is reopened, unless PushGrace requires a
 	// shorter one; the maximum is twice as long.
 	watchReopenDelay = 750 * time.Millisecond
-	// brokenWatchSpeedup divides the first delay after an established watch broke; the divisor halves with
+	// brokenWatchDelayDivisor divides the first delay after an established watch broke; the divisor halves with
 	// each further failure.
-	brokenWatchSpeedup = 8
-	// pushGraceParts is the number of reopen delays that fit into PushGrace.
-	pushGraceParts = 4
+	brokenWatchDelayDivisor = 8
+	// reopenDelaysPerPushGrace is the number of reopen delays that fit into PushGrace.
+	reopenDelaysPerPushGrace = 4
 )
 
 // endpointWatch tracks the watch of the endpoint list.
@@ -21,11 +21,11 @@
 	updateReceived bool          // an update arrived since the watch was last opened or failed
 	reopenAt       time.Duration // when to reopen it unless an update arrives
 	reopenDelay    time.Duration // minimum delay after a failure
-	speedup        time.Duration // divisor of the next delay; 0: the delay is not divided
+	delayDivisor   time.Duration // divisor of the next delay; 0: the delay is not divided
 }
 
 func newEndpointWatch(settings Settings) endpointWatch {
-	delay := cmp.Or(min(watchReopenDelay, settings.PushGrace/pushGraceParts), watchReopenDelay)
+	delay := cmp.Or(min(watchReopenDelay, settings.PushGrace/reopenDelaysPerPushGrace), watchReopenDelay)
 	return endpointWatch{reopenDelay: delay}
 }
 
@@ -61,10 +61,10 @@
 	}
 	wait := delay + time.Duration(s.random.Int64N(int64(delay)))
 	if s.watch.updateReceived {
-		s.watch.speedup = brokenWatchSpeedup
+		s.watch.delayDivisor = brokenWatchDelayDivisor
 	}
-	wait /= max(1, s.watch.speedup)
-	s.watch.speedup /= 2
+	wait /= max(1, s.watch.delayDivisor)
+	s.watch.delayDivisor /= 2
 	s.watch.updateReceived = false
 	s.scheduleWatch(wait)
 }
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -71,9 +71,9 @@
 	return seconds(c.latency.predict(units) - m.allClasses.meanTime)
 }
 
-// ofNode returns the latency of the average request at a node. As the node's last update ages, it decays
+// nodeLatency returns the latency of the average request at a node. As the node's last update ages, it decays
 // towards the recent mean of all nodes: with many instances, each receives answers of a given node rarely.
-func (m *latencyModel) ofNode(n *node, now time.Duration) time.Duration {
+func (m *latencyModel) nodeLatency(n *node, now time.Duration) time.Duration {
 	if m.allClasses.count < regressionMinCount {
 		return n.latency
 	}
@@ -81,26 +81,26 @@
 	return m.recentMean + time.Duration(float64(n.latency-m.recentMean)*decay)
 }
 
-func (s *Scheduler) recentLatency(n *node) time.Duration { return s.latency.ofNode(n, s.now) }
+func (s *Scheduler) recentLatency(n *node) time.Duration { return s.latency.nodeLatency(n, s.now) }
 
 // expectedLatency returns the expected latency of a request that is sent to a node now.
 func (s *Scheduler) expectedLatency(n *node, r *request) time.Duration {
 	return max(0, s.recentLatency(n)+s.latency.sizeCorrection(r.class, r.Units))
 }
 
-// learnLoss records an attempt that got no answer; only the time waited is known. The model of all nodes
+// recordLoss records an attempt that got no answer; only the time waited is known. The model of all nodes
 // records at most twice its recent mean, and nothing from a node that fails repeatedly, as nodes that are cut
 // off from the network must not make all others appear slow.
-func (s *Scheduler) learnLoss(n *node, waited time.Duration) {
+func (s *Scheduler) recordLoss(n *node, waited time.Duration) {
 	if n.failures <= 1 {
 		s.latency.observe(min(waited, 2*s.latency.recentMean))
 	}
 	n.latency += time.Duration(lossGain * float64(waited))
-	s.latencyLearned(n)
+	s.latencyUpdated(n)
 }
 
-// learnLatency records the latency of an answer.
-func (s *Scheduler) learnLatency(n *node, r *request, latency time.Duration) {
+// recordLatency records the latency of an answer.
+func (s *Scheduler) recordLatency(n *node, r *request, latency time.Duration) {
 	normalized := latency - s.latency.sizeCorrection(r.class, r.operationUnits)
 	r.class.latency.add(r.operationUnits, latency.Seconds())
 	s.latency.allClasses.add(r.operationUnits, latency.Seconds())
@@ -108,10 +108,10 @@
 	difference := normalized - n.latency
 	n.latency += time.Duration(latencyGain * float64(difference))
 	n.deviation += time.Duration(latencyGain * float64(max(difference, -difference)-n.deviation))
-	s.latencyLearned(n)
+	s.latencyUpdated(n)
 }
 
-func (s *Scheduler) latencyLearned(n *node) {
+func (s *Scheduler) latencyUpdated(n *node) {
 	n.latencyUpdatedAt = s.now
 	s.adaptDepth(n)
 }
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -65,11 +65,11 @@
 	if len(queue.requests) == 0 {
 		t.emptied = append(t.emptied, r.Key)
 	}
-	t.forgetIdle(now)
+	t.evictIdle(now)
 }
 
-// forgetIdle deletes queues that are empty and not blocked, so that keys seen once do not accumulate.
-func (t *keyTable) forgetIdle(now time.Duration) {
+// evictIdle deletes queues that are empty and not blocked, so that keys seen once do not accumulate.
+func (t *keyTable) evictIdle(now time.Duration) {
 	for len(t.emptied) > 0 {
 		key := t.emptied[0]
 		if queue := t.byKey[key]; queue != nil && len(queue.requests) == 0 {
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -20,17 +20,17 @@
 // lossTimeout returns how long an attempt may be in flight before it counts as lost.
 func (n *node) lossTimeout() time.Duration { return n.latency + lossDeviations*n.deviation }
 
-// learnFromResult updates the failures and the latency of a node from the result of an attempt.
-func (s *Scheduler) learnFromResult(n *node, r *request, result AttemptResult) {
+// recordNodeResult updates the failures and the latency of a node from the result of an attempt.
+func (s *Scheduler) recordNodeResult(n *node, r *request, result AttemptResult) {
 	lost := s.isLost(n, r, result)
 	silent := lost && result.Latency > min(n.lossTimeout(), s.objectives.shortest/2)
 	s.detectOutlier(n, r, result.Code, silent)
 	switch {
 	case r.leader != nil: // an operation is recorded once, with its leader
 	case lost:
-		s.learnLoss(n, result.Latency)
+		s.recordLoss(n, result.Latency)
 	case result.Code == OK && !s.review.stalled:
-		s.learnLatency(n, r, result.Latency)
+		s.recordLatency(n, r, result.Latency)
 	}
 }
 
--- a/scheduler/result.go
+++ b/scheduler/result.go
@@ -16,7 +16,7 @@
 	if result.Code == OK {
 		s.creditServed(n, r)
 	}
-	s.learnFromResult(n, r, result)
+	s.recordNodeResult(n, r, result)
 	s.recordEffects(n, r, result)
 	switch {
 	case r.answered || result.RequestDone:
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -68,13 +68,13 @@
 	return v
 }
 
-// forgetIdleVolumes deletes volumes whose state equals that of a new one, so that volumes seen once do not
+// evictIdleVolumes deletes volumes whose state equals that of a new one, so that volumes seen once do not
 // accumulate. Where very many volumes send one request each, the virtual time hardly passes their finish
 // tags: above maxVolumes, idle ones are deleted all the same, and one that returns soon may get more than its
 // share.
-func (s *Scheduler) forgetIdleVolumes() { s.volumes.sweep(s.isForgettable) }
+func (s *Scheduler) evictIdleVolumes() { s.volumes.sweep(s.isEvictable) }
 
-func (s *Scheduler) isForgettable(v *volume) bool {
+func (s *Scheduler) isEvictable(v *volume) bool {
 	if v.openRequests > 0 {
 		return false
 	}
