--- a/internal/sexpr/decode.go
+++ b/internal/sexpr/decode.go
@@ -111,7 +111,7 @@
 		})
 		if index < 0 {
 			return Errorf(node.Pos, "(%s …) has no %s; it accepts %s",
-				d.form.Head(), brief(node), d.knownNames())
+				d.form.Head(), brief(node), d.acceptedNames())
 		}
 		field := d.fields[index]
 		value := d.value.Field(field.index)
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (d *structDecoder) knownNames() string {
+func (d *structDecoder) acceptedNames() string {
 	var names []string
 	for _, field := range d.fields {
 		if !field.isPositional() {
--- a/scheduler/characterization_test.go
+++ b/scheduler/characterization_test.go
@@ -96,20 +96,20 @@
 	}
 	driver := newRandomDriverWith(t, seed, c.shape, change)
 	if c.reportsElsewhere {
-		driver.elsewhere = rand.New(rand.NewPCG(seed, 11))
+		driver.elsewhereRandom = rand.New(rand.NewPCG(seed, 11))
 	}
 	driver.recordAction = func(action Action) {
-		fmt.Fprintf(sum, "%d %s\n", int64(driver.now), spellAction(action))
+		fmt.Fprintf(sum, "%d %s\n", int64(driver.now), formatAction(action))
 	}
 	return driver
 }
 
-// spellAction formats an action as a word and numbers, so that renaming types and fields does not change the
+// formatAction formats an action as a word and numbers, so that renaming types and fields does not change the
 // hash. The words are those used when the hashes were recorded; they are part of the hashed text.
-func spellAction(action Action) string {
+func formatAction(action Action) string {
 	switch a := action.(type) {
 	case Send:
-		return fmt.Sprintf("send id=%d to=%s allow=%d before=%d with=%d", a.ID, spellServer(a.Server),
+		return fmt.Sprintf("send id=%d to=%s allow=%d before=%d with=%d", a.ID, formatServer(a.Server),
 			int64(a.Timeout), int64(a.StartBefore), a.Leader)
 	case Reject:
 		return fmt.Sprintf("refuse id=%d backoff=%d", a.ID, int64(a.RetryAfter))
@@ -120,9 +120,9 @@
 	case SetTimer:
 		return fmt.Sprintf("timer token=%d after=%d", a.Token, int64(a.After))
 	case CheckHealth:
-		return "probe " + spellServer(a.Server)
+		return "probe " + formatServer(a.Server)
 	case CloseIdle:
-		return "close " + spellServer(a.Server)
+		return "close " + formatServer(a.Server)
 	case SendToPeer:
 		return fmt.Sprintf("tell to=%d body=%x", a.To, a.Body)
 	case WriteLog:
@@ -135,34 +135,34 @@
 	panic("action of an unknown type")
 }
 
-func spellServer(s Server) string {
+func formatServer(s Server) string {
 	return fmt.Sprintf("%d.%d.%d.%d:%d", s.Addr[0], s.Addr[1], s.Addr[2], s.Addr[3], s.Port)
 }
 
-func spellFloat(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
+func formatFloat(value float64) string { return strconv.FormatFloat(value, 'g', -1, 64) }
 
-func spellRegression(g Regression) string {
-	return fmt.Sprintf("%s/%s/%s/%s/%s", spellFloat(g.Count), spellFloat(g.MeanSize),
-		spellFloat(g.MeanTime), spellFloat(g.MeanSquare), spellFloat(g.MeanProduct))
+func formatRegression(g Regression) string {
+	return fmt.Sprintf("%s/%s/%s/%s/%s", formatFloat(g.Count), formatFloat(g.MeanSize),
+		formatFloat(g.MeanTime), formatFloat(g.MeanSquare), formatFloat(g.MeanProduct))
 }
 
 // writeState writes the node states and the statistics of a scheduler into the hash.
 func writeState(sum hash.Hash, scheduler *Scheduler) {
 	for _, n := range scheduler.NodeStates() {
 		fmt.Fprintf(sum, "node %s status=%d out=%d used=%s depth=%s latency=%d fails=%d\n",
-			spellServer(n.Server), uint8(n.Status), n.InFlight, spellFloat(n.SlotsUsed),
-			spellFloat(n.Depth), int64(n.Latency), n.Failures)
+			formatServer(n.Server), uint8(n.Status), n.InFlight, formatFloat(n.SlotsUsed),
+			formatFloat(n.Depth), int64(n.Latency), n.Failures)
 	}
 	learned := scheduler.Statistics()
 	for _, server := range slices.SortedFunc(maps.Keys(learned.Nodes), Server.Compare) {
 		n := learned.Nodes[server]
-		fmt.Fprintf(sum, "learned %s latency=%d deviation=%d\n", spellServer(server), int64(n.Latency),
+		fmt.Fprintf(sum, "learned %s latency=%d deviation=%d\n", formatServer(server), int64(n.Latency),
 			int64(n.Deviation))
 	}
 	for i, c := range learned.Classes {
-		fmt.Fprintf(sum, "class %d mean=%s seen=%s fit=%s\n", i, spellFloat(c.MeanUnits),
-			spellFloat(c.Count), spellRegression(c.Latency))
+		fmt.Fprintf(sum, "class %d mean=%s seen=%s fit=%s\n", i, formatFloat(c.MeanUnits),
+			formatFloat(c.Count), formatRegression(c.Latency))
 	}
-	fmt.Fprintf(sum, "usual=%s median=%d lately=%d\n", spellRegression(learned.AllClasses),
+	fmt.Fprintf(sum, "usual=%s median=%d lately=%d\n", formatRegression(learned.AllClasses),
 		int64(learned.MedianLatency), int64(learned.RecentLatency))
 }
--- a/scheduler/endpoint_watch_test.go
+++ b/scheduler/endpoint_watch_test.go
@@ -18,8 +18,8 @@
 	return slices.Contains(actions, Action(WatchEndpoints{On: true}))
 }
 
-// watchTimers returns the delays of the timers among the actions that reopen the watch.
-func watchTimers(actions []Action) (delays []time.Duration) {
+// watchTimerDelays returns the delays of the timers among the actions that reopen the watch.
+func watchTimerDelays(actions []Action) (delays []time.Duration) {
 	for _, action := range actions {
 		if timer, ok := action.(SetTimer); ok && timer.Token == tokenWatch {
 			delays = append(delays, timer.After)
@@ -37,7 +37,7 @@
 	}
 	driver.handle(EndpointUpdate{Kind: UpdateFull})
 	actions := driver.handle(EndpointUpdate{Kind: UpdateFailed}, EndpointUpdate{Kind: UpdateFailed})
-	if timers := len(watchTimers(actions)); timers != 1 {
+	if timers := len(watchTimerDelays(actions)); timers != 1 {
 		t.Errorf("got %d timers for a new watch, want 1", timers)
 	}
 	driver.now += 2 * watchReopenDelay
@@ -80,7 +80,7 @@
 		}
 		for failure, divisor := range divisors {
 			actions := driver.handle(EndpointUpdate{Kind: UpdateFailed})
-			delays := watchTimers(actions)
+			delays := watchTimerDelays(actions)
 			if len(delays) == 0 {
 				t.Fatalf("got %v, want a timer for a new watch", actions)
 			}
@@ -102,7 +102,7 @@
 	driver := startDriver(t, settings, 1)
 	for failure := range 5 {
 		var delay time.Duration
-		if delays := watchTimers(driver.handle(EndpointUpdate{Kind: UpdateFailed})); len(delays) > 0 {
+		if delays := watchTimerDelays(driver.handle(EndpointUpdate{Kind: UpdateFailed})); len(delays) > 0 {
 			delay = delays[len(delays)-1]
 		}
 		driver.now += max(delay, settings.PushGrace/2)
--- a/scheduler/random_driver_test.go
+++ b/scheduler/random_driver_test.go
@@ -40,9 +40,9 @@
 	lastID     uint32            // of the last request created
 	lastLeader Send              // last attempt sent that joined no operation
 
-	recordAction func(Action) // nil: actions are not recorded
-	countEvent   func()       // called for each event; nil: events are not counted
-	elsewhere    *rand.Rand   // draws units served through other instances; nil: none are reported
+	recordAction    func(Action) // nil: actions are not recorded
+	countEvent      func()       // called for each event; nil: events are not counted
+	elsewhereRandom *rand.Rand   // draws units served through other instances; nil: none are reported
 }
 
 // pendingTimer is a timer that the scheduler has set.
@@ -54,10 +54,10 @@
 // trackedRequest is the state of a request as seen from outside the scheduler.
 type trackedRequest struct {
 	Request
-	attempts   int
-	answered   bool          // or its client has disconnected
-	goneAt     time.Duration // when its client disconnected; the actions of that batch may still answer it
-	mayHaveRun bool
+	attempts       int
+	answered       bool          // or its client has disconnected
+	disconnectedAt time.Duration // when its client disconnected; the actions of that batch may still answer it
+	mayHaveRun     bool
 }
 
 // pendingAttempt is an attempt in flight.
@@ -202,7 +202,7 @@
 	case choice == 19 && d.lastID > 0:
 		id := 1 + d.random.Uint32N(d.lastID)
 		if r := d.requests[id]; !r.answered {
-			r.answered, r.goneAt = true, d.now
+			r.answered, r.disconnectedAt = true, d.now
 			d.handle(RequestWithdrawn{ID: id})
 		}
 	}
@@ -257,8 +257,8 @@
 		r.answered = r.answered || code == OK
 		result := AttemptResult{ID: attempt.ID, Attempt: attempt.attempt, Server: attempt.Server, Code: code,
 			Latency: 10 * ms, RequestDone: r.answered}
-		if d.elsewhere != nil {
-			result.ElsewhereUnits = float64(d.elsewhere.IntN(3))
+		if d.elsewhereRandom != nil {
+			result.ElsewhereUnits = float64(d.elsewhereRandom.IntN(3))
 		}
 		d.handle(result)
 	}
@@ -273,7 +273,7 @@
 		}
 		switch action := action.(type) {
 		case Send:
-			d.send(action)
+			d.startAttempt(action)
 		case Reject:
 			r := d.recordFinalAnswer(action.ID)
 			if r.mayHaveRun && !d.isRetrySafe(r) {
@@ -308,15 +308,15 @@
 func (d *randomDriver) recordFinalAnswer(id uint32) *trackedRequest {
 	d.t.Helper()
 	r := d.requests[id]
-	if r == nil || r.answered && r.goneAt != d.now {
+	if r == nil || r.answered && r.disconnectedAt != d.now {
 		d.t.Fatalf("request %d: got a second answer, or one to an unknown request, want one answer", id)
 	}
 	r.answered = true
 	return r
 }
 
-// send checks an attempt and schedules its end at a random time.
-func (d *randomDriver) send(send Send) {
+// startAttempt checks an attempt and schedules its end at a random time.
+func (d *randomDriver) startAttempt(send Send) {
 	d.t.Helper()
 	r := d.requests[send.ID]
 	switch {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -104,14 +104,14 @@
 
 // The same events at the same times give the same actions.
 func TestScheduler_IsDeterministic(t *testing.T) {
-	first, second := playFixedEvents(t), playFixedEvents(t)
+	first, second := runFixedEvents(t), runFixedEvents(t)
 	if first != second {
 		t.Error("two runs of the same events: got different actions, want the same")
 	}
 }
 
-// playFixedEvents passes a fixed series of requests and results and returns all actions as text.
-func playFixedEvents(t *testing.T) string {
+// runFixedEvents passes a fixed series of requests and results and returns all actions as text.
+func runFixedEvents(t *testing.T) string {
 	t.Helper()
 	driver := startDriver(t, smallSiteSettings(), 5)
 	for i := range 200 {
