--- a/internal/sexpr/include_test.go
+++ b/internal/sexpr/include_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// chainsOfIncludes returns files that exceed the limits: bomb-0.lisp includes bomb-12.lisp 4096 times
+// filesExceedingLimits returns files that exceed the limits: bomb-0.lisp includes bomb-12.lisp 4096 times
 // through 12 levels, deep-0.lisp nests 20 includes.
-func chainsOfIncludes() map[string]string {
+func filesExceedingLimits() map[string]string {
 	files := map[string]string{"bomb-12.lisp": "x"}
 	for i := range 12 {
 		next := fmt.Sprintf(`(include "bomb-%d.lisp")`, i+1)
@@ -78,7 +78,7 @@
 		"too deep":   {`(include "deep-0.lisp")`, "more than 16 deep"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			files := chainsOfIncludes()
+			files := filesExceedingLimits()
 			files["a.lisp"] = test.text
 			files["b.lisp"] = `(b (include "c.lisp"))`
 			files["c.lisp"] = `(include "a.lisp")`
--- a/internal/testbed/invariant_answers.go
+++ b/internal/testbed/invariant_answers.go
@@ -39,9 +39,9 @@
 	broken := request.countEnds(KindBroken) > 0
 	switch {
 	case answers > 1:
-		c.violation(RuleAnswers, sent, "%d final answers", answers)
+		c.recordViolation(RuleAnswers, sent, "%d final answers", answers)
 	case answers == 0 && !clientLeft && !killed && (broken || allowance == 0):
-		c.violation(RuleAnswers, sent, "no answer within %v", time.Duration(sent.Wait))
+		c.recordViolation(RuleAnswers, sent, "no answer within %v", time.Duration(sent.Wait))
 	}
 }
 
@@ -49,7 +49,7 @@
 	sent := request.sent
 	excess := time.Duration(answer.Time - due)
 	if excess > 0 && excess > c.outages.allowance(sent.Instance, noNode, sent.Time, answer.Time) {
-		c.violation(RuleAnswers, sent, "answered %v after its timeout",
+		c.recordViolation(RuleAnswers, sent, "answered %v after its timeout",
 			time.Duration(answer.Time-sent.Time-sent.Wait))
 	}
 }
@@ -61,7 +61,7 @@
 		excess := after - transitTime
 		if excess > 0 &&
 			excess > c.outages.allowance(request.sent.Instance, arrive.Node, answer.Time, arrive.Time) {
-			c.violation(RuleAnswers, arrive, "sent %v after its answer", after)
+			c.recordViolation(RuleAnswers, arrive, "sent %v after its answer", after)
 		}
 	}
 }
--- a/internal/testbed/invariant_bytes.go
+++ b/internal/testbed/invariant_bytes.go
@@ -53,7 +53,7 @@
 		sum += pieceSum
 	}
 	if sum != request.sent.Checksum {
-		c.violation(RuleBytes, answer, "the nodes wrote other bytes than the client sent")
+		c.recordViolation(RuleBytes, answer, "the nodes wrote other bytes than the client sent")
 	}
 }
 
@@ -61,11 +61,11 @@
 	sent := request.sent
 	switch {
 	case answer.Length != sent.Length:
-		c.violation(RuleBytes, answer, "the answer has %d bytes of %d", answer.Length, sent.Length)
+		c.recordViolation(RuleBytes, answer, "the answer has %d bytes of %d", answer.Length, sent.Length)
 	case !request.possibleReadSums()[answer.Checksum]:
-		c.violation(RuleBytes, answer, "the answer has other bytes than the nodes read")
+		c.recordViolation(RuleBytes, answer, "the answer has other bytes than the nodes read")
 	case !writes.volumes[sent.DataVolume] && answer.Checksum != patternSum(sent.DataVolume, sent.Offset, sent.Length):
-		c.violation(RuleBytes, answer, "the answer has bytes that were never written")
+		c.recordViolation(RuleBytes, answer, "the answer has bytes that were never written")
 	}
 }
 
--- a/internal/testbed/invariant_effects.go
+++ b/internal/testbed/invariant_effects.go
@@ -41,7 +41,7 @@
 		if attempt.tookEffect {
 			key := effectKey{request.sent.Token, piece}
 			if effects[key]++; effects[key] > 1 {
-				c.violation(RuleEffects, attempt.arrive, "took effect a second time")
+				c.recordViolation(RuleEffects, attempt.arrive, "took effect a second time")
 			}
 		}
 		switch {
@@ -57,16 +57,16 @@
 func (c *invariantChecker) checkRetry(class config.Class, ran, retry *attemptTrace) {
 	first, second := ran.arrive, retry.arrive
 	if scheduler.Idempotency(class.Idempotency) == scheduler.NotIdempotent {
-		c.violation(RuleEffects, second, "retried although it may have run on node %d", first.Node)
+		c.recordViolation(RuleEffects, second, "retried although it may have run on node %d", first.Node)
 		return
 	}
 	if !c.deduplicatedTogether(scheduler.DedupScope(class.DedupScope), first, second) {
-		c.violation(RuleEffects, second, "retried outside the deduplication scope of node %d", first.Node)
+		c.recordViolation(RuleEffects, second, "retried outside the deduplication scope of node %d", first.Node)
 	}
 	after := time.Duration(second.Time - first.Time)
 	excess := after - class.DedupWindow - transitTime
 	if excess > 0 && excess > c.outages.allowance(second.Instance, second.Node, first.Time, second.Time) {
-		c.violation(RuleEffects, second, "retried %v after the first attempt", after)
+		c.recordViolation(RuleEffects, second, "retried %v after the first attempt", after)
 	}
 }
 
@@ -95,7 +95,7 @@
 			continue
 		}
 		if attempt.arrive.Time < answer.Time {
-			c.violation(RuleEffects, answer, "rejected although it may have run on node %d",
+			c.recordViolation(RuleEffects, answer, "rejected although it may have run on node %d",
 				attempt.arrive.Node)
 		}
 		return // later attempts arrived later
--- a/internal/testbed/invariant_nodes.go
+++ b/internal/testbed/invariant_nodes.go
@@ -38,7 +38,7 @@
 		excess := after - c.site.Rules.DrainGrace - transitTime
 		if excess > 0 &&
 			excess > c.outages.allowance(event.Instance, event.Node, state.drainingSince, event.Time) {
-			c.violation(RuleDrains, event, "sent %v after notification that the node drains or was removed",
+			c.recordViolation(RuleDrains, event, "sent %v after notification that the node drains or was removed",
 				after)
 		}
 	}
@@ -108,7 +108,7 @@
 				c.verdicts[RuleCold].Checked++
 			}
 		case KindCollapsed:
-			c.violation(RuleCold, event, "the cold node collapsed")
+			c.recordViolation(RuleCold, event, "the cold node collapsed")
 		}
 	}
 }
--- a/internal/testbed/invariant_order.go
+++ b/internal/testbed/invariant_order.go
@@ -62,13 +62,13 @@
 		latest := first.Time + int64(slack)
 		switch {
 		case arrive.Time > latest:
-			c.violation(RuleOrder, first, "sent before the earlier request %d of the same key",
+			c.recordViolation(RuleOrder, first, "sent before the earlier request %d of the same key",
 				earlier.sent.Token)
 		case arrive.Time > first.Time: // within the slack
 		case attempt.repliedAt != 0 && attempt.repliedAt <= latest:
 		case attempt.cancelledAt != 0 && attempt.cancelledAt+orderingPause <= latest:
 		default:
-			c.violation(RuleOrder, first, "sent while request %d of the same key was in progress",
+			c.recordViolation(RuleOrder, first, "sent while request %d of the same key was in progress",
 				earlier.sent.Token)
 		}
 	}
--- a/internal/testbed/invariant_rates.go
+++ b/internal/testbed/invariant_rates.go
@@ -41,7 +41,7 @@
 			retries := countSince(counts.retries, windowStart+allowance)
 			requests := countSince(counts.requests, windowStart-allowance)
 			if allowed := budget.Floor + budget.Ratio*float64(requests); float64(retries) > allowed {
-				c.violation(RuleBudget, event, "%d retries in %v, %.1f allowed", retries,
+				c.recordViolation(RuleBudget, event, "%d retries in %v, %.1f allowed", retries,
 					budget.Window, allowed)
 			}
 		}
@@ -98,7 +98,7 @@
 		bucket.take(plan, event.Time, float64(event.Units))
 		allowance := transitTime + c.outages.allowance(event.Instance, event.Node, event.Time, event.Time)
 		if bucket.level < -plan.LimitSlack-plan.Limit*allowance.Seconds() {
-			c.violation(RuleLimits, event, "volume %d is %.1f units over its rate limit, %.1f are allowed",
+			c.recordViolation(RuleLimits, event, "volume %d is %.1f units over its rate limit, %.1f are allowed",
 				event.Volume, -bucket.level, plan.LimitSlack)
 		}
 	}
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -101,8 +101,8 @@
 
 func compareTime(a, b Event) int { return cmp.Compare(a.Time, b.Time) }
 
-// violation records that an event violates a rule; the first violation of each rule is also described.
-func (c *invariantChecker) violation(rule string, event Event, format string, args ...any) {
+// recordViolation records that an event violates a rule; the first recordViolation of each rule is also described.
+func (c *invariantChecker) recordViolation(rule string, event Event, format string, args ...any) {
 	verdict := c.verdicts[rule]
 	verdict.Holds = false
 	verdict.Violations++
