--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -156,7 +156,7 @@
 	if conn.err == nil {
 		c.readers.Go(func() { conn.read(ctx) })
 	} else {
-		c.forget(conn)
+		c.removeConn(conn)
 	}
 	close(conn.made)
 	return conn
@@ -176,8 +176,8 @@
 	}
 }
 
-// forget removes a connection, so that the next request to its instance opens a new one.
-func (c *Client) forget(conn *clientConn) {
+// removeConn removes a connection, so that the next request to its instance opens a new one.
+func (c *Client) removeConn(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[conn.instance] == conn {
--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -62,7 +62,7 @@
 // read receives answers until the connection ends, and then closes the channels of all waiting requests.
 func (cc *clientConn) read(ctx context.Context) {
 	_ = cc.conn.Run(ctx, cc.handleFrame) // waiting requests are notified by their closed channels
-	cc.client.forget(cc)
+	cc.client.removeConn(cc)
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	cc.gone = true
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -48,30 +48,30 @@
 // forms returns the forms that are set.
 func (f *Fault) forms() []faultForm {
 	var forms []faultForm
-	forms = appendGiven(forms, f.Crash)
-	forms = appendGiven(forms, f.RollingRestart)
-	forms = appendGiven(forms, f.Stall)
-	forms = appendGiven(forms, f.Burst)
-	forms = appendGiven(forms, f.Surge)
-	forms = appendGiven(forms, f.HeavyRequests)
-	forms = appendGiven(forms, f.SlowNodes)
-	forms = appendGiven(forms, f.Neighbour)
-	forms = appendGiven(forms, f.StaleRegistry)
-	forms = appendGiven(forms, f.RegistryDown)
-	forms = appendGiven(forms, f.Reconnect)
-	forms = appendGiven(forms, f.ImpatientClients)
-	forms = appendGiven(forms, f.MassRestart)
-	forms = appendGiven(forms, f.KillNodes)
-	forms = appendGiven(forms, f.Drain)
-	forms = appendGiven(forms, f.LoseAnswers)
-	forms = appendGiven(forms, f.Hang)
-	forms = appendGiven(forms, f.ResetConnections)
-	forms = appendGiven(forms, f.CorruptAnswers)
-	forms = appendGiven(forms, f.PauseNodes)
-	return appendGiven(forms, f.StuckConnections)
+	forms = appendIfSet(forms, f.Crash)
+	forms = appendIfSet(forms, f.RollingRestart)
+	forms = appendIfSet(forms, f.Stall)
+	forms = appendIfSet(forms, f.Burst)
+	forms = appendIfSet(forms, f.Surge)
+	forms = appendIfSet(forms, f.HeavyRequests)
+	forms = appendIfSet(forms, f.SlowNodes)
+	forms = appendIfSet(forms, f.Neighbour)
+	forms = appendIfSet(forms, f.StaleRegistry)
+	forms = appendIfSet(forms, f.RegistryDown)
+	forms = appendIfSet(forms, f.Reconnect)
+	forms = appendIfSet(forms, f.ImpatientClients)
+	forms = appendIfSet(forms, f.MassRestart)
+	forms = appendIfSet(forms, f.KillNodes)
+	forms = appendIfSet(forms, f.Drain)
+	forms = appendIfSet(forms, f.LoseAnswers)
+	forms = appendIfSet(forms, f.Hang)
+	forms = appendIfSet(forms, f.ResetConnections)
+	forms = appendIfSet(forms, f.CorruptAnswers)
+	forms = appendIfSet(forms, f.PauseNodes)
+	return appendIfSet(forms, f.StuckConnections)
 }
 
-func appendGiven[T any, P interface {
+func appendIfSet[T any, P interface {
 	*T
 	faultForm
 }](forms []faultForm, form P) []faultForm {
--- a/internal/testbed/invariant_answers.go
+++ b/internal/testbed/invariant_answers.go
@@ -32,11 +32,11 @@
 // overlaps the interval.
 func (c *invariantChecker) checkAnswerCount(request *requestTrace, end int64) {
 	sent := request.sent
-	answers := request.countEnds(KindAnswer)
+	answers := request.countEndEvents(KindAnswer)
 	allowance := c.outages.allowance(sent.Instance, noNode, sent.Time, end)
 	killed := c.outages.killed(sent.Instance, sent.Time-int64(killMargin), end+int64(allowance))
-	clientLeft := request.countEnds(KindClientLeft) > 0
-	broken := request.countEnds(KindBroken) > 0
+	clientLeft := request.countEndEvents(KindClientLeft) > 0
+	broken := request.countEndEvents(KindBroken) > 0
 	switch {
 	case answers > 1:
 		c.recordViolation(RuleAnswers, sent, "%d final answers", answers)
@@ -58,7 +58,7 @@
 	for _, attempt := range request.attempts {
 		arrive := attempt.arrive
 		after := time.Duration(arrive.Time - answer.Time)
-		excess := after - transitTime
+		excess := after - maxTransitTime
 		if excess > 0 &&
 			excess > c.outages.allowance(request.sent.Instance, arrive.Node, answer.Time, arrive.Time) {
 			c.recordViolation(RuleAnswers, arrive, "sent %v after its answer", after)
--- a/internal/testbed/invariant_bytes.go
+++ b/internal/testbed/invariant_bytes.go
@@ -2,8 +2,8 @@
 
 import "landingpaddle/internal/proto"
 
-// writeLog records the writes that arrived at nodes and those that took effect.
-type writeLog struct {
+// recordedWrites records the writes that arrived at nodes and those that took effect.
+type recordedWrites struct {
 	volumes map[uint64]bool           // volumes for which a write arrived
 	sums    map[uint64]map[int]uint64 // checksums of the writes that took effect, by token and piece
 }
@@ -26,8 +26,8 @@
 	}
 }
 
-func (c *invariantChecker) collectWrites() writeLog {
-	writes := writeLog{volumes: map[uint64]bool{}, sums: map[uint64]map[int]uint64{}}
+func (c *invariantChecker) collectWrites() recordedWrites {
+	writes := recordedWrites{volumes: map[uint64]bool{}, sums: map[uint64]map[int]uint64{}}
 	for _, request := range c.requests.sent {
 		for _, attempt := range request.attempts {
 			arrive := attempt.arrive
@@ -47,7 +47,7 @@
 	return writes
 }
 
-func (c *invariantChecker) checkWrittenBytes(request *requestTrace, answer Event, writes writeLog) {
+func (c *invariantChecker) checkWrittenBytes(request *requestTrace, answer Event, writes recordedWrites) {
 	sum := uint64(0)
 	for _, pieceSum := range writes.sums[request.sent.Token] {
 		sum += pieceSum
@@ -57,7 +57,7 @@
 	}
 }
 
-func (c *invariantChecker) checkReadBytes(request *requestTrace, answer Event, writes writeLog) {
+func (c *invariantChecker) checkReadBytes(request *requestTrace, answer Event, writes recordedWrites) {
 	sent := request.sent
 	switch {
 	case answer.Length != sent.Length:
--- a/internal/testbed/invariant_effects.go
+++ b/internal/testbed/invariant_effects.go
@@ -64,7 +64,7 @@
 		c.recordViolation(RuleEffects, second, "retried outside the deduplication scope of node %d", first.Node)
 	}
 	after := time.Duration(second.Time - first.Time)
-	excess := after - class.DedupWindow - transitTime
+	excess := after - class.DedupWindow - maxTransitTime
 	if excess > 0 && excess > c.outages.allowance(second.Instance, second.Node, first.Time, second.Time) {
 		c.recordViolation(RuleEffects, second, "retried %v after the first attempt", after)
 	}
--- a/internal/testbed/invariant_nodes.go
+++ b/internal/testbed/invariant_nodes.go
@@ -8,34 +8,34 @@
 // noDrainNotice represents a node that has sent no drain notice.
 const noDrainNotice = -1
 
-// endpointKnowledge is an endpoint's drain state, as far as an instance was notified of it.
-type endpointKnowledge struct {
+// notifiedState is an endpoint's drain state, as far as an instance was notified of it.
+type notifiedState struct {
 	drainingSince   int64 // Unix nanoseconds of the first notification of a drain or removal; 0: none
 	noticeStartedAt int64 // start of the incarnation that sent a drain notice, or noDrainNotice
 }
 
 // drainTracker tracks the drain notifications of each instance, from the registry and from the nodes.
 type drainTracker struct {
-	known map[endpointKey]*endpointKnowledge
-	nodes *nodeDirectory
+	states map[endpointKey]*notifiedState
+	nodes  *nodeDirectory
 }
 
 // checkDrains verifies that an instance sends nothing to a node after the grace period, which starts when the
 // instance is notified that the node drains or was removed.
 func (c *invariantChecker) checkDrains() {
-	tracker := drainTracker{known: map[endpointKey]*endpointKnowledge{}, nodes: &c.nodes}
+	tracker := drainTracker{states: map[endpointKey]*notifiedState{}, nodes: &c.nodes}
 	for _, event := range c.events {
 		if event.Kind != KindArrive {
 			tracker.add(event)
 			continue
 		}
 		c.verdicts[RuleDrains].Checked++
-		state := tracker.known[endpointKey{event.Instance, event.Node}]
+		state := tracker.states[endpointKey{event.Instance, event.Node}]
 		if state == nil || state.drainingSince == 0 || state.isOutdatedBy(event.StartedAt) {
 			continue
 		}
 		after := time.Duration(event.Time - state.drainingSince)
-		excess := after - c.site.Rules.DrainGrace - transitTime
+		excess := after - c.site.Rules.DrainGrace - maxTransitTime
 		if excess > 0 &&
 			excess > c.outages.allowance(event.Instance, event.Node, state.drainingSince, event.Time) {
 			c.recordViolation(RuleDrains, event, "sent %v after notification that the node drains or was removed",
@@ -45,42 +45,42 @@
 }
 
 // isOutdatedBy reports whether an incarnation started later than the one that sent a drain notice.
-func (k *endpointKnowledge) isOutdatedBy(startedAt int64) bool {
+func (k *notifiedState) isOutdatedBy(startedAt int64) bool {
 	return k.hasDrainNotice() && startedAt > k.noticeStartedAt
 }
 
-func (k *endpointKnowledge) hasDrainNotice() bool { return k.noticeStartedAt >= 0 }
+func (k *notifiedState) hasDrainNotice() bool { return k.noticeStartedAt >= 0 }
 
-func (t *drainTracker) of(instance, node int) *endpointKnowledge {
+func (t *drainTracker) stateOf(instance, node int) *notifiedState {
 	key := endpointKey{instance, node}
-	if t.known[key] == nil {
-		t.known[key] = &endpointKnowledge{noticeStartedAt: noDrainNotice}
+	if t.states[key] == nil {
+		t.states[key] = &notifiedState{noticeStartedAt: noDrainNotice}
 	}
-	return t.known[key]
+	return t.states[key]
 }
 
 func (t *drainTracker) add(event Event) {
 	switch event.Kind {
 	case KindInstanceStarted: // a new incarnation has received no notifications
-		for key := range t.known {
+		for key := range t.states {
 			if key.instance == event.Instance {
-				delete(t.known, key)
+				delete(t.states, key)
 			}
 		}
 	case KindNotice:
-		state := t.of(event.Instance, event.Node)
+		state := t.stateOf(event.Instance, event.Node)
 		state.noticeStartedAt = event.StartedAt
 		if state.drainingSince == 0 {
 			state.drainingSince = event.Time
 		}
 	case KindAcknowledged:
-		t.acknowledged(event)
+		t.addAcknowledged(event)
 	}
 }
 
-// acknowledged records that an instance acknowledged an update. A ready status of the incarnation that sent a
+// addAcknowledged records that an instance addAcknowledged an update. A ready status of the incarnation that sent a
 // drain notice, or of an earlier one, changes nothing.
-func (t *drainTracker) acknowledged(event Event) {
+func (t *drainTracker) addAcknowledged(event Event) {
 	node := event.Node
 	if event.Reason != "" { // the node's address; see nodeDirectory.byAddress
 		var ok bool
@@ -88,7 +88,7 @@
 			return
 		}
 	}
-	state := t.of(event.Instance, node)
+	state := t.stateOf(event.Instance, node)
 	switch {
 	case event.Status != "ready" && state.drainingSince == 0:
 		state.drainingSince = event.Time
--- a/internal/testbed/invariant_rates.go
+++ b/internal/testbed/invariant_rates.go
@@ -8,9 +8,9 @@
 	"landingpaddle/internal/proto"
 )
 
-// retryCounts lists the times (Unix nanoseconds) of the requests that one incarnation of an instance received
+// retryBudgetTimes lists the times (Unix nanoseconds) of the requests that one incarnation of an instance received
 // and of the retries that it sent.
-type retryCounts struct {
+type retryBudgetTimes struct {
 	requests []int64
 	retries  []int64
 }
@@ -21,10 +21,10 @@
 	if budget == nil {
 		return
 	}
-	byInstance := map[int]*retryCounts{}
+	byInstance := map[int]*retryBudgetTimes{}
 	for _, event := range c.events {
 		if byInstance[event.Instance] == nil || event.Kind == KindInstanceStarted {
-			byInstance[event.Instance] = &retryCounts{}
+			byInstance[event.Instance] = &retryBudgetTimes{}
 		}
 		counts := byInstance[event.Instance]
 		switch {
@@ -36,7 +36,7 @@
 			windowStart := event.Time - int64(budget.Window)
 			// Logged times may be late by the allowance: it shortens the window for retries and extends that
 			// for requests.
-			allowance := int64(transitTime +
+			allowance := int64(maxTransitTime +
 				c.outages.allowance(event.Instance, event.Node, windowStart, event.Time))
 			retries := countSince(counts.retries, windowStart+allowance)
 			requests := countSince(counts.requests, windowStart-allowance)
@@ -56,14 +56,14 @@
 
 // rateLimitBucket is the token bucket of one volume's rate limit.
 type rateLimitBucket struct {
-	level float64 // units; negative by the units that were sent over the limit
-	at    int64   // Unix nanoseconds
+	level      float64 // units; negative by the units that were sent over the limit
+	refilledAt int64   // Unix nanoseconds
 }
 
 // take refills the bucket up to a time and removes units from it.
 func (b *rateLimitBucket) take(plan config.Plan, at int64, units float64) {
-	b.level = min(plan.Burst, b.level+plan.Limit*time.Duration(at-b.at).Seconds())
-	b.at = at
+	b.level = min(plan.Burst, b.level+plan.Limit*time.Duration(at-b.refilledAt).Seconds())
+	b.refilledAt = at
 	b.level -= units
 }
 
@@ -96,7 +96,7 @@
 			buckets[event.Volume] = bucket
 		}
 		bucket.take(plan, event.Time, float64(event.Units))
-		allowance := transitTime + c.outages.allowance(event.Instance, event.Node, event.Time, event.Time)
+		allowance := maxTransitTime + c.outages.allowance(event.Instance, event.Node, event.Time, event.Time)
 		if bucket.level < -plan.LimitSlack-plan.Limit*allowance.Seconds() {
 			c.recordViolation(RuleLimits, event, "volume %d is %.1f units over its rate limit, %.1f are allowed",
 				event.Volume, -bucket.level, plan.LimitSlack)
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -30,9 +30,9 @@
 	RuleBytes   = "bytes"   // each range read or written has the expected bytes
 )
 
-// transitTime is the maximum time between the log entries of a frame's sender and its receiver on loopback,
+// maxTransitTime is the maximum time between the log entries of a frame's sender and its receiver on loopback,
 // in addition to the logged stalls.
-const transitTime = 60 * time.Millisecond
+const maxTransitTime = 60 * time.Millisecond
 
 // Numbers that represent no node and no instance.
 const (
--- a/internal/testbed/meter.go
+++ b/internal/testbed/meter.go
@@ -7,12 +7,12 @@
 
 // Meter counts the units that all nodes served for each volume, by period. It is safe for concurrent use.
 type Meter struct {
-	mu       sync.Mutex
-	period   time.Duration
-	start    time.Time
-	current  map[uint64]float64 // units by volume in the current period
-	previous map[uint64]float64 // units by volume in the last completed period
-	number   int64              // number of the current period, from 0
+	mu           sync.Mutex
+	period       time.Duration
+	start        time.Time
+	current      map[uint64]float64 // units by volume in the current period
+	previous     map[uint64]float64 // units by volume in the last completed period
+	periodNumber int64              // number of the current period, from 0
 }
 
 // NewMeter returns a meter with periods of the given length; 0 disables it.
@@ -25,23 +25,23 @@
 	}
 }
 
-// served counts units and returns 1 plus the units a second served for the volume in the last completed
+// recordServed counts units and returns 1 plus the units a second recordServed for the volume in the last completed
 // period, in percent of its rate. It returns 0, which reports nothing, in the first period, with a disabled
 // meter, or for a rate of 0.
-func (m *Meter) served(volume uint64, units, rate float64) uint32 {
+func (m *Meter) recordServed(volume uint64, units, rate float64) uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.period <= 0 || rate <= 0 {
 		return 0
 	}
-	if number := int64(time.Since(m.start) / m.period); number != m.number {
-		if number > m.number+1 { // nothing was counted in the last completed period
+	if number := int64(time.Since(m.start) / m.period); number != m.periodNumber {
+		if number > m.periodNumber+1 { // nothing was counted in the last completed period
 			m.current = map[uint64]float64{}
 		}
-		m.previous, m.current, m.number = m.current, map[uint64]float64{}, number
+		m.previous, m.current, m.periodNumber = m.current, map[uint64]float64{}, number
 	}
 	m.current[volume] += units
-	if m.number == 0 {
+	if m.periodNumber == 0 {
 		return 0
 	}
 	return 1 + uint32(100*m.previous[volume]/(rate*m.period.Seconds()))
--- a/internal/testbed/node_answer.go
+++ b/internal/testbed/node_answer.go
@@ -47,7 +47,7 @@
 	}
 	for i, m := range op.members {
 		isFirst := i == 0
-		meteredRate := p.node.cfg.Meter.served(m.Volume, float64(m.Units), site.Plans[m.Plan].Rate)
+		meteredRate := p.node.cfg.Meter.recordServed(m.Volume, float64(m.Units), site.Plans[m.Plan].Rate)
 		elsewhereUnits := uint32(0)
 		if site.ReportsElsewhere {
 			elsewhereUnits = p.elsewhere.add(m.Volume, op.instance, float64(m.Units), isFirst)
--- a/internal/testbed/request_trace.go
+++ b/internal/testbed/request_trace.go
@@ -20,16 +20,16 @@
 
 // requestTraces groups events by requests and attempts.
 type requestTraces struct {
-	byKey   map[requestKey]*requestTrace
-	sent    []*requestTrace // in the order sent
-	attempt map[attemptKey]*attemptTrace
+	byKey         map[requestKey]*requestTrace
+	sent          []*requestTrace // in the order sent
+	attemptsByKey map[attemptKey]*attemptTrace
 }
 
 // requestTrace is one request of a client with its attempts and the events that ended it.
 type requestTrace struct {
-	sent     Event
-	ends     []Event // answers, timeouts and lost or closed connections
-	attempts []*attemptTrace
+	sent      Event
+	endEvents []Event // answers, timeouts and lost or closed connections
+	attempts  []*attemptTrace
 }
 
 // attemptTrace is one attempt according to its node's log. Times are in Unix nanoseconds.
@@ -44,7 +44,7 @@
 }
 
 func newRequestTraces() requestTraces {
-	return requestTraces{byKey: map[requestKey]*requestTrace{}, attempt: map[attemptKey]*attemptTrace{}}
+	return requestTraces{byKey: map[requestKey]*requestTrace{}, attemptsByKey: map[attemptKey]*attemptTrace{}}
 }
 
 // add records an event; events must be added in order of time.
@@ -56,7 +56,7 @@
 		r.sent = append(r.sent, request)
 	case KindAnswer, KindBroken, KindClientLeft, KindTimedOut:
 		if request := r.byKey[keyOf(event)]; request != nil {
-			request.ends = append(request.ends, event)
+			request.endEvents = append(request.endEvents, event)
 		}
 	case KindNodeStopped:
 		r.cancelAttemptsAt(event)
@@ -70,13 +70,13 @@
 	key := attemptKey{keyOf(event), event.Piece, event.Node, event.Attempt}
 	if event.Kind == KindArrive {
 		attempt := &attemptTrace{arrive: event}
-		r.attempt[key] = attempt
+		r.attemptsByKey[key] = attempt
 		if request := r.byKey[keyOf(event)]; request != nil {
 			request.attempts = append(request.attempts, attempt)
 		}
 		return
 	}
-	attempt := r.attempt[key]
+	attempt := r.attemptsByKey[key]
 	if attempt == nil {
 		return
 	}
@@ -98,7 +98,7 @@
 
 // cancelAttemptsAt marks a stopped node's unanswered attempts as cancelled: it sends no more answers.
 func (r *requestTraces) cancelAttemptsAt(stopped Event) {
-	for key, attempt := range r.attempt {
+	for key, attempt := range r.attemptsByKey {
 		if key.node == stopped.Node && attempt.repliedAt == 0 && attempt.cancelledAt == 0 {
 			attempt.cancelledAt = stopped.Time
 		}
@@ -107,7 +107,7 @@
 
 // answer returns a request's first final answer; false if it has none.
 func (t *requestTrace) answer() (Event, bool) {
-	for _, event := range t.ends {
+	for _, event := range t.endEvents {
 		if event.Kind == KindAnswer {
 			return event, true
 		}
@@ -115,9 +115,9 @@
 	return Event{}, false
 }
 
-// countEnds returns the number of a request's ends that are of a kind.
-func (t *requestTrace) countEnds(kind Kind) (count int) {
-	for _, event := range t.ends {
+// countEndEvents returns the number of a request's ends that are of a kind.
+func (t *requestTrace) countEndEvents(kind Kind) (count int) {
+	for _, event := range t.endEvents {
 		if event.Kind == kind {
 			count++
 		}
--- a/internal/testbed/runner_traffic.go
+++ b/internal/testbed/runner_traffic.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		if stream.Fields != nil {
-			stream.Fields.setSlice(&drawn.request, rng.Uint64N(stream.Fields.slices()))
+			stream.Fields.setSlice(&drawn.request, rng.Uint64N(stream.Fields.sliceCount()))
 		}
 		r.send(ctx, requests, drawn)
 	}
@@ -96,7 +96,7 @@
 func (r *scenarioRunner) drawRun(stream *Traffic, rng *rand.Rand) []scheduledRequest {
 	var run []scheduledRequest
 	for volume := range stream.Volumes {
-		for slice := range stream.Fields.slices() {
+		for slice := range stream.Fields.sliceCount() {
 			drawn, ok := r.drawRequest(stream, volume, rng)
 			if !ok {
 				continue
--- a/internal/testbed/slow_start.go
+++ b/internal/testbed/slow_start.go
@@ -16,8 +16,8 @@
 	started time.Time
 	rules   *config.Rules
 
-	arrived []arrivedUnits // within the overload window; guarded by the process's lock
-	sum     float64        // of their units; guarded by the process's lock
+	arrived    []arrivedUnits // within the overload window; guarded by the process's lock
+	arrivedSum float64        // of their units; guarded by the process's lock
 }
 
 // arrivedUnits is the size of a request and its arrival time.
@@ -46,11 +46,11 @@
 	}
 	now := time.Now()
 	s.arrived = append(s.arrived, arrivedUnits{now, units})
-	s.sum += units
+	s.arrivedSum += units
 	for now.Sub(s.arrived[0].at) > s.rules.OverloadWindow {
-		s.sum -= s.arrived[0].units
+		s.arrivedSum -= s.arrived[0].units
 		s.arrived = s.arrived[1:]
 	}
 	rate := float64(model.Cores) / max(model.PerUnit, minWorkPerUnit).Seconds() * s.capacity()
-	return s.sum > s.rules.OverloadFactor*rate*s.rules.OverloadWindow.Seconds()
+	return s.arrivedSum > s.rules.OverloadFactor*rate*s.rules.OverloadWindow.Seconds()
 }
--- a/internal/testbed/summary.go
+++ b/internal/testbed/summary.go
@@ -36,12 +36,12 @@
 
 // requestOutcome is the outcome of a client's request, including its retries.
 type requestOutcome struct {
-	first Event
-	last  Event // the first successful answer, or else the last answer
-	ended bool
+	first    Event
+	answer   Event // the first successful answer, or else the last answer
+	answered bool
 }
 
-func (o *requestOutcome) served() bool { return o.ended && o.last.Code == proto.OK }
+func (o *requestOutcome) served() bool { return o.answered && o.answer.Code == proto.OK }
 
 // operationKey identifies an operation at a node.
 type operationKey struct {
@@ -62,7 +62,7 @@
 		weight := class.PriorityWeight * plan.PriorityWeight * float64(outcome.first.Units) /
 			max(site.MeanUnits, 1)
 		requestedWeight += weight
-		latency := time.Duration(outcome.last.Time - outcome.first.Time)
+		latency := time.Duration(outcome.answer.Time - outcome.first.Time)
 		if outcome.served() {
 			_ = latencies.RecordValue(latency.Microseconds()) // fails only for latencies over a minute
 		}
@@ -89,7 +89,7 @@
 			}
 		case KindAnswer:
 			if outcome := outcomes[event.Token]; outcome != nil && !outcome.served() {
-				outcome.last, outcome.ended = event, true
+				outcome.answer, outcome.answered = event, true
 			}
 		case KindArrive:
 			s.Attempts++
@@ -108,7 +108,7 @@
 func (s *Summary) countOutcome(outcome *requestOutcome, class config.Class, latency time.Duration) float64 {
 	s.Requests++
 	switch {
-	case !outcome.ended:
+	case !outcome.answered:
 		s.Unanswered++
 	case outcome.served() && latency <= class.LatencyObjective:
 		s.InTime++
@@ -116,7 +116,7 @@
 	case outcome.served():
 		s.Late++
 		return class.LateFraction
-	case outcome.last.Code == proto.Rejected:
+	case outcome.answer.Code == proto.Rejected:
 		s.Rejected++
 	default:
 		s.Failed++
--- a/internal/testbed/traffic.go
+++ b/internal/testbed/traffic.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// slices returns the number of slices of a field.
-func (f *Fields) slices() uint64 { return uint64((f.Size + f.Slice - 1) / f.Slice) }
+// sliceCount returns the number of sliceCount of a field.
+func (f *Fields) sliceCount() uint64 { return uint64((f.Size + f.Slice - 1) / f.Slice) }
 
 // volumeNumber returns the number of a plan's volume; both parameters count from 1.
 func volumeNumber(plan, volume uint64) uint64 { return plan<<32 | volume }
