--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -25,9 +25,9 @@
 	return value, count
 }
 
-// lists reports whether a comma-separated field with a name contains an element. Both are compared
+// hasElement reports whether a comma-separated field with a name contains an element. Both are compared
 // case-insensitively.
-func (h Header) lists(name, element string) bool {
+func (h Header) hasElement(name, element string) bool {
 	for _, field := range h {
 		if !strings.EqualFold(field.Name, name) {
 			continue
@@ -43,7 +43,7 @@
 
 // closesConnection reports whether the connection ends after a message with this header and version.
 func (h Header) closesConnection(version string) bool {
-	return version == version10 || h.lists("Connection", "close")
+	return version == version10 || h.hasElement("Connection", "close")
 }
 
 // lengthUnstated is the length of a body whose head does not state a length.
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -10,13 +10,13 @@
 
 // Timeouts and limits of a client's connections.
 const (
-	dialTimeout       = 250 * time.Millisecond
-	clientHandshake   = time.Second
-	clientSilence     = 5 * time.Minute
-	clientMaxHeader   = 4 << 10   // bytes
-	clientMaxPayload  = 64 << 20  // bytes
-	clientMaxBacklog  = 256 << 20 // bytes
-	clientMaxRequests = 1 << 16
+	dialTimeout            = 250 * time.Millisecond
+	clientHandshakeTimeout = time.Second
+	clientSilenceTimeout   = 5 * time.Minute
+	clientMaxHeader        = 4 << 10   // bytes
+	clientMaxPayload       = 64 << 20  // bytes
+	clientMaxBacklog       = 256 << 20 // bytes
+	clientMaxRequests      = 1 << 16
 )
 
 // lateMargin is how long a stand-in client waits beyond its timeout, so that a late answer is logged. The
@@ -64,7 +64,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
-		conn.leave()
+		conn.closeGracefully()
 	}
 	c.conns = map[int]*clientConn{}
 }
@@ -143,7 +143,7 @@
 	conn := c.conns[instance]
 	if conn != nil {
 		c.mu.Unlock()
-		<-conn.made
+		<-conn.dialed
 		return conn
 	}
 	c.connsMade++
@@ -158,15 +158,15 @@
 	} else {
 		c.removeConn(conn)
 	}
-	close(conn.made)
+	close(conn.dialed)
 	return conn
 }
 
 func (c *Client) connConfig() proto.Config {
 	return proto.Config{
 		Hello:            proto.Hello{Role: "client", Number: uint32(c.number)},
-		HandshakeTimeout: clientHandshake,
-		SilenceTimeout:   clientSilence,
+		HandshakeTimeout: clientHandshakeTimeout,
+		SilenceTimeout:   clientSilenceTimeout,
 		Limits: proto.Limits{
 			MaxHeader:  clientMaxHeader,
 			MaxPayload: clientMaxPayload,
--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -13,16 +13,16 @@
 	client   *Client
 	instance int
 	number   uint64        // of this connection among the client's, from 1
-	made     chan struct{} // closed once conn or err is set
+	dialed   chan struct{} // closed once conn or err is set
 	conn     *proto.Conn
 	err      error
 
-	mu         sync.Mutex
-	lastStream uint64                       // stream of the latest request, from 1
-	waiting    map[uint64]chan proto.Answer // by stream
-	sent       map[uint64]proto.Request     // by stream; kept after the answer, to log a second one
-	gone       bool                         // the connection has ended
-	left       bool                         // the client itself closed the connection
+	mu             sync.Mutex
+	lastStream     uint64                       // stream of the latest request, from 1
+	waiting        map[uint64]chan proto.Answer // by stream
+	sent           map[uint64]proto.Request     // by stream; kept after the answer, to log a second one
+	ended          bool                         // the connection has ended
+	closedByClient bool                         // the client itself closed the connection
 }
 
 // pendingRequest is a request that was sent and waits for its answer.
@@ -37,16 +37,16 @@
 		client:   client,
 		instance: instance,
 		number:   number,
-		made:     make(chan struct{}),
+		dialed:   make(chan struct{}),
 		waiting:  map[uint64]chan proto.Answer{},
 		sent:     map[uint64]proto.Request{},
 	}
 }
 
-// leave closes the connection gracefully if it is established.
-func (cc *clientConn) leave() {
+// closeGracefully closes the connection gracefully if it is established.
+func (cc *clientConn) closeGracefully() {
 	select {
-	case <-cc.made:
+	case <-cc.dialed:
 	default:
 		return
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	cc.mu.Lock()
-	cc.left = true
+	cc.closedByClient = true
 	cc.mu.Unlock()
 	cc.conn.CloseGracefully("reconnect")
 }
@@ -65,7 +65,7 @@
 	cc.client.removeConn(cc)
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	cc.gone = true
+	cc.ended = true
 	for _, answer := range cc.waiting {
 		close(answer)
 	}
@@ -124,7 +124,7 @@
 // post logs and sends a request. It returns false if the connection has ended or the request was not sent.
 func (cc *clientConn) post(request proto.Request) (pendingRequest, bool) {
 	cc.mu.Lock()
-	if cc.gone {
+	if cc.ended {
 		cc.mu.Unlock()
 		return pendingRequest{}, false
 	}
@@ -193,7 +193,7 @@
 func (cc *clientConn) endKind() Kind {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	if cc.left {
+	if cc.closedByClient {
 		return KindClientLeft
 	}
 	return KindBroken
--- a/internal/testbed/greedy.go
+++ b/internal/testbed/greedy.go
@@ -10,8 +10,8 @@
 	"landingpaddle/scheduler"
 )
 
-// rewatchAfter is the delay before a failed watch of the endpoint list is opened again.
-const rewatchAfter = time.Second
+// rewatchDelay is the delay before a failed watch of the endpoint list is opened again.
+const rewatchDelay = time.Second
 
 // Greedy is a scheduler without queues: it sends each request at once to the node that the endpoint list
 // names for its cell. It is the baseline with which a scenario's summary is compared and, with one of its
@@ -74,7 +74,7 @@
 func (g *Greedy) apply(update scheduler.EndpointUpdate) {
 	switch update.Kind {
 	case scheduler.UpdateFailed:
-		g.actions = append(g.actions, scheduler.SetTimer{After: rewatchAfter})
+		g.actions = append(g.actions, scheduler.SetTimer{After: rewatchDelay})
 		return
 	case scheduler.UpdateFull:
 		for server, endpoint := range g.endpoints {
--- a/internal/testbed/node_answer.go
+++ b/internal/testbed/node_answer.go
@@ -5,8 +5,8 @@
 // corruptFrame is invalid data that a node writes in place of an answer that a fault corrupts.
 const corruptFrame = "this is no frame, and nothing that follows on this connection is one either"
 
-// loadQueueLength is the load report field for the length of the queue.
-const loadQueueLength = "q"
+// queueLengthField is the load report field for the length of the queue.
+const queueLengthField = "q"
 
 // answer ends an operation, logs its end as kind and sends its answer, unless a fault prevents that.
 func (p *nodeProcess) answer(op *operation, kind Kind, code proto.Code) {
@@ -84,7 +84,7 @@
 	var report []float64
 	for _, field := range p.node.cfg.Site.LoadFields {
 		switch field {
-		case loadQueueLength:
+		case queueLengthField:
 			report = append(report, float64(len(p.queue)))
 		default:
 			perUnit := float64(p.node.cfg.Model.PerUnit.Milliseconds())
--- a/internal/testbed/node_cancel.go
+++ b/internal/testbed/node_cancel.go
@@ -26,7 +26,7 @@
 		if int(index) >= len(op.members) {
 			continue
 		}
-		cancelled := op.withOnly(op.members[index])
+		cancelled := op.withMember(op.members[index])
 		p.logOperation(KindCancelArrived, cancelled, 0)
 		if op.state == operationQueued && p.node.cfg.Model.CancelDropsQueued && !op.members[index].dropped {
 			op.members[index].dropped = true // it will not take effect, and its end is logged here
--- a/internal/testbed/node_dedup.go
+++ b/internal/testbed/node_dedup.go
@@ -66,7 +66,7 @@
 		m.dropped = repeats[i]
 		allRepeats = allRepeats && m.dropped
 		if m.dropped {
-			p.logOperation(KindDuplicate, op.withOnly(member{Member: m.Member}), proto.OK)
+			p.logOperation(KindDuplicate, op.withMember(member{Member: m.Member}), proto.OK)
 		}
 	}
 	return allRepeats, nil
--- a/internal/testbed/node_faults.go
+++ b/internal/testbed/node_faults.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxStuck          = 10 * time.Second // longest delay of a single read or write
+	maxStuckWait      = 10 * time.Second // longest delay of a single read or write
 	maxNeighbourShare = 0.95             // bounds the work factor, which is infinite for a share of 1
 )
 
@@ -80,7 +80,7 @@
 	left := time.Until(f.stuckUntil)
 	f.mu.Unlock()
 	if left > 0 {
-		time.Sleep(min(left, maxStuck))
+		time.Sleep(min(left, maxStuckWait))
 	}
 }
 
--- a/internal/testbed/node_work.go
+++ b/internal/testbed/node_work.go
@@ -53,15 +53,15 @@
 		case <-ctx.Done():
 			return nil
 		case op := <-p.queue:
-			freeAt = p.work(ctx, op, freeAt)
+			freeAt = p.execute(ctx, op, freeAt)
 		}
 	}
 }
 
-// work carries an operation out on a core that has been free since freeAt, and returns the time at which the
+// execute carries an operation out on a core that has been free since freeAt, and returns the time at which the
 // core is free again. That time is computed, not measured: a timer that fires late must not make the node
 // slower than its model.
-func (p *nodeProcess) work(ctx context.Context, op *operation, freeAt time.Time) time.Time {
+func (p *nodeProcess) execute(ctx context.Context, op *operation, freeAt time.Time) time.Time {
 	if pause := p.node.Faults.pauseLeft(); pause > 0 {
 		sleep(ctx, pause)
 		freeAt = time.Now()
--- a/internal/testbed/operation.go
+++ b/internal/testbed/operation.go
@@ -70,8 +70,8 @@
 	return members, true
 }
 
-// withOnly returns an operation reduced to one of its members, for the log and the deduplication group.
-func (o *operation) withOnly(m member) *operation {
+// withMember returns an operation reduced to one of its members, for the log and the deduplication group.
+func (o *operation) withMember(m member) *operation {
 	return &operation{
 		instance:   o.instance,
 		request:    o.request,
--- a/internal/testbed/runner.go
+++ b/internal/testbed/runner.go
@@ -78,7 +78,7 @@
 	start := time.Now()
 	traffic, stopTraffic := context.WithDeadline(ctx, start.Add(scenario.Length))
 	defer stopTraffic()
-	recording := r.play(ctx, traffic, start)
+	recording := r.runTrafficAndFaults(ctx, traffic, start)
 	cancel()
 	err := group.Wait()
 	if context.Cause(ctx) == context.Canceled { // no goroutine failed before cancel; later errors are ignored
@@ -103,8 +103,8 @@
 	}
 }
 
-// play sends the traffic, injects the faults, and returns once all requests have ended.
-func (r *scenarioRunner) play(ctx, traffic context.Context, start time.Time) *Recording {
+// runTrafficAndFaults sends the traffic, injects the faults, and returns once all requests have ended.
+func (r *scenarioRunner) runTrafficAndFaults(ctx, traffic context.Context, start time.Time) *Recording {
 	cpuBefore := cpuTime()
 	var streams sync.WaitGroup
 	for number := range r.scenario.Traffic {
--- a/internal/testbed/runner_traffic.go
+++ b/internal/testbed/runner_traffic.go
@@ -14,15 +14,15 @@
 const (
 	// firstStreamSeed makes the random seeds of streams differ from those of nodes.
 	firstStreamSeed = 1000
-	// busiestShare is the share of a volume's requests that are sent to its busiest instance.
-	busiestShare = 0.6
+	// busiestInstanceShare is the share of a volume's requests that are sent to its busiest instance.
+	busiestInstanceShare = 0.6
 )
 
 // clientRequest is a request of a stream, and how its client sends it.
 type clientRequest struct {
-	request   proto.Request
-	instances []int         // in the order in which the client tries them
-	patience  time.Duration // limit of the wait for one answer; 0: the request's timeout
+	request       proto.Request
+	instances     []int         // in the order in which the client tries them
+	answerTimeout time.Duration // limit of the wait for one answer; 0: the request's timeout
 }
 
 // scheduledRequest is a request of a run and when it is sent.
@@ -121,7 +121,7 @@
 		defer r.openRequests.Add(-1)
 		request := &drawn.request
 		client := r.clients[(request.Volume+request.Key)%uint64(len(r.clients))]
-		result := client.Do(ctx, *request, drawn.instances, drawn.patience)
+		result := client.Do(ctx, *request, drawn.instances, drawn.answerTimeout)
 		if result.Code == proto.OK && request.Write && request.Cell < 0 && result.Cell >= 0 {
 			r.objects.add(int(request.Plan), object{request.Key, result.Cell})
 		}
@@ -143,7 +143,7 @@
 		Write:           class.Writes,
 		VolumeInstances: uint16(min(stream.VolumeInstances, r.scenario.Instances)),
 	}
-	if !r.drawPlace(&request, stream, rng) {
+	if !r.drawKeyAndCell(&request, stream, rng) {
 		return clientRequest{}, false
 	}
 	drawn := clientRequest{request: request}
@@ -152,8 +152,8 @@
 	return drawn, true
 }
 
-// drawPlace sets a request's key and cell; it returns false if the stream reads new objects and has none yet.
-func (r *scenarioRunner) drawPlace(request *proto.Request, stream *Traffic, rng *rand.Rand) bool {
+// drawKeyAndCell sets a request's key and cell; it returns false if the stream reads new objects and has none yet.
+func (r *scenarioRunner) drawKeyAndCell(request *proto.Request, stream *Traffic, rng *rand.Rand) bool {
 	switch {
 	case stream.NewObjects && request.Write:
 		request.Cell, request.Key = proto.NewObject, request.Token
@@ -177,7 +177,7 @@
 func (r *scenarioRunner) drawInstances(request *proto.Request, rng *rand.Rand) []int {
 	count := int(request.VolumeInstances)
 	first := r.changes.rotation(request.Volume)
-	if count > 1 && rng.Float64() > busiestShare {
+	if count > 1 && rng.Float64() > busiestInstanceShare {
 		first += 1 + rng.IntN(count-1)
 	}
 	instances := make([]int, 0, count)
--- a/internal/testbed/throughput_test.go
+++ b/internal/testbed/throughput_test.go
@@ -55,7 +55,7 @@
 type load struct {
 	requests int
 	write    bool
-	gap      time.Duration // between two requests; 0: as fast as answers arrive
+	interval time.Duration // between two requests; 0: as fast as answers arrive
 }
 
 // throughput is the measured result of a load.
@@ -154,8 +154,8 @@
 		})
 	}
 	for number := range load.requests {
-		due := start.Add(time.Duration(number) * load.gap)
-		for load.gap > 0 && time.Until(due) > 0 {
+		due := start.Add(time.Duration(number) * load.interval)
+		for load.interval > 0 && time.Until(due) > 0 {
 			time.Sleep(time.Until(due))
 		}
 		numbers <- number
@@ -249,7 +249,7 @@
 		full.write, throughputInFlight, direct.rate, direct.percentile(50), direct.percentile(99),
 		through.rate, through.percentile(50), through.percentile(99), 100*through.rate/direct.rate)
 	half := load{requests: full.requests / 2, write: full.write}
-	half.gap = time.Duration(2 / through.rate * float64(time.Second)) // half the rate through the scheduler
+	half.interval = time.Duration(2 / through.rate * float64(time.Second)) // half the rate through the scheduler
 	direct = measure(ctx, t, paths.direct, half)
 	through = measure(ctx, t, paths.through, half)
 	t.Logf("write %v, half load: direct p50 %v p99 %v; through p50 %v p99 %v", full.write,
--- a/internal/testbed/traffic_changes.go
+++ b/internal/testbed/traffic_changes.go
@@ -126,7 +126,7 @@
 	}
 	for _, impatient := range c.impatient {
 		if now.Before(impatient.until) && rng.Float64() < impatient.share {
-			drawn.patience = impatient.wait
+			drawn.answerTimeout = impatient.wait
 		}
 	}
 }
