--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -10,8 +10,8 @@
 	"landingpaddle/scheduler"
 )
 
-// watchEndpointsTag is the code of the action that opens a watch of the endpoint list.
-const watchEndpointsTag = 90
+// watchEndpointsCode is the code of the action that opens a watch of the endpoint list.
+const watchEndpointsCode = 90
 
 func TestRun_EndOfInputIsNotAnError(t *testing.T) {
 	var out bytes.Buffer
@@ -54,7 +54,7 @@
 	if err != nil || running[1] == stopped {
 		t.Fatalf("got error %v, or the stopped scheduler is still running", err)
 	}
-	if reply[4] != watchEndpointsTag {
+	if reply[4] != watchEndpointsCode {
 		t.Errorf("got reply % x, want the restarted instance to open a watch of the endpoint list", reply)
 	}
 }
--- a/cmd/storage-gateway/expect.go
+++ b/cmd/storage-gateway/expect.go
@@ -9,8 +9,8 @@
 	"landingpaddle/internal/config"
 )
 
-// errNothingExpected is returned for a fleet without expectations.
-var errNothingExpected = errors.New("nothing is expected: there is no (expect …)")
+// errNoExpectations is returned for a fleet without expectations.
+var errNoExpectations = errors.New("nothing is expected: there is no (expect …)")
 
 type expectCommand struct {
 	File           string `arg:"" type:"existingfile" help:"Fleet file with (expect …) forms."`
@@ -26,7 +26,7 @@
 		return err
 	}
 	if len(expectations) == 0 {
-		return fmt.Errorf("%s: %w", c.File, errNothingExpected)
+		return fmt.Errorf("%s: %w", c.File, errNoExpectations)
 	}
 	if pairs := expect.Contradictions(expectations); len(pairs) > 0 {
 		first, second := pairs[0][0], pairs[0][1]
@@ -38,7 +38,7 @@
 		if err := printJSON(out, findings); err != nil {
 			return err
 		}
-		return c.blocked(findings)
+		return c.verdictError(findings)
 	}
 	fmt.Fprintf(out, "%s: %d nodes, %d instances, %d kinds of volumes\n", fleet.Name, len(model.Nodes),
 		model.Instances, len(model.Volumes))
@@ -50,11 +50,11 @@
 			return err
 		}
 	}
-	return c.blocked(findings)
+	return c.verdictError(findings)
 }
 
-// blocked returns an error if an expectation is broken, or undecided unless that is allowed.
-func (c *expectCommand) blocked(findings []expect.Finding) error {
+// verdictError returns an error if an expectation is broken, or undecided unless that is allowed.
+func (c *expectCommand) verdictError(findings []expect.Finding) error {
 	count := map[expect.Verdict]int{}
 	for _, finding := range findings {
 		count[finding.Verdict]++
--- a/cmd/storage-gateway/main_test.go
+++ b/cmd/storage-gateway/main_test.go
@@ -75,7 +75,7 @@
 // all ports are chosen, so that none is assigned twice.
 type freePorts struct {
 	byExample map[string]string
-	held      []net.Listener
+	listeners []net.Listener
 }
 
 func (p *freePorts) replaceAddrs(text string) (string, error) {
@@ -87,14 +87,14 @@
 		if err != nil {
 			return "", err
 		}
-		p.held = append(p.held, listener)
+		p.listeners = append(p.listeners, listener)
 		p.byExample[addr] = listener.Addr().String()
 	}
 	return exampleAddr.ReplaceAllStringFunc(text, func(addr string) string { return p.byExample[addr] }), nil
 }
 
 func (p *freePorts) close() {
-	for _, listener := range p.held {
+	for _, listener := range p.listeners {
 		listener.Close()
 	}
 }
--- a/cmd/storage-gateway/scenario.go
+++ b/cmd/storage-gateway/scenario.go
@@ -9,8 +9,8 @@
 	"landingpaddle/internal/testbed"
 )
 
-// dayCommand is the sub-command day, with the alias scenario.
-type dayCommand struct {
+// scenarioCommand is the sub-command day, with the alias scenario.
+type scenarioCommand struct {
 	File     string `arg:"" optional:"" type:"existingfile" help:"Scenario file; default: the embedded one."`
 	Seed     uint64 `default:"1" help:"Seed of traffic, nodes and instances."`
 	LogDir   string `help:"Write the logs to this folder, for audit."`
@@ -21,8 +21,8 @@
 }
 
 // Run runs the scenario and the runs for comparison; an invariant violated in the scenario is an error.
-func (c *dayCommand) Run(out io.Writer) error {
-	scenario, err := c.scenario()
+func (c *scenarioCommand) Run(out io.Writer) error {
+	scenario, err := c.loadScenario()
 	if err != nil {
 		return err
 	}
@@ -51,21 +51,21 @@
 	return printReport(out, report, c.JSON)
 }
 
-// scenario returns the scenario of the file, or the embedded one if no file is given.
-func (c *dayCommand) scenario() (testbed.Scenario, error) {
+// loadScenario returns the loadScenario of the file, or the embedded one if no file is given.
+func (c *scenarioCommand) loadScenario() (testbed.Scenario, error) {
 	scenario, err := testbed.FaultScenario()
 	if c.File != "" {
 		scenario, err = testbed.ReadScenario(c.File)
 	}
 	if err == nil && c.Unmerged {
-		err = checkMerges(&scenario)
+		err = checkMergingEnabled(&scenario)
 	}
 	return scenario, err
 }
 
-// checkMerges returns an error if a scenario's site does not merge requests, so that there is nothing to
+// checkMergingEnabled returns an error if a scenario's site does not merge requests, so that there is nothing to
 // compare.
-func checkMerges(scenario *testbed.Scenario) error {
+func checkMergingEnabled(scenario *testbed.Scenario) error {
 	if scenario.Site.Extents == nil {
 		return fmt.Errorf("%s: the site has no (extents …) form: requests are not merged", scenario.Name)
 	}
--- a/cmd/storage-gateway/sweep.go
+++ b/cmd/storage-gateway/sweep.go
@@ -46,7 +46,7 @@
 			return err
 		}
 		name = scenario.Name
-		summary, err := c.runWith(&scenario, value)
+		summary, err := c.runWithValue(&scenario, value)
 		if err != nil {
 			return err
 		}
@@ -60,9 +60,9 @@
 	return plotSweep(c.SVG, name, c.Bound, points)
 }
 
-// runWith runs a scenario with one value of the bound.
-func (c *sweepCommand) runWith(scenario *testbed.Scenario, value string) (testbed.Summary, error) {
-	if err := checkMerges(scenario); err != nil {
+// runWithValue runs a scenario with one value of the bound.
+func (c *sweepCommand) runWithValue(scenario *testbed.Scenario, value string) (testbed.Summary, error) {
+	if err := checkMergingEnabled(scenario); err != nil {
 		return testbed.Summary{}, err
 	}
 	if err := setBound(scenario.Site.Extents, c.Bound, value); err != nil {
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -10,7 +10,7 @@
 		"a\r\n\r\n"))
 	f.Add([]byte("PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		reader := readerOf(string(text))
+		reader := newTestReader(string(text))
 		for range 4 {
 			request, err := reader.ReadRequest()
 			if err != nil {
@@ -49,7 +49,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		response, err := readerOf(string(text)).ReadResponse()
+		response, err := newTestReader(string(text)).ReadResponse()
 		if err != nil {
 			return
 		}
@@ -57,7 +57,7 @@
 			t.Fatalf("accepted status %d with a body of %d bytes, want 200 or above and at most MaxBody",
 				response.Status, len(response.Body))
 		}
-		reread, err := readerOf(string(AppendResponse(nil, 200, "OK", nil, response.Body))).ReadResponse()
+		reread, err := newTestReader(string(AppendResponse(nil, 200, "OK", nil, response.Body))).ReadResponse()
 		if err != nil || string(reread.Body) != string(response.Body) {
 			t.Fatalf("a body of %d bytes was read back as %v, %v", len(response.Body), reread, err)
 		}
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -13,7 +13,7 @@
 func TestReader_ReadAheadIsBounded(t *testing.T) {
 	const requests = 300
 	text := strings.Repeat("GET /a HTTP/1.1\r\nHost: a\r\n\r\n", requests) // 8,400 bytes
-	reader := readerOf(text)
+	reader := newTestReader(text)
 	if err := reader.ReadAhead(100); err != nil || reader.Buffered() == 0 {
 		t.Fatalf("first read: got %d bytes buffered, %v; want some and no error", reader.Buffered(), err)
 	}
@@ -45,7 +45,7 @@
 
 // The limit of a head also applies to bytes that ReadAhead has buffered beyond it.
 func TestReader_RejectsLongHeadAfterReadAhead(t *testing.T) {
-	reader := readerOf(strings.Repeat("a", 2*testLimits.MaxHead))
+	reader := newTestReader(strings.Repeat("a", 2*testLimits.MaxHead))
 	for reader.ReadAhead(2*testLimits.MaxHead) == nil {
 	}
 	if _, err := reader.ReadRequest(); !hasStatus(t, err, http.StatusRequestHeaderFieldsTooLarge) {
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -82,7 +82,7 @@
 		"many fields":      {"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 100) + "\r\n", 431},
 	} {
 		t.Run(name, func(t *testing.T) {
-			request, err := readerOf(test.text).ReadRequest()
+			request, err := newTestReader(test.text).ReadRequest()
 			if !hasStatus(t, err, test.status) {
 				t.Errorf("got %+v, %v; want status %d", request, err, test.status)
 			}
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -29,7 +29,7 @@
 		"empty length":  {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "", 200, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reader := readerOf(test.text)
+			reader := newTestReader(test.text)
 			response, err := reader.ReadResponse()
 			if err != nil || response.Status != test.status || string(response.Body) != test.body ||
 				response.Close != test.closes || reader.Buffered() != test.buffered {
@@ -41,10 +41,10 @@
 
 // endlessSource returns bytes without end, like a response of gigabytes, and counts them: a Reader must read
 // only a bounded number.
-type endlessSource struct{ count int }
+type endlessSource struct{ bytesRead int }
 
 func (s *endlessSource) Read(buffer []byte) (int, error) {
-	s.count += len(buffer)
+	s.bytesRead += len(buffer)
 	for i := range buffer {
 		buffer[i] = 'a'
 	}
@@ -77,8 +77,8 @@
 			if !errors.As(err, &rejected) {
 				t.Errorf("got %+v, %v; want an *Error", response, err)
 			}
-			if tail.count > 4*(testLimits.MaxHead+testLimits.MaxBody) {
-				t.Errorf("got %d bytes read, want at most 4*(MaxHead+MaxBody)", tail.count)
+			if tail.bytesRead > 4*(testLimits.MaxHead+testLimits.MaxBody) {
+				t.Errorf("got %d bytes read, want at most 4*(MaxHead+MaxBody)", tail.bytesRead)
 			}
 		})
 	}
@@ -90,7 +90,7 @@
 		"in the body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\na",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := readerOf(text).ReadResponse(); !errors.Is(err, io.ErrUnexpectedEOF) {
+			if _, err := newTestReader(text).ReadResponse(); !errors.Is(err, io.ErrUnexpectedEOF) {
 				t.Error("want io.ErrUnexpectedEOF, got:", err)
 			}
 		})
--- a/internal/wire/batch_test.go
+++ b/internal/wire/batch_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestDecodeBatch_DecodesEmptyBatch(t *testing.T) {
-	batch, err := DecodeBatch(unhex(t, "00000000 10000000 "+pageClock))
+	batch, err := DecodeBatch(unhex(t, "00000000 10000000 "+exampleClock))
 	if err != nil || len(batch.Records) != 0 || batch.Now != 0x1f568bf90 {
 		t.Fatalf("got %+v, %v; want the documented clock and no records", batch, err)
 	}
@@ -40,11 +40,11 @@
 
 func TestReadBatch_RejectsInvalidFrames(t *testing.T) {
 	for name, frame := range map[string][]byte{
-		"length too small":   unhex(t, "00000000 0f000000 "+pageClock),
-		"length too large":   unhex(t, "00000000 ffffffff "+pageClock),
+		"length too small":   unhex(t, "00000000 0f000000 "+exampleClock),
+		"length too large":   unhex(t, "00000000 ffffffff "+exampleClock),
 		"header truncated":   unhex(t, "00000000 1000"),
-		"frame truncated":    unhex(t, "00000000 18000000 "+pageClock+"0000"),
-		"too few records":    unhex(t, "02000000 10000000 "+pageClock),
+		"frame truncated":    unhex(t, "00000000 18000000 "+exampleClock+"0000"),
+		"too few records":    unhex(t, "02000000 10000000 "+exampleClock),
 		"unknown code":       frameOf(t, "01000000", "63 02000000 0300"),
 		"record past frame":  frameOf(t, "01000000", "15 ff000000 0300"),
 		"record too short":   frameOf(t, "01000000", "15 04000000 0500 192b"),
@@ -70,7 +70,7 @@
 }
 
 func FuzzDecodeBatch(f *testing.F) {
-	f.Add(unhex(f, "00000000 10000000 "+pageClock))
+	f.Add(unhex(f, "00000000 10000000 "+exampleClock))
 	f.Add(frameOf(f, "01000000", "15 06000000 0500 192b6f0e"))
 	f.Add(frameOf(f, "01000000", "11 0f000000 0300 2900000000000000 01 ffffffff"))
 	f.Fuzz(func(t *testing.T, frame []byte) {
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -14,7 +14,7 @@
 	codeRequest
 	codeResponseStarted
 	codeAttemptResult
-	codeClientGone
+	codeRequestWithdrawn
 	codeTimerFired
 	codeHealthCheckResult
 	codePeerMessage
@@ -61,7 +61,7 @@
 		return d.responseStarted()
 	case codeAttemptResult:
 		return d.attemptResult()
-	case codeClientGone:
+	case codeRequestWithdrawn:
 		return scheduler.RequestWithdrawn{ID: d.uint32()}
 	case codeTimerFired:
 		return scheduler.TimerFired{Token: d.uint32()}
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -19,14 +19,14 @@
 	return decoded
 }
 
-// pageClock is the encoded clock of the batches in the protocol's documentation.
-const pageClock = "90bf68f501000000"
+// exampleClock is the encoded clock of the batches in the protocol's documentation.
+const exampleClock = "90bf68f501000000"
 
 // frameOf returns the frame of a batch at pageClock, of less than 64 KiB. count, the number of records, and
 // body, the records, are in the notation of unhex.
 func frameOf(t testing.TB, count, body string) []byte {
 	t.Helper()
-	frame := unhex(t, count+"00000000"+pageClock+body)
+	frame := unhex(t, count+"00000000"+exampleClock+body)
 	frame[4], frame[5] = byte(len(frame)), byte(len(frame)>>8)
 	return frame
 }
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
-		plainValues = append(plainValues, listWord(text))
+		plainValues = append(plainValues, listElement(text))
 	}
 	switch {
 	case objects == 0:
@@ -117,6 +117,6 @@
 	return "", fmt.Errorf("%T is not a plain value", value)
 }
 
-// listWord returns a text as an element of a list of plain values: it replaces commas and spaces, which
+// listElement returns a text as an element of a list of plain values: it replaces commas and spaces, which
 // separate elements.
-func listWord(text string) string { return strings.NewReplacer(",", "_", " ", "_").Replace(text) }
+func listElement(text string) string { return strings.NewReplacer(",", "_", " ", "_").Replace(text) }
--- a/internal/wire/site.go
+++ b/internal/wire/site.go
@@ -57,7 +57,7 @@
 // numberOf returns the index of a name in a list of the settings, in which listWord replaced commas and
 // spaces; 255 if it is missing.
 func numberOf(names []string, name string) uint8 {
-	if index := slices.Index(names, listWord(name)); index >= 0 && index < unknownNumber {
+	if index := slices.Index(names, listElement(name)); index >= 0 && index < unknownNumber {
 		return uint8(index)
 	}
 	return unknownNumber
