--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -11,7 +11,7 @@
 	fleetSlots            = 128  // slots that all instances together may use at a node that answers quickly
 	congestionThreshold   = 0.3  // of the shortest objective: higher latencies reduce fleetSlots
 	congestionExponent    = 4.0  // fleetSlots is divided by (latency / threshold) to this power
-	maxDepth              = 24.0 // in slots; also the limit of attempts in flight at a node, lost ones included
+	maxDepth              = 24.0 // slots; also limits the attempts in flight at a node, lost ones included
 	depthGain             = 3.0  // slots that all instances together add to the target depth per period
 	depthStep             = 0.5  // fraction of the difference to the target depth that is applied per period
 	targetLatencyFraction = 0.1  // target latency at a node, as a fraction of the shortest objective
--- a/scheduler/endpoint_watch.go
+++ b/scheduler/endpoint_watch.go
@@ -9,8 +9,8 @@
 	// watchReopenDelay is the minimum delay before a failed watch is reopened, unless PushGrace requires a
 	// shorter one; the maximum is twice as long.
 	watchReopenDelay = 750 * time.Millisecond
-	// brokenWatchDelayDivisor divides the first delay after an established watch broke; the divisor halves with
-	// each further failure.
+	// brokenWatchDelayDivisor divides the first delay after an established watch broke; the divisor halves
+	// with each further failure.
 	brokenWatchDelayDivisor = 8
 	// reopenDelaysPerPushGrace is the number of reopen delays that fit into PushGrace.
 	reopenDelaysPerPushGrace = 4
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -72,7 +72,8 @@
 	Latency time.Duration
 }
 
-// RequestWithdrawn reports that a request needs no answer any more, for example because its client disconnected.
+// RequestWithdrawn reports that a request needs no answer any more, for example because its client
+// disconnected.
 type RequestWithdrawn struct{ ID uint32 }
 
 // TimerFired reports that a timer set by SetTimer is due.
--- a/scheduler/random_driver_test.go
+++ b/scheduler/random_driver_test.go
@@ -56,7 +56,7 @@
 	Request
 	attempts       int
 	answered       bool          // or its client has disconnected
-	disconnectedAt time.Duration // when its client disconnected; the actions of that batch may still answer it
+	disconnectedAt time.Duration // when its client disconnected; actions of that batch may still answer it
 	mayHaveRun     bool
 }
 
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -81,7 +81,8 @@
 	// A new bucket must contain as many units as this one, so both must be full.
 	rate, burst := v.quota()
 	fresh := tokenBucket{filledAt: s.startedAt}
-	if v.plan.Limit > 0 && !(v.quotaBucket.isFullAt(s.now, rate, burst) && fresh.isFullAt(s.now, rate, burst)) {
+	if v.plan.Limit > 0 &&
+		!(v.quotaBucket.isFullAt(s.now, rate, burst) && fresh.isFullAt(s.now, rate, burst)) {
 		return false
 	}
 	if !v.reserve.isFullAt(s.now, v.plan.Reserve, v.reserveCapacity(s.settings.MaxUnits)) {
