--- a/endpoints/view.go
+++ b/endpoints/view.go
@@ -72,8 +72,8 @@
 	return converted, Applied
 }
 
-// hasBaseOf reports whether a change builds on the current list: the list is trusted, of the same epoch and at
-// the change's base version or later.
+// hasBaseOf reports whether a change builds on the current list: the list is trusted, of the same epoch and
+// at the change's base version or later.
 func (v *View) hasBaseOf(change Update) bool {
 	return v.trusted && change.Epoch == v.epoch && change.BaseVersion <= v.version
 }
@@ -172,8 +172,8 @@
 // effectiveStatus returns Draining for a ready node that sent a drain notice in its current incarnation, and
 // the listed status otherwise.
 func (v *View) effectiveStatus(endpoint Endpoint) scheduler.Status {
-	notice, noticed := v.drainNotices[endpoint.Server]
-	if noticed && endpoint.Status == scheduler.Ready && endpoint.StartedAt <= notice {
+	notice, hasNotice := v.drainNotices[endpoint.Server]
+	if hasNotice && endpoint.Status == scheduler.Ready && endpoint.StartedAt <= notice {
 		return scheduler.Draining
 	}
 	return endpoint.Status
--- a/endpoints/view_properties_test.go
+++ b/endpoints/view_properties_test.go
@@ -114,8 +114,8 @@
 	for _, endpoint := range update.Endpoints {
 		m.checkStart(t, endpoint)
 		startedAt := m.starts[endpoint.Server]
-		noticed, hasNotice := m.drainNotices[endpoint.Server]
-		if hasNotice && startedAt <= noticed && endpoint.Status == scheduler.Ready {
+		notice, hasNotice := m.drainNotices[endpoint.Server]
+		if hasNotice && startedAt <= notice && endpoint.Status == scheduler.Ready {
 			t.Fatal("a node is ready again in the incarnation that sent a drain notice")
 		}
 	}
--- a/endpoints/view_test.go
+++ b/endpoints/view_test.go
@@ -41,7 +41,7 @@
 	return converted
 }
 
-// status returns the status of a node in an update; Gone if the update does not contain the node.
+// status returns the status of a node in an update; Removed if the update does not contain the node.
 func status(update scheduler.EndpointUpdate, i int) scheduler.Status {
 	for _, e := range update.Endpoints {
 		if e.Server == server(i) {
