--- a/extent/merge.go
+++ b/extent/merge.go
@@ -118,6 +118,7 @@
 func (s operationSize) add(member Piece, covered Range) operationSize {
 	s.memberBytes += float64(member.Range.Length)
 	s.memberUnits += float64(member.chargedUnits())
-	s.chargedUnits = max(1, s.chargedUnits, math.Ceil(s.memberUnits*min(1, float64(covered.Length)/s.memberBytes)))
+	s.chargedUnits = max(1, s.chargedUnits,
+		math.Ceil(s.memberUnits*min(1, float64(covered.Length)/s.memberBytes)))
 	return s
 }
