--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -17,9 +17,10 @@
 			{Name: "operational", Reserve: 60, Weight: 3}},
 		Nodes: []Node{{"a-1", 0, "a", 100}, {"a-2", 1, "a", 100}, {"b-1", 2, "b", 100}, {"b-2", 3, "b", 100},
 			{"b-spare", 0, "b", 100}},
-		Volumes: []Volume{{Name: "charts", Plan: 0, StatedInstances: 2, PossibleInstances: 2, Cells: []int{0}},
-			{Name: "model", Plan: 1, StatedInstances: 1, PossibleInstances: 1}, {Name: "archive", Plan: 0, StatedInstances: 1, PossibleInstances: 2,
-				Cells: []int{1, 3}}}}
+		Volumes: []Volume{
+			{Name: "charts", Plan: 0, StatedInstances: 2, PossibleInstances: 2, Cells: []int{0}},
+			{Name: "model", Plan: 1, StatedInstances: 1, PossibleInstances: 1},
+			{Name: "archive", Plan: 0, StatedInstances: 1, PossibleInstances: 2, Cells: []int{1, 3}}}}
 }
 
 // Each finding has the verdict, the value and the missing nodes of its worst case, and the number of cases.
@@ -178,8 +179,9 @@
 		f.Nodes = append(f.Nodes, Node{fmt.Sprint("box-", i), i, fmt.Sprint("hall-", i%5), 500})
 	}
 	for i := range 5000 {
-		f.Volumes = append(f.Volumes, Volume{Name: fmt.Sprint("volume-", i), Plan: i % 5, StatedInstances: 1 + i%3,
-			PossibleInstances: 1 + i%3, Cells: []int{i % 200, (i * 7) % 200, (i * 13) % 200}})
+		f.Volumes = append(f.Volumes, Volume{Name: fmt.Sprint("volume-", i), Plan: i % 5,
+			StatedInstances: 1 + i%3, PossibleInstances: 1 + i%3,
+			Cells: []int{i % 200, (i * 7) % 200, (i * 13) % 200}})
 	}
 	var all []Expectation
 	one := &Missing{1, Selector{Nodes, "*"}}
--- a/expect/expectation.go
+++ b/expect/expectation.go
@@ -41,8 +41,10 @@
 )
 
 // SelectorKinds lists the kinds of selectors that each measure accepts.
-var SelectorKinds = map[Measure][]Kind{Reach: {Volumes, Plans}, Reserve: {Nodes, Zones}, Share: {Volumes, Plans},
-	Limit: {Volumes, Plans}, Cold: {Nodes}, Send: {Volumes, Plans}}
+var SelectorKinds = map[Measure][]Kind{
+	Reach: {Volumes, Plans}, Reserve: {Nodes, Zones}, Share: {Volumes, Plans},
+	Limit: {Volumes, Plans}, Cold: {Nodes}, Send: {Volumes, Plans},
+}
 
 // Missing is a failure under which an expectation must be true: any Count of the selected nodes or zones are
 // missing at the same time.
