--- a/internal/daemon/client_request.go
+++ b/internal/daemon/client_request.go
@@ -91,7 +91,8 @@
 func (r *clientRequest) reject(reason string, retryAfter time.Duration) error {
 	r.listener.instance.Stats.Rejected.Add(1)
 	r.connection.conn.CloseStream(r.stream)
-	r.listener.instance.log.Debug(answerLogMessage(proto.Rejected), keyReason, reason, keyToken, r.header.Token)
+	r.listener.instance.log.Debug(answerLogMessage(proto.Rejected),
+		keyReason, reason, keyToken, r.header.Token)
 	answer := proto.Answer{Code: proto.Rejected, Reason: reason, RetryAfter: retryAfter}
 	return r.connection.conn.Send(proto.TypeAnswer, r.stream, answer, nil)
 }
--- a/internal/daemon/environment_test.go
+++ b/internal/daemon/environment_test.go
@@ -103,7 +103,7 @@
 	return ln
 }
 
-// addNode starts a fake addNode, whose frames are passed to handle, and registers it for a cell.
+// addNode starts a fake node, whose frames are passed to handle, and registers it for a cell.
 func (e *testEnvironment) addNode(cell uint16, handle frameHandler) *fakeNode {
 	return e.addNodeWithConfig(proto.Config{}, cell, handle)
 }
@@ -192,7 +192,7 @@
 	e.t.Fatalf("not logged within 5s: %s\nlog:\n%s", text, e.logs.String())
 }
 
-// connectClient connects a connectClient to the instance.
+// connectClient connects a client to the instance.
 func (e *testEnvironment) connectClient() *testClient {
 	e.t.Helper()
 	conn, err := proto.Dial(
--- a/internal/daemon/event_loop_input.go
+++ b/internal/daemon/event_loop_input.go
@@ -27,7 +27,7 @@
 // Submit passes an admitted call to the loop, which owns it from then on.
 func (e *EventLoop) Submit(call *Call) { e.inbox.put(callSubmitted{call}) }
 
-// CancelCall reports that a call's client has disconnected or has cancelled the call.
+// CancelCall ends a call whose client has disconnected or has cancelled it.
 func (e *EventLoop) CancelCall(call *Call) {
 	call.closed.Store(true) // at once: an attempt might start before the loop's next batch
 	e.inbox.put(callCancelled{call})
--- a/internal/daemon/merging_failures_test.go
+++ b/internal/daemon/merging_failures_test.go
@@ -101,8 +101,8 @@
 	for i, id := range ids {
 		env.expectRead(id, volume, uint64(i)*1000, 1000)
 	}
-	if first, retries := disk.rangedOperations(), next.rangedOperations(); len(first) != 1 || len(first[0].Members) != 4 ||
-		len(retries) != 4 {
+	if first, retries := disk.rangedOperations(), next.rangedOperations(); len(first) != 1 ||
+		len(first[0].Members) != 4 || len(retries) != 4 {
 		t.Errorf("got %d operations at the draining node, %d at the next; want 1 with 4 members, and 4",
 			len(first), len(retries))
 	}
--- a/internal/daemon/merging_test.go
+++ b/internal/daemon/merging_test.go
@@ -145,7 +145,8 @@
 	})
 	volume := env.volumeAt(0, 0)
 	first := env.sendRead(volume, 0, 1000, nil)
-	limited := env.sendRead(volume+1, 1000, 1000, func(q *proto.Request) { q.DataVolumeID, q.Plan = volume, 1 })
+	limited := env.sendRead(volume+1, 1000, 1000,
+		func(q *proto.Request) { q.DataVolumeID, q.Plan = volume, 1 })
 	third := env.sendRead(volume+2, 2000, 1000, func(q *proto.Request) { q.DataVolumeID = volume })
 	fourth := env.sendRead(volume+3, 0, 2000, func(q *proto.Request) { q.DataVolumeID = volume })
 	env.expectRead(first, volume, 0, 1000)
--- a/internal/daemon/operation.go
+++ b/internal/daemon/operation.go
@@ -59,9 +59,9 @@
 	l.undispatched = operations[:0]
 }
 
-// sendableOperations returns the sealed operations to send in place of an operation: the operation itself or, if some
-// members have ended already or are withheld because their request has ended or their time is up, a separate
-// operation for each other member, as their ranges may not touch any more.
+// sendableOperations returns the sealed operations to send in place of an operation: the operation itself
+// or, if some members have ended already or are withheld because their request has ended or their time is up,
+// a separate operation for each other member, as their ranges may not touch any more.
 func (l *loop) sendableOperations(operation *Operation) []*Operation {
 	var remaining []*attempt
 	for _, member := range operation.members {
@@ -81,9 +81,9 @@
 	return l.separateOperations(remaining)
 }
 
-// separateOperations returns a sealed operation for each attempt. Of several attempts of one ordered key only the first
-// is sent; the others are reported to the scheduler as not sent, because nodes may execute operations in
-// flight together in any order.
+// separateOperations returns a sealed operation for each attempt. Of several attempts of one ordered key only
+// the first is sent; the others are reported to the scheduler as not sent, because nodes may execute
+// operations in flight together in any order.
 func (l *loop) separateOperations(attempts []*attempt) []*Operation {
 	var operations []*Operation
 	sentKeys := map[uint64]bool{}
--- a/internal/daemon/ranged_environment_test.go
+++ b/internal/daemon/ranged_environment_test.go
@@ -94,7 +94,7 @@
 	return true
 }
 
-// rangedOperations returns the rangedOperations operations received so far.
+// rangedOperations returns the ranged operations received so far.
 func (d *fakeDisk) rangedOperations() (out []proto.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,7 +151,8 @@
 	return env
 }
 
-// connectToNodes establishes the connections to both nodes and leaves the loop at the start of a batch interval.
+// connectToNodes establishes the connections to both nodes and leaves the loop at the start of a batch
+// interval.
 func (e *rangedEnvironment) connectToNodes() {
 	e.t.Helper()
 	for cell := range int32(2) {
@@ -173,8 +174,9 @@
 	}
 }
 
-// sendRead sends a sendRead of a range of a volume and returns its stream. change may be nil.
-func (e *rangedEnvironment) sendRead(volume, offset uint64, length uint32, change func(*proto.Request)) uint64 {
+// sendRead sends a read of a range of a volume and returns its stream. change may be nil.
+func (e *rangedEnvironment) sendRead(volume, offset uint64, length uint32,
+	change func(*proto.Request)) uint64 {
 	return e.defaultClient.sendRequest(func(q *proto.Request) {
 		q.Volume, q.Ranged, q.Offset, q.Length = volume, true, offset, length
 		if change != nil {
@@ -183,7 +185,7 @@
 	})
 }
 
-// sendWrite sends a sendWrite of length bytes of value b to a volume and returns its stream. change may be nil.
+// sendWrite sends a write of length bytes of value b to a volume and returns its stream. change may be nil.
 func (e *rangedEnvironment) sendWrite(volume, offset uint64, length int, b byte,
 	change func(*proto.Request)) uint64 {
 	return e.defaultClient.sendPayload(bytes.Repeat([]byte{b}, length), func(q *proto.Request) {
