--- a/cmd/storage-gateway/main.go
+++ b/cmd/storage-gateway/main.go
@@ -22,15 +22,16 @@
 
 // commands are the sub-commands.
 type commands struct {
-	Serve  serveCommand    `cmd:"" help:"Run a scheduler instance from a settings file (instance …)."`
-	Node   nodeCommand     `cmd:"" help:"Run a stand-in storage node from a settings file (node …)."`
-	List   listCommand     `cmd:"" help:"Run a stand-in registry from a settings file (list …)."`
-	Call   callCommand     `cmd:"" help:"Send requests to an instance as a stand-in client."`
-	Day    scenarioCommand `cmd:"" aliases:"scenario" help:"Run a scenario with faults and check invariants."`
-	Sweep  sweepCommand    `cmd:"" help:"Run a scenario for several values of a bound on merging, and compare."`
-	Expect expectCommand   `cmd:"" help:"Check the expectations of a fleet file (fleet …), without traffic."`
-	Check  checkCommand    `cmd:"" help:"Check a settings file and print the effective settings."`
-	Audit  auditCommand    `cmd:"" help:"Check the invariants against the logs in a folder."`
+	Serve serveCommand    `cmd:"" help:"Run a scheduler instance from a settings file (instance …)."`
+	Node  nodeCommand     `cmd:"" help:"Run a stand-in storage node from a settings file (node …)."`
+	List  listCommand     `cmd:"" help:"Run a stand-in registry from a settings file (list …)."`
+	Call  callCommand     `cmd:"" help:"Send requests to an instance as a stand-in client."`
+	Day   scenarioCommand `cmd:"" aliases:"scenario" help:"Run a scenario with faults and check invariants."`
+
+	Sweep  sweepCommand  `cmd:"" help:"Run a scenario for several values of a bound on merging, and compare."`
+	Expect expectCommand `cmd:"" help:"Check the expectations of a fleet file (fleet …), without traffic."`
+	Check  checkCommand  `cmd:"" help:"Check a settings file and print the effective settings."`
+	Audit  auditCommand  `cmd:"" help:"Check the invariants against the logs in a folder."`
 
 	Platform platformCommand `cmd:"" help:"Run one scheduler for the platform (settings: BALANCER_CONFIG)."`
 }
--- a/cmd/storage-gateway/scenario.go
+++ b/cmd/storage-gateway/scenario.go
@@ -51,7 +51,7 @@
 	return printReport(out, report, c.JSON)
 }
 
-// loadScenario returns the loadScenario of the file, or the embedded one if no file is given.
+// loadScenario returns the scenario of the file, or the embedded one if no file is given.
 func (c *scenarioCommand) loadScenario() (testbed.Scenario, error) {
 	scenario, err := testbed.FaultScenario()
 	if c.File != "" {
@@ -63,8 +63,8 @@
 	return scenario, err
 }
 
-// checkMergingEnabled returns an error if a scenario's site does not merge requests, so that there is nothing to
-// compare.
+// checkMergingEnabled returns an error if a scenario's site does not merge requests, so that there is nothing
+// to compare.
 func checkMergingEnabled(scenario *testbed.Scenario) error {
 	if scenario.Site.Extents == nil {
 		return fmt.Errorf("%s: the site has no (extents …) form: requests are not merged", scenario.Name)
