--- a/internal/config/fleet_model.go
+++ b/internal/config/fleet_model.go
@@ -74,21 +74,21 @@
 			return converted, sexpr.Errorf(volume.Pos, "no node has cell %d", cell)
 		}
 	}
-	writers := max(1, volume.Writers)
-	paths := volume.Paths
-	if paths == 0 {
-		paths = writers
+	statedInstances := max(1, volume.Writers)
+	possibleInstances := volume.Paths
+	if possibleInstances == 0 {
+		possibleInstances = statedInstances
 	}
-	if paths > f.Instances {
+	if possibleInstances > f.Instances {
 		return converted, sexpr.Errorf(volume.Pos, "volume %s uses %d instances; the fleet has %d",
-			volume.Name, paths, f.Instances)
+			volume.Name, possibleInstances, f.Instances)
 	}
 	return expect.Volume{
 		Name:              volume.Name,
 		Plan:              plan,
 		Count:             max(1, volume.Count),
-		StatedInstances:   writers,
-		PossibleInstances: paths,
+		StatedInstances:   statedInstances,
+		PossibleInstances: possibleInstances,
 		Cells:             volume.Cells,
 	}, nil
 }
