--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -57,7 +57,8 @@
 			t.Fatalf("accepted status %d with a body of %d bytes, want 200 or above and at most MaxBody",
 				response.Status, len(response.Body))
 		}
-		reread, err := newTestReader(string(AppendResponse(nil, 200, "OK", nil, response.Body))).ReadResponse()
+		reread, err := newTestReader(
+			string(AppendResponse(nil, 200, "OK", nil, response.Body))).ReadResponse()
 		if err != nil || string(reread.Body) != string(response.Body) {
 			t.Fatalf("a body of %d bytes was read back as %v, %v", len(response.Body), reread, err)
 		}
