--- a/internal/platform/address_table.go
+++ b/internal/platform/address_table.go
@@ -11,8 +11,8 @@
 	"landingpaddle/scheduler"
 )
 
-// removedRetention is how long the address of a removed disk server stays available: attempts that the scheduler
-// decided on before it received the removal may not be connected yet.
+// removedRetention is how long the address of a removed disk server stays available: attempts that the
+// scheduler decided on before it received the removal may not be connected yet.
 const removedRetention = time.Minute
 
 // addressTable stores the address at which this scheduler reaches each disk server. A disk server is
@@ -99,7 +99,7 @@
 }
 
 // expire marks servers that a full list does not contain as removed, and deletes entries that were removed
-// more than goneRetention ago. The caller holds t.mu.
+// more than removedRetention ago. The caller holds t.mu.
 func (t *addressTable) expire(isFull bool, listed map[scheduler.Server]bool, now time.Time) {
 	for server, entry := range t.entries {
 		switch {
--- a/internal/platform/answer.go
+++ b/internal/platform/answer.go
@@ -65,8 +65,8 @@
 	return append(header, http1.Field{Name: fieldReason, Value: answer.Reason})
 }
 
-// answerError answers a request with an HTTP error and ends the connection. The cause is an *http1.Error, or a
-// timeout while the request was read; after any other error the client has disconnected and gets no answer.
+// answerError answers a request with an HTTP error and ends the connection. The cause is an *http1.Error, or
+// a timeout while the request was read; after any other error the client has disconnected and gets no answer.
 func (f *frontend) answerError(client *clientConn, cause error) {
 	var invalid *http1.Error
 	switch {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -21,7 +21,7 @@
 // second call returns the list within the 6 s after which the scheduler counts as notified of the changes
 // that the watch missed. The scheduler sets the delays between the calls, under a second in total.
 const (
-	heartbeatTimeout     = 2500 * time.Millisecond // heartbeats arrive every 2 s; one that is late ends the watch
+	heartbeatTimeout     = 2500 * time.Millisecond // heartbeats arrive every 2 s; a late one ends the watch
 	discoveryCallTimeout = 1200 * time.Millisecond // until discovery's response to a call begins
 	fetchTimeout         = 2 * time.Second         // until the full list has arrived
 	maxListBytes         = 1 << 20                 // of a full list, or of one message of a watch
@@ -103,7 +103,7 @@
 // wait blocks until all calls have ended. They end with the gateway's context.
 func (d *discovery) wait() { d.calls.Wait() }
 
-// openWatch ends the current watch and starts another if watchWanted is set. The caller holds d.mu.
+// openWatch ends the current watch and starts another if isWatchEnabled is set. The caller holds d.mu.
 func (d *discovery) openWatch() {
 	if d.cancelWatch != nil {
 		d.cancelWatch()
--- a/internal/platform/discovery_call.go
+++ b/internal/platform/discovery_call.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// discoveryResponse is the response to a call. Reading it fails with errDiscoverySilent if no byte arrives for
-// silenceTimeout, and with errListTooLong if a message exceeds bytesLeft. It has one reader, which closes it.
+// discoveryResponse is the response to a call. Reading it fails with errDiscoverySilent if no byte arrives
+// for silenceTimeout, and with errListTooLong if a message exceeds bytesLeft. It has one reader, which closes
+// it.
 type discoveryResponse struct {
 	ctx            context.Context
 	cancel         func()
@@ -18,8 +19,8 @@
 	bytesLeft      int // that the current message may still contain
 }
 
-// call starts a call. Its response must begin within callTimeout; after that at most silenceTimeout may pass
-// without a byte.
+// call starts a call. Its response must begin within discoveryCallTimeout; after that at most silenceTimeout
+// may pass without a byte.
 func (d *discovery) call(ctx context.Context, url string,
 	silenceTimeout time.Duration) (*discoveryResponse, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
--- a/internal/platform/linger.go
+++ b/internal/platform/linger.go
@@ -8,7 +8,7 @@
 const (
 	// Data that arrives after the last answer is drained and discarded, so that the answer is delivered: at
 	// most maxLingerBytes, for at most lingerTimeout. If the limit of lingering connections is reached, the
-	// timeout is crowdedLingerTimeout, which is enough only for data that has already arrived.
+	// timeout is shortLingerTimeout, which is enough only for data that has already arrived.
 	maxLingerBytes     = 1 << 20
 	lingerTimeout      = 300 * time.Millisecond
 	shortLingerTimeout = time.Millisecond
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -75,7 +75,10 @@
 	defer f.bodyBytes.Add(-int64(len(request.body)))
 	if !f.reserveID(request.id) {
 		f.counters.duplicateIDs.Add(1)
-		f.answerError(client, &http1.Error{Status: http.StatusConflict, Reason: "a request of this id is open"})
+		f.answerError(client, &http1.Error{
+			Status: http.StatusConflict,
+			Reason: "a request of this id is open",
+		})
 		return false
 	}
 	f.beginProcessing(client)
