--- a/internal/proto/handshake.go
+++ b/internal/proto/handshake.go
@@ -18,8 +18,8 @@
 	return Handshake(ctx, netConn, cfg)
 }
 
-// Handshake performs the handshake on a new connection, which either side may have opened. It takes ownership of
-// netConn, and closes it if the handshake fails or ctx ends during it.
+// Handshake performs the handshake on a new connection, which either side may have opened. It takes ownership
+// of netConn, and closes it if the handshake fails or ctx ends during it.
 func Handshake(ctx context.Context, netConn net.Conn, cfg Config) (*Conn, error) {
 	conn := newConn(netConn, cfg.Defaults())
 	stop := context.AfterFunc(ctx, func() { netConn.Close() })
