--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -36,7 +36,9 @@
 }
 
 // startRegistry runs a registry and a client until the test ends.
-func startRegistry(t *testing.T, cfg ServerConfig, push bool, storedVersion func() (uint64, uint64)) *testRegistry {
+func startRegistry(
+	t *testing.T, cfg ServerConfig, push bool, storedVersion func() (uint64, uint64),
+) *testRegistry {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -120,8 +122,8 @@
 	r.server.Put(endpoint(2, scheduler.Ready))
 	time.Sleep(50 * time.Millisecond) // until the registry has published both
 	r.client.Fetch()
-	if update := receive(t, r.updates); update.Full || update.BaseVersion != 1 || len(update.Endpoints) != 1 ||
-		update.Endpoints[0].Server.Port != 2 {
+	if update := receive(t, r.updates); update.Full || update.BaseVersion != 1 ||
+		len(update.Endpoints) != 1 || update.Endpoints[0].Server.Port != 2 {
 		t.Errorf("changes: got %+v, want endpoint 2 with base version 1", update)
 	}
 	r.client.FetchFull()
@@ -152,7 +154,8 @@
 	wg.Wait()
 	if update := receive(t, r.updates); update.Endpoints[0].Status != scheduler.Removed ||
 		time.Since(began) < 140*time.Millisecond {
-		t.Errorf("process ended: after %v got %+v, want Gone after 140 ms or more", time.Since(began), update)
+		t.Errorf("process ended: after %v got %+v, want Removed after 140 ms or more",
+			time.Since(began), update)
 	}
 }
 
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -45,7 +45,7 @@
 	delay        time.Duration // of later changes
 	down         bool
 	version      uint64                                  // of the list; each published change adds 1
-	listed       map[scheduler.Server]endpoints.Endpoint // as published; removed nodes stay, with status Gone
+	listed       map[scheduler.Server]endpoints.Endpoint // as published; removed nodes stay, as Removed
 	changedIn    map[scheduler.Server]uint64             // version of each endpoint's last change
 	watchers     map[*session]struct{}
 	workerFreeAt []time.Time // at which each worker becomes free
@@ -58,7 +58,7 @@
 type change struct {
 	due          time.Time
 	endpoint     endpoints.Endpoint
-	processEnded bool // the process ended; the change is ignored if a later incarnation is listed when it is due
+	processEnded bool // the change is ignored if a later incarnation is listed when it is due
 }
 
 // NewServer returns a registry with an empty list.
@@ -111,7 +111,7 @@
 	return err
 }
 
-// afterFunc runs f, with the lock held, afterFunc d, unless Serve has ended by then. The caller holds the lock.
+// afterFunc runs f, with the lock held, after d, unless Serve has ended by then. The caller holds the lock.
 func (s *Server) afterFunc(d time.Duration, f func()) {
 	var timer *time.Timer
 	run := func() {
