--- a/internal/testbed/client_conn.go
+++ b/internal/testbed/client_conn.go
@@ -136,7 +136,8 @@
 	event := cc.event(KindSent, stream, &request)
 	event.Wait, event.Cell = int64(request.Timeout), int(request.Cell)
 	if request.Ranged {
-		event.DataVolume, event.Offset, event.Length = request.DataVolume(), request.Offset, uint64(request.Length)
+		event.DataVolume, event.Offset, event.Length =
+			request.DataVolume(), request.Offset, uint64(request.Length)
 		event.Checksum = checksum(request.Offset, payload)
 	}
 	// Logged and sent under one lock: the order in the log is the order on the connection.
--- a/internal/testbed/dedup.go
+++ b/internal/testbed/dedup.go
@@ -23,14 +23,14 @@
 // NewDedupGroup returns an empty group.
 func NewDedupGroup() *DedupGroup { return &DedupGroup{seen: map[uint64]*effect{}} }
 
-// admit registers operations as in progress and reports which of them are repeats of operations registered
+// admit registers operations as in progress and reports which of them are duplicates of operations registered
 // within the window. While an earlier attempt of one of them is in progress, it registers nothing and returns
-// a channel: a repeat must not be answered as done before the operation is, so the caller waits until the
+// a channel: a duplicate must not be answered as done before the operation is, so the caller waits until the
 // channel is closed and calls admit again.
-func (g *DedupGroup) admit(tokens []uint64, window time.Duration) (repeats []bool, wait <-chan struct{}) {
+func (g *DedupGroup) admit(tokens []uint64, window time.Duration) (duplicates []bool, wait <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	repeats = make([]bool, len(tokens))
+	duplicates = make([]bool, len(tokens))
 	for i, token := range tokens {
 		registered := g.seen[token]
 		if registered == nil || time.Since(registered.at) >= window {
@@ -38,17 +38,17 @@
 		}
 		select {
 		case <-registered.settled:
-			repeats[i] = true
+			duplicates[i] = true
 		default:
 			return nil, registered.settled
 		}
 	}
 	for i, token := range tokens {
-		if !repeats[i] {
+		if !duplicates[i] {
 			g.seen[token] = &effect{at: time.Now(), settled: make(chan struct{})}
 		}
 	}
-	return repeats, nil
+	return duplicates, nil
 }
 
 // settle records that an operation has taken effect.
@@ -60,7 +60,7 @@
 	}
 }
 
-// forget removes an operation that will never take effect, so that a repeat of it is carried out.
+// forget removes an operation that will never take effect, so that a duplicate of it is executed.
 func (g *DedupGroup) forget(token uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// settle wakes the repeats that wait for the operation. The caller holds the group's lock.
+// settle wakes the duplicates that wait for the operation. The caller holds the group's lock.
 func (e *effect) settle() {
 	select {
 	case <-e.settled:
--- a/internal/testbed/fault_nodes.go
+++ b/internal/testbed/fault_nodes.go
@@ -150,7 +150,7 @@
 }
 
 // StuckConnections blocks reads and writes on nodes' connections for a duration, but each of them for at most
-// maxStuck; the connections stay open.
+// maxStuckWait; the connections stay open.
 type StuckConnections nodesFault
 
 func (f *StuckConnections) check(scenario *Scenario) error { return checkNodes(scenario, f.Nodes) }
--- a/internal/testbed/greedy.go
+++ b/internal/testbed/greedy.go
@@ -54,7 +54,7 @@
 	}
 	switch event := event.(type) {
 	case scheduler.TimerFired:
-		g.watching = false // rewatchAfter has passed since a failure: the next event opens a watch
+		g.watching = false // rewatchDelay has passed since a failure: the next event opens a watch
 	case scheduler.EndpointUpdate:
 		g.apply(event)
 	case scheduler.Request:
--- a/internal/testbed/invariant_bytes.go
+++ b/internal/testbed/invariant_bytes.go
@@ -64,7 +64,8 @@
 		c.recordViolation(RuleBytes, answer, "the answer has %d bytes of %d", answer.Length, sent.Length)
 	case !request.possibleReadSums()[answer.Checksum]:
 		c.recordViolation(RuleBytes, answer, "the answer has other bytes than the nodes read")
-	case !writes.volumes[sent.DataVolume] && answer.Checksum != patternSum(sent.DataVolume, sent.Offset, sent.Length):
+	case !writes.volumes[sent.DataVolume] &&
+		answer.Checksum != patternSum(sent.DataVolume, sent.Offset, sent.Length):
 		c.recordViolation(RuleBytes, answer, "the answer has bytes that were never written")
 	}
 }
--- a/internal/testbed/invariant_effects.go
+++ b/internal/testbed/invariant_effects.go
@@ -61,7 +61,8 @@
 		return
 	}
 	if !c.deduplicatedTogether(scheduler.DedupScope(class.DedupScope), first, second) {
-		c.recordViolation(RuleEffects, second, "retried outside the deduplication scope of node %d", first.Node)
+		c.recordViolation(RuleEffects, second, "retried outside the deduplication scope of node %d",
+			first.Node)
 	}
 	after := time.Duration(second.Time - first.Time)
 	excess := after - class.DedupWindow - maxTransitTime
--- a/internal/testbed/invariant_nodes.go
+++ b/internal/testbed/invariant_nodes.go
@@ -38,8 +38,8 @@
 		excess := after - c.site.Rules.DrainGrace - maxTransitTime
 		if excess > 0 &&
 			excess > c.outages.allowance(event.Instance, event.Node, state.drainingSince, event.Time) {
-			c.recordViolation(RuleDrains, event, "sent %v after notification that the node drains or was removed",
-				after)
+			c.recordViolation(RuleDrains, event,
+				"sent %v after notification that the node drains or was removed", after)
 		}
 	}
 }
@@ -78,8 +78,8 @@
 	}
 }
 
-// addAcknowledged records that an instance addAcknowledged an update. A ready status of the incarnation that sent a
-// drain notice, or of an earlier one, changes nothing.
+// addAcknowledged records that an instance acknowledged an update. A ready status of the incarnation that
+// sent a drain notice, or of an earlier one, changes nothing.
 func (t *drainTracker) addAcknowledged(event Event) {
 	node := event.Node
 	if event.Reason != "" { // the node's address; see nodeDirectory.byAddress
--- a/internal/testbed/invariant_rates.go
+++ b/internal/testbed/invariant_rates.go
@@ -8,8 +8,8 @@
 	"landingpaddle/internal/proto"
 )
 
-// retryBudgetTimes lists the times (Unix nanoseconds) of the requests that one incarnation of an instance received
-// and of the retries that it sent.
+// retryBudgetTimes lists the times (Unix nanoseconds) of the requests that one incarnation of an instance
+// received and of the retries that it sent.
 type retryBudgetTimes struct {
 	requests []int64
 	retries  []int64
@@ -98,7 +98,8 @@
 		bucket.take(plan, event.Time, float64(event.Units))
 		allowance := maxTransitTime + c.outages.allowance(event.Instance, event.Node, event.Time, event.Time)
 		if bucket.level < -plan.LimitSlack-plan.Limit*allowance.Seconds() {
-			c.recordViolation(RuleLimits, event, "volume %d is %.1f units over its rate limit, %.1f are allowed",
+			c.recordViolation(RuleLimits, event,
+				"volume %d is %.1f units over its rate limit, %.1f are allowed",
 				event.Volume, -bucket.level, plan.LimitSlack)
 		}
 	}
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -30,8 +30,8 @@
 	RuleBytes   = "bytes"   // each range read or written has the expected bytes
 )
 
-// maxTransitTime is the maximum time between the log entries of a frame's sender and its receiver on loopback,
-// in addition to the logged stalls.
+// maxTransitTime is the maximum time between the log entries of a frame's sender and its receiver on
+// loopback, in addition to the logged stalls.
 const maxTransitTime = 60 * time.Millisecond
 
 // Numbers that represent no node and no instance.
@@ -101,7 +101,7 @@
 
 func compareTime(a, b Event) int { return cmp.Compare(a.Time, b.Time) }
 
-// recordViolation records that an event violates a rule; the first recordViolation of each rule is also described.
+// recordViolation records that an event violates a rule; the first violation of each rule is also described.
 func (c *invariantChecker) recordViolation(rule string, event Event, format string, args ...any) {
 	verdict := c.verdicts[rule]
 	verdict.Holds = false
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -22,7 +22,8 @@
 	return []ruleScenario{
 		{RuleAnswers, smallScenario(t, readClass, "", readTraffic), AnswerTwice()},
 		{RuleEffects, smallScenario(t, strings.Replace(writeClass, "(in-order)", "", 1), "",
-			`(traffic (class write) (plan free) (rate 400) (volumes 4) (units 1 4) (new-objects))`+connectionResets),
+			`(traffic (class write) (plan free) (rate 400) (volumes 4) (units 1 4) (new-objects))`+
+				connectionResets),
 			Baseline(func(g *Greedy) { g.RetriesInOtherZone = true })},
 		{RuleDrains, smallScenario(t, readClass, "", readTraffic+`(at 500ms (drain (nodes 1)))`),
 			Baseline(func(g *Greedy) { g.SendsToDraining = true })},
--- a/internal/testbed/meter.go
+++ b/internal/testbed/meter.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// recordServed counts units and returns 1 plus the units a second recordServed for the volume in the last completed
-// period, in percent of its rate. It returns 0, which reports nothing, in the first period, with a disabled
-// meter, or for a rate of 0.
+// recordServed counts units and returns 1 plus the units a second served for the volume in the last
+// completed period, in percent of its rate. It returns 0, which reports nothing, in the first period, with a
+// disabled meter, or for a rate of 0.
 func (m *Meter) recordServed(volume uint64, units, rate float64) uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testbed/node_cancel.go
+++ b/internal/testbed/node_cancel.go
@@ -3,8 +3,8 @@
 import "landingpaddle/internal/proto"
 
 // cancelOperation handles the cancellation of an operation. One that will not take effect any more is removed
-// from its deduplication group at once: otherwise a repeat that arrives before a core reaches the cancelled
-// operation would wait for it to take effect, and would not be carried out either.
+// from its deduplication group at once: otherwise a duplicate that arrives before a core reaches the
+// cancelled operation would wait for it to take effect, and would not be executed either.
 func (p *nodeProcess) cancelOperation(op *operation) {
 	p.logOperation(KindCancelArrived, op, 0)
 	model := &p.node.cfg.Model
--- a/internal/testbed/node_dedup.go
+++ b/internal/testbed/node_dedup.go
@@ -20,14 +20,14 @@
 }
 
 // admitKeyed registers an operation with its deduplication group and reports whether it is to be queued. An
-// operation that is cancelled or a repeat is answered; a repeat of one in progress waits for its end and is
-// then passed to enqueue again.
+// operation that is cancelled or a duplicate is answered; a duplicate of one in progress waits for its end
+// and is then passed to enqueue again.
 func (p *nodeProcess) admitKeyed(op *operation) bool {
 	p.mu.Lock()
 	cancelled := op.state == operationCancelled
-	allRepeats, inProgress := false, (<-chan struct{})(nil)
+	allDuplicates, inProgress := false, (<-chan struct{})(nil)
 	if !cancelled {
-		allRepeats, inProgress = p.registerMembers(op)
+		allDuplicates, inProgress = p.registerMembers(op)
 	}
 	p.mu.Unlock()
 	switch {
@@ -38,7 +38,7 @@
 			<-inProgress
 			p.enqueue(op)
 		}()
-	case allRepeats:
+	case allDuplicates:
 		p.answer(op, KindDuplicate, proto.OK)
 	default:
 		return true
@@ -46,10 +46,10 @@
 	return false
 }
 
-// registerMembers registers the members with the group and reports whether all of them are repeats. While an
-// earlier attempt of one is in progress, it registers none and returns a channel that is closed when it may
-// be called again. The caller holds p.mu.
-func (p *nodeProcess) registerMembers(op *operation) (allRepeats bool, wait <-chan struct{}) {
+// registerMembers registers the members with the group and reports whether all of them are duplicates. While
+// an earlier attempt of one is in progress, it registers none and returns a channel that is closed when it
+// may be called again. The caller holds p.mu.
+func (p *nodeProcess) registerMembers(op *operation) (allDuplicates bool, wait <-chan struct{}) {
 	var tokens []uint64
 	var remaining []*member
 	for i := range op.members {
@@ -57,19 +57,19 @@
 			tokens, remaining = append(tokens, m.effectToken()), append(remaining, m)
 		}
 	}
-	repeats, wait := p.dedupGroupOf(op).admit(tokens, p.classOf(op).DedupWindow)
+	duplicates, wait := p.dedupGroupOf(op).admit(tokens, p.classOf(op).DedupWindow)
 	if wait != nil {
 		return false, wait
 	}
-	op.registered, allRepeats = true, true
+	op.registered, allDuplicates = true, true
 	for i, m := range remaining {
-		m.dropped = repeats[i]
-		allRepeats = allRepeats && m.dropped
+		m.dropped = duplicates[i]
+		allDuplicates = allDuplicates && m.dropped
 		if m.dropped {
 			p.logOperation(KindDuplicate, op.withMember(member{Member: m.Member}), proto.OK)
 		}
 	}
-	return allRepeats, nil
+	return allDuplicates, nil
 }
 
 // forgetEffects removes an operation that will never take effect from its group. The caller holds p.mu.
--- a/internal/testbed/node_faults.go
+++ b/internal/testbed/node_faults.go
@@ -69,12 +69,12 @@
 }
 
 // BlockConnections blocks reads and writes on the node's connections for d, but each of them for at most
-// maxStuck; the connections stay open.
+// maxStuckWait; the connections stay open.
 func (f *NodeFaults) BlockConnections(d time.Duration) {
 	f.set(func(f *NodeFaults) { f.stuckUntil = time.Now().Add(d) })
 }
 
-// waitWhileStuck blocks one read or write while connections are stuck, for maxStuck at most.
+// waitWhileStuck blocks one read or write while connections are stuck, for maxStuckWait at most.
 func (f *NodeFaults) waitWhileStuck() {
 	f.mu.Lock()
 	left := time.Until(f.stuckUntil)
--- a/internal/testbed/node_process.go
+++ b/internal/testbed/node_process.go
@@ -59,7 +59,7 @@
 	return p
 }
 
-// run serves connections, carries out operations and keeps the node registered until ctx ends or one of these
+// run serves connections, executes operations and keeps the node registered until ctx ends or one of these
 // fails.
 func (p *nodeProcess) run(ctx context.Context, listener net.Listener) error {
 	cfg := &p.node.cfg
--- a/internal/testbed/node_test.go
+++ b/internal/testbed/node_test.go
@@ -11,10 +11,10 @@
 	"landingpaddle/scheduler"
 )
 
-// A repeat that arrives while the first attempt is in progress is answered after that attempt has taken
-// effect. If the first attempt's connection breaks before, the attempt takes no effect and the repeat is
-// carried out: it must not be answered as done before that.
-func TestNode_AnswersRepeatOnlyAfterTheEffect(t *testing.T) {
+// A duplicate that arrives while the first attempt is in progress is answered after that attempt has taken
+// effect. If the first attempt's connection breaks before, the attempt takes no effect and the duplicate is
+// executed: it must not be answered as done before that.
+func TestNode_AnswersDuplicateOnlyAfterTheEffect(t *testing.T) {
 	for name, breakFirst := range map[string]bool{
 		"the first attempt ends": false,
 		"its connection breaks":  true,
@@ -41,7 +41,7 @@
 						countEvents(node, KindEnd))
 				}
 			case <-time.After(5 * time.Second):
-				t.Fatal("no answer to the repeat within 5 s")
+				t.Fatal("no answer to the duplicate within 5 s")
 			}
 		})
 	}
--- a/internal/testbed/node_work.go
+++ b/internal/testbed/node_work.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// enqueue queues an operation for a core, unless it is a repeat or the queue is full.
+// enqueue queues an operation for a core, unless it is a duplicate or the queue is full.
 func (p *nodeProcess) enqueue(op *operation) {
 	if p.isKeyed(op) && !p.admitKeyed(op) {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// runCore runs one core, which carries out queued operations one after the other until ctx ends.
+// runCore runs one core, which executes queued operations one after the other until ctx ends.
 func (p *nodeProcess) runCore(ctx context.Context) error {
 	var freeAt time.Time
 	for {
@@ -58,7 +58,7 @@
 	}
 }
 
-// execute carries an operation out on a core that has been free since freeAt, and returns the time at which the
+// execute runs an operation on a core that has been free since freeAt, and returns the time at which the
 // core is free again. That time is computed, not measured: a timer that fires late must not make the node
 // slower than its model.
 func (p *nodeProcess) execute(ctx context.Context, op *operation, freeAt time.Time) time.Time {
--- a/internal/testbed/operation.go
+++ b/internal/testbed/operation.go
@@ -7,7 +7,7 @@
 	"landingpaddle/internal/proto"
 )
 
-// operation is work that a node carries out as a whole: one attempt, or several merged ones.
+// operation is work that a node executes as a whole: one attempt, or several merged ones.
 type operation struct {
 	conn     *proto.Conn
 	instance int
@@ -16,7 +16,7 @@
 	members  []member
 	payload  []byte          // bytes of a write
 	data     []byte          // bytes that a read has read
-	sums     []uint64        // by member: checksum of its bytes, once carried out
+	sums     []uint64        // by member: checksum of its bytes, once executed
 	number   uint64          // of this operation among its node's, from 1
 	ctx      context.Context // ends when the operation is cancelled or answered
 	cancel   context.CancelFunc
@@ -38,7 +38,7 @@
 // member is one request's part of an operation.
 type member struct {
 	proto.Member
-	dropped bool // it is a repeat, or was cancelled while queued
+	dropped bool // it is a duplicate, or was cancelled while queued
 }
 
 // effectToken returns the key under which a deduplication group registers a piece of a request.
--- a/internal/testbed/request_trace.go
+++ b/internal/testbed/request_trace.go
@@ -39,7 +39,7 @@
 	cancelledAt int64 // when it was cancelled, its connection ended or its node stopped; 0: not
 	code        proto.Code
 	tookEffect  bool
-	ended       bool   // carried out (KindEnd)
+	ended       bool   // executed (KindEnd)
 	sum         uint64 // checksum of the bytes; 0 until ended
 }
 
@@ -115,7 +115,7 @@
 	return Event{}, false
 }
 
-// countEndEvents returns the number of a request's ends that are of a kind.
+// countEndEvents returns the number of a request's endEvents that are of a kind.
 func (t *requestTrace) countEndEvents(kind Kind) (count int) {
 	for _, event := range t.endEvents {
 		if event.Kind == kind {
--- a/internal/testbed/runner_traffic.go
+++ b/internal/testbed/runner_traffic.go
@@ -152,7 +152,8 @@
 	return drawn, true
 }
 
-// drawKeyAndCell sets a request's key and cell; it returns false if the stream reads new objects and has none yet.
+// drawKeyAndCell sets a request's key and cell; it returns false if the stream reads new objects and has none
+// yet.
 func (r *scenarioRunner) drawKeyAndCell(request *proto.Request, stream *Traffic, rng *rand.Rand) bool {
 	switch {
 	case stream.NewObjects && request.Write:
--- a/internal/testbed/throughput_test.go
+++ b/internal/testbed/throughput_test.go
@@ -146,9 +146,9 @@
 					tb.Errorf("answered with code %d, want OK", code)
 					return
 				}
-				took := time.Since(sentAt)
+				latency := time.Since(sentAt)
 				mu.Lock()
-				_ = latencies.RecordValue(int64(took))
+				_ = latencies.RecordValue(int64(latency))
 				mu.Unlock()
 			}
 		})
@@ -249,7 +249,8 @@
 		full.write, throughputInFlight, direct.rate, direct.percentile(50), direct.percentile(99),
 		through.rate, through.percentile(50), through.percentile(99), 100*through.rate/direct.rate)
 	half := load{requests: full.requests / 2, write: full.write}
-	half.interval = time.Duration(2 / through.rate * float64(time.Second)) // half the rate through the scheduler
+	// Half the rate through the scheduler.
+	half.interval = time.Duration(2 / through.rate * float64(time.Second))
 	direct = measure(ctx, t, paths.direct, half)
 	through = measure(ctx, t, paths.through, half)
 	t.Logf("write %v, half load: direct p50 %v p99 %v; through p50 %v p99 %v", full.write,
--- a/internal/testbed/traffic.go
+++ b/internal/testbed/traffic.go
@@ -17,19 +17,20 @@
 	Volumes         int     `s:"volumes" min:"1" max:"100000"`
 	Units           []int   `s:"units"`                      // minimum and maximum of a request
 	Keys            int     `s:"keys" min:"0" max:"1000000"` // of each volume; 0: requests have no key
-	NewObjects      bool    `s:"new-objects"`                // writes create objects, reads request some of them
+	NewObjects      bool    `s:"new-objects"`                // writes create objects, reads use some of them
 	HotShare        float64 `s:"hot" min:"0" max:"1"`        // share of requests for the first volume
 	VolumeInstances int     `s:"writers" min:"1" max:"512"`  // instances that receive a volume's requests
 	Fields          *Fields `s:"fields"`
 }
 
 // Fields makes a stream request byte ranges of fields: one field a volume, one slice a request. The slices
-// are random and requested at the stream's rate or, if Run is set, all requested at about the same time.
+// are random and requested at the stream's rate or, if RunInterval is set, all requested at about the same
+// time.
 type Fields struct {
 	Size        sexpr.Size    `s:"size,required" min:"1B" max:"1GiB"`
 	Slice       sexpr.Size    `s:"slice,required" min:"1B" max:"64MiB"`
 	Shared      bool          `s:"shared"`                   // all volumes use the first one's field
-	RunInterval time.Duration `s:"run" min:"0s" max:"10m"`   // interval of requests for all slices; 0: at random
+	RunInterval time.Duration `s:"run" min:"0s" max:"10m"`   // interval of requests for all slices; 0: random
 	RunSpread   time.Duration `s:"spread" min:"0s" max:"1m"` // time over which a run's requests spread
 }
 
@@ -44,7 +45,7 @@
 	}
 }
 
-// sliceCount returns the number of sliceCount of a field.
+// sliceCount returns the number of slices of a field.
 func (f *Fields) sliceCount() uint64 { return uint64((f.Size + f.Slice - 1) / f.Slice) }
 
 // volumeNumber returns the number of a plan's volume; both parameters count from 1.
