--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -22,8 +22,8 @@
 // exampleClock is the encoded clock of the batches in the protocol's documentation.
 const exampleClock = "90bf68f501000000"
 
-// frameOf returns the frame of a batch at pageClock, of less than 64 KiB. count, the number of records, and
-// body, the records, are in the notation of unhex.
+// frameOf returns the frame of a batch at exampleClock, of less than 64 KiB. count, the number of records,
+// and body, the records, are in the notation of unhex.
 func frameOf(t testing.TB, count, body string) []byte {
 	t.Helper()
 	frame := unhex(t, count+"00000000"+exampleClock+body)
--- a/internal/wire/site.go
+++ b/internal/wire/site.go
@@ -54,7 +54,7 @@
 // MachineType returns the number of the machine type with a name, or 255 if the settings do not list it.
 func (s *Site) MachineType(name string) uint8 { return numberOf(s.MachineTypes, name) }
 
-// numberOf returns the index of a name in a list of the settings, in which listWord replaced commas and
+// numberOf returns the index of a name in a list of the settings, in which listElement replaced commas and
 // spaces; 255 if it is missing.
 func numberOf(names []string, name string) uint8 {
 	if index := slices.Index(names, listElement(name)); index >= 0 && index < unknownNumber {
