--- a/internal/testbed/runner_test.go
+++ b/internal/testbed/runner_test.go
@@ -55,8 +55,10 @@
 			if served++; event.Instance != 1 {
 				t.Errorf("request %d was served by the killed instance", event.Token)
 			}
-			if latency := time.Duration(event.Time - firstSent[event.Token]); latency > time.Second+maxTransitTime {
-				t.Errorf("request %d was served after %v, want within its timeout of 1 s", event.Token, latency)
+			latency := time.Duration(event.Time - firstSent[event.Token])
+			if latency > time.Second+maxTransitTime {
+				t.Errorf("request %d was served after %v, want within its timeout of 1 s",
+					event.Token, latency)
 			}
 		}
 	}
