--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// request is a client's request, from its admission until it is answered and has no attempt in flight.
+// request is a client's request, from its admission until it is answered or withdrawn and has no attempt in
+// flight.
 type request struct {
 	Request
 	class           *class
@@ -24,7 +25,7 @@
 	attempts        int
 	quotaCharged    bool
 	queued          bool
-	answered        bool
+	answered        bool          // or withdrawn
 	slotsReleased   bool          // its attempt uses no slots (as a member), or no longer does (as lost)
 	sendRefs        []sendRef     // references to the send records of its attempts
 	uncertainAt     time.Duration // end of its last attempt that may still be running at the node; 0: none
@@ -84,8 +85,8 @@
 // objectiveTime returns when a request's latency objective ends. The objective of a client's retry counts
 // from its first try, which is assumed to have had the longest wait that clients of the class allow. It
 // counts from now for a request with less time left than the objective, which is a first try with a short
-// timeout or a retry so late that the choice matters little; and, where clients mark their retries, for all
-// unmarked requests.
+// timeout or a retry so close to its deadline that the choice has little effect; and, where clients mark
+// their retries, for all unmarked requests.
 func (s *Scheduler) objectiveTime(r *request) time.Duration {
 	at := r.ExpiresAt
 	if objective := r.class.LatencyObjective; objective > 0 {
--- a/scheduler/characterization_test.go
+++ b/scheduler/characterization_test.go
@@ -13,8 +13,8 @@
 )
 
 // characterization is one run of the random driver, with the expected hash of all actions that the scheduler
-// returns in it and of its state and statistics at the end. The hashes were recorded before the package was
-// restructured: a change that preserves behaviour must not change them.
+// returns in it and of its state and statistics at the end. The hashes were recorded with an earlier version
+// of the package: a change that preserves behaviour must not change them.
 type characterization struct {
 	name             string
 	seed             uint64
@@ -54,7 +54,7 @@
 	s.ShareWeight, s.SpareWeight = 0.35, 0.08
 }
 
-// The scheduler returns the same actions as before the package was restructured.
+// The scheduler returns the same actions as the version with which the hashes were recorded.
 func TestScheduler_ActionsMatchCharacterization(t *testing.T) {
 	for _, c := range characterizations() {
 		t.Run(c.name, func(t *testing.T) {
@@ -146,7 +146,8 @@
 		formatFloat(g.MeanTime), formatFloat(g.MeanSquare), formatFloat(g.MeanProduct))
 }
 
-// writeState writes the node states and the statistics of a scheduler into the hash.
+// writeState writes the node states and the statistics of a scheduler into the hash, in the words used when
+// the hashes were recorded.
 func writeState(sum hash.Hash, scheduler *Scheduler) {
 	for _, n := range scheduler.NodeStates() {
 		fmt.Fprintf(sum, "node %s status=%d out=%d used=%s depth=%s latency=%d fails=%d\n",
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -17,13 +17,15 @@
 	targetLatencyFraction = 0.1  // target latency at a node, as a fraction of the shortest objective
 	extraSlots            = 8.0  // added to the limit at latency 0, for start tags up to the virtual time
 	extraSlotsThreshold   = 0.5  // of the shortest objective: latency from which there are no extra slots
-	minAdaptPeriod        = 50 * time.Millisecond
+	// minAdaptPeriod is the minimum period after which a node's depth is adapted; the period is the node's
+	// latency where that is longer.
+	minAdaptPeriod = 50 * time.Millisecond
 )
 
 // exceedsSlots reports whether a request must wait for slots of its shard's node. Where none are in use, any
 // slot cost fits. Pacing (isPaced) holds back requests whose start tag is beyond the virtual time, and all
-// new objects: they are not bound to this node, and where few nodes are ready the new objects of all
-// instances would starve the reads that are bound to it.
+// new objects: any node can store these, and where few nodes are ready, the new objects of all instances
+// would starve the reads that only this node can serve.
 func (s *Scheduler) exceedsSlots(queue *shardQueue, r *request) bool {
 	n, limit := queue.node, s.slotLimit(queue, r)
 	if n.slotsUsed > 0 && n.slotsUsed+r.slotCost > limit {
--- a/scheduler/endpoint_watch.go
+++ b/scheduler/endpoint_watch.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// watchReopenDelay is the minimum delay before a failed watch is reopened, unless PushGrace requires a
-	// shorter one; the maximum is twice as long.
+	// watchReopenDelay is the minimum delay before a failed watch is reopened; the maximum is twice as long.
+	// Both are shorter if PushGrace requires it, and after an established watch broke.
 	watchReopenDelay = 750 * time.Millisecond
 	// brokenWatchDelayDivisor divides the first delay after an established watch broke; the divisor halves
 	// with each further failure.
 	brokenWatchDelayDivisor = 8
-	// reopenDelaysPerPushGrace is the number of reopen delays that fit into PushGrace.
+	// reopenDelaysPerPushGrace is the number of minimum reopen delays that fit into PushGrace, so that the
+	// longest delay is half of it.
 	reopenDelaysPerPushGrace = 4
 )
 
--- a/scheduler/endpoint_watch_test.go
+++ b/scheduler/endpoint_watch_test.go
@@ -65,9 +65,9 @@
 
 // A watch that was established and broke can mostly be reopened at once, and until then the list is out of
 // date, so it is reopened after a short delay. An instance counts as notified soon after an update was made,
-// even of one that its watch missed, so failed requests are also repeated sooner, after delays that double up
-// to the usual one. A watch that was never established is reopened after the usual delay, as the registry is
-// down or overloaded.
+// even if its watch missed that update, so failed attempts to reopen the watch are also repeated sooner,
+// after delays that double up to the usual one. A watch that was never established is reopened after the
+// usual delay, as the registry is down or overloaded.
 func TestEndpointWatch_BrokenWatchIsReopenedSooner(t *testing.T) {
 	settings := pollingSettings()
 	settings.PollTimeout = 10 * time.Second
@@ -94,8 +94,9 @@
 	}
 }
 
-// Where the list is pushed, an instance counts as notified as soon as a change is made: a watch that failed
-// or received nothing is reopened well within the drain's grace, after any number of failures.
+// Where the list is pushed, an instance counts as notified of a change as soon as it is made: a watch that
+// failed or received nothing is reopened well within the drain grace, to which drivers set PushGrace, after
+// any number of failures.
 func TestEndpointWatch_PushedWatchIsReopenedWithinGrace(t *testing.T) {
 	settings := pollingSettings()
 	settings.DrainGrace, settings.PushGrace = 700*ms, 700*ms
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -11,7 +11,7 @@
 	latencyHalfLife    = 500 * time.Millisecond // age at which a node's latency counts half
 	regressionMinCount = 16.0                   // answers before latency is corrected for size
 	regressionWindow   = 512.0                  // answers over which a regression averages
-	medianStep         = 0.05                   // step of the running median / the larger of it and the mean
+	medianStep         = 0.05                   // fraction of max(median, mean) by which the median moves
 	recentMeanWindow   = 16.0                   // attempts over which the recent mean of all nodes is taken
 )
 
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -35,8 +35,8 @@
 }
 
 // isLost reports whether a timeout indicates a fault of the node. It does so only if the node has answered
-// nothing since the attempt was sent and the wait was long enough: otherwise that one attempt was lost, or
-// the client's wait was short. A timeout while this process stalled indicates nothing.
+// nothing since the attempt was sent and the wait was long enough: otherwise only that attempt's answer is
+// missing, or the client's wait was short. A timeout while this process stalled indicates nothing.
 func (s *Scheduler) isLost(n *node, r *request, result AttemptResult) bool {
 	return result.Code == TimedOut && !s.review.stalled && n.lastAnswerAt <= r.sentAt &&
 		result.Latency > min(n.latency, s.objectives.shortest/2)
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -67,7 +67,7 @@
 	}
 	failing.errorRate = 0
 	if queue := driver.scheduler.placeNewObject(r); queue.node != failing {
-		t.Error("node without errors on either: got the slower one, want the faster one")
+		t.Error("node, with no errors at either: got the slower one, want the faster one")
 	}
 }
 
--- a/scheduler/result.go
+++ b/scheduler/result.go
@@ -93,8 +93,8 @@
 	s.finish(r)
 }
 
-// finish closes a request that has its answer. While an attempt is in flight, the request remains in the
-// table and keeps its place in its key's order.
+// finish closes a request that is answered or withdrawn. While an attempt is in flight, the request remains
+// in the table and keeps its place in its key's order.
 func (s *Scheduler) finish(r *request) {
 	s.backlog.dequeue(r)
 	if r.attempts == 0 {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -63,7 +63,7 @@
 }
 
 // unusualRequests returns requests for all combinations of listed and unlisted cells, sizes from zero to very
-// large, and deadlines from past to near.
+// large, and deadlines from the past to one second ahead.
 func unusualRequests(driver *testDriver) (requests []Event) {
 	for _, cell := range []int{0, 5, NewObject} {
 		for _, units := range []float64{0, 1, 1000} {
@@ -151,7 +151,7 @@
 	for _, nodes := range []int{10, 100, 1000} {
 		for _, rate := range []int{1_000, 10_000, 100_000} {
 			for _, startKnown := range []bool{false, true} {
-				// A known start time that is long ago: the send records must not be searched for it.
+				// With a known start time long ago, the node is warm: its send records must not be scanned.
 				startedAt := time.Duration(0)
 				if startKnown {
 					startedAt = time.Second
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -44,18 +44,18 @@
 // Plan is a service plan as the settings describe it. Rates are in units per second over all instances and
 // nodes.
 type Plan struct {
-	Rate           float64
+	Rate           float64 // nominal rate, to which AttemptResult.MeteredRate refers
 	Reserve        float64 // guaranteed rate
 	Weight         float64 // of the fair share beyond the reserve
 	Limit          float64 // rate of the quota; 0: no quota
 	Burst          float64 // units that the quota's bucket holds
-	LimitSlack     float64 // excess over the quota that is tolerated; not used
+	LimitSlack     float64 // units by which the quota may be exceeded; the scheduler does not use it
 	PriorityWeight float64 // value of the plan's answers; 0: not set
 }
 
 // Settings configure a Scheduler. They do not change during its lifetime.
 //
-// They are part of a site's settings. Some are read by drivers only, and no decision depends on them yet:
+// They are part of a site's settings. Some are read only outside this package; no decision depends on them:
 // HealthChecks, PeerMessages, Cancellation, HedgedRequests, ConnectTimeout, BatchInterval, MeterPeriod,
 // SpareWeight, DrainGrace, LoadFields, Zone and ReportsElsewhere, and of a Class or Plan Deadline, Writes,
 // LateFraction, Rate and LimitSlack.
