--- a/checkpoint/record_test.go
+++ b/checkpoint/record_test.go
@@ -91,7 +91,7 @@
 
 // Each key is a part of the error text that is expected after the change.
 func TestValidate_RejectsUnusableRecords(t *testing.T) {
-	for want, spoil := range map[string]func(r *Record){
+	for want, corrupt := range map[string]func(r *Record){
 		"no time":              func(r *Record) { r.WrittenAt = 0 },
 		"of instance 3":        func(r *Record) { r.Fingerprint.Instance = 3 },
 		"in the future":        func(r *Record) { r.WrittenAt = wall + int64(2*time.Minute) },
@@ -104,7 +104,7 @@
 	} {
 		t.Run(want, func(t *testing.T) {
 			r := record()
-			spoil(&r)
+			corrupt(&r)
 			err := r.Validate(wall, fingerprint())
 			var invalid *InvalidRecordError
 			if !errors.As(err, &invalid) || !strings.Contains(err.Error(), want) {
