--- a/cmd/storage-gateway/call.go
+++ b/cmd/storage-gateway/call.go
@@ -52,8 +52,8 @@
 		Write:     c.Write,
 	})
 	client.Close()
-	ended := result.CountByCode
-	fmt.Fprintf(out, "served %d, refused %d, failed %d, no answer %d; mean %v\n", ended[proto.OK],
-		ended[proto.Rejected], ended[proto.Failed], ended[0], result.MeanLatency.Round(time.Microsecond))
+	counts := result.CountByCode
+	fmt.Fprintf(out, "served %d, refused %d, failed %d, no answer %d; mean %v\n", counts[proto.OK],
+		counts[proto.Rejected], counts[proto.Failed], counts[0], result.MeanLatency.Round(time.Microsecond))
 	return writeLog(nil, events, c.Log)
 }
--- a/cmd/storage-gateway/check.go
+++ b/cmd/storage-gateway/check.go
@@ -33,8 +33,8 @@
 	return err
 }
 
-// defaultSettings returns a pointer to the default settings of the form with a head, or nil if the head is
-// unknown.
+// defaultSettings returns a pointer to the default settings of the form with the given head, or nil if the
+// head is unknown.
 func defaultSettings(head string) any {
 	switch head {
 	case "instance":
--- a/cmd/storage-gateway/scenario.go
+++ b/cmd/storage-gateway/scenario.go
@@ -63,8 +63,8 @@
 	return scenario, err
 }
 
-// checkMergingEnabled returns an error if a scenario's site does not merge requests, so that there is nothing
-// to compare.
+// checkMergingEnabled returns an error if a scenario's site has no extents: its requests are never merged, so
+// that there is nothing to compare.
 func checkMergingEnabled(scenario *testbed.Scenario) error {
 	if scenario.Site.Extents == nil {
 		return fmt.Errorf("%s: the site has no (extents …) form: requests are not merged", scenario.Name)
