--- a/expect/check.go
+++ b/expect/check.go
@@ -22,8 +22,8 @@
 	return findings
 }
 
-// check measures every case of one expectation and returns the worst as its finding, or an undecided one if
-// nothing can be measured.
+// check measures every case of one expectation and returns the worst as its finding. The finding is undecided
+// if the measure depends on the scheduler, if there are too many cases, or if there is nothing to measure.
 func (m *Model) check(e Expectation) Finding {
 	if e.Measure == Send {
 		return undecided(e, "the send order depends on the scheduler's behaviour, which is not explored yet")
@@ -114,7 +114,7 @@
 	return strings.Join(names, " and ")
 }
 
-// binomial returns the binomial coefficient n over k, as exactly as a float64 represents it.
+// binomial returns the binomial coefficient n over k, rounded to an integer; large results are approximate.
 func binomial(n, k int) float64 {
 	count := 1.0
 	for i := range k {
--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -97,7 +97,7 @@
 	e := Expectation{Measure: Reach, Of: Selector{Volumes, "*"}, Missing: &Missing{4, Selector{Nodes, "*"}}}
 	got := New(f).Check([]Expectation{e})[0]
 	if got.Verdict != Undecided || got.CasesChecked != 0 || !strings.Contains(got.Reason, "6.47e+07 cases") {
-		t.Errorf("got %+v, want undecided, no case checked, and their number", got)
+		t.Errorf("got %+v, want undecided, no case checked, and the number of cases in the reason", got)
 	}
 }
 
--- a/expect/expectation.go
+++ b/expect/expectation.go
@@ -36,7 +36,7 @@
 	Reserve Measure = "reserve"   // reserves on a node or in a zone, relative to its capacity
 	Share   Measure = "share"     // a volume's share of a node on which all volumes are active, by weight
 	Limit   Measure = "limit"     // rate that all instances together grant a volume, relative to its limit
-	Cold    Measure = "cold"      // one mean-sized request per instance, relative to a cold node's window
+	Cold    Measure = "cold"      // one mean-sized request per instance, relative to a cold node's capacity
 	Send    Measure = "send"      // attempts sent; always undecided: the send order depends on the scheduler
 )
 
--- a/expect/measure.go
+++ b/expect/measure.go
@@ -110,7 +110,7 @@
 }
 
 // ratio returns a as a fraction of b. If b is not positive, it returns a value above any bound for a positive
-// a, and 0 otherwise. It returns no infinity: that means that nothing was measured.
+// a, and 0 otherwise. It never returns infinity, by which worstCase recognizes that nothing was measured.
 func ratio(a, b float64) float64 {
 	switch {
 	case b > 0:
