--- a/extent/answer.go
+++ b/extent/answer.go
@@ -22,9 +22,9 @@
 
 // Resolve records a piece's final outcome as decided by the scheduler, with the bytes of a read that was
 // served. It returns the request's answer if this outcome decides it, and the request's unresolved pieces,
-// which need no result any more: the caller reports them to the scheduler as pieces whose client has
-// disconnected. The first piece that is not served ends its request. A rejection is returned as a failure if
-// a piece may have run and a retry of the request is not safe.
+// which need no result any more: the caller reports them to the scheduler as withdrawn. The first piece that
+// is not served ends its request. A rejection is returned as a failure if a piece may have run and a retry of
+// the request is not safe.
 func (p *Planner) Resolve(id uint32, outcome Outcome, data []byte) (answer *Answer, withdrawn []uint32) {
 	x := p.pieces[id]
 	if x == nil || x.resolved {
--- a/extent/operation.go
+++ b/extent/operation.go
@@ -10,7 +10,7 @@
 	Members    []Piece // the leader first
 }
 
-// SealOperation records that the last attempts of these pieces, the leader first, form one operation,
+// SealOperation records that the latest attempts of these pieces, the leader first, form one operation,
 // and returns it.
 func (p *Planner) SealOperation(ids []uint32) Operation {
 	p.Stats.Operations++
--- a/extent/planner.go
+++ b/extent/planner.go
@@ -18,7 +18,7 @@
 //
 // The caller reports the events of each piece in this order: Add, then any number of AttemptSent and
 // AttemptEnded, then Resolve once the scheduler has returned the final result, or Abandon for the whole
-// request; finally Forget, when no attempt of the piece is in flight any more.
+// request, then AttemptEnded for the attempts that are still in flight; finally Forget, when none is.
 type Planner struct {
 	settings Settings
 	requests map[uint64]*request
--- a/extent/planner_model_test.go
+++ b/extent/planner_model_test.go
@@ -107,7 +107,8 @@
 	d.now++
 }
 
-// add adds a random request. With few volumes, classes and plans, and offsets on a coarse grid, many touch.
+// add adds a random request. Most use the first volume, class and plan, as their draws are divided by 9, and
+// offsets are multiples of 4, so that many requests touch.
 func (d *plannerDriver) add() {
 	offset := 4 * rapid.Uint64Range(0, diskSize/4-1).Draw(d.t, "offset")
 	length := min(diskSize-offset, 4*rapid.Uint64Range(1, 15).Draw(d.t, "length"))
--- a/extent/planner_test.go
+++ b/extent/planner_test.go
@@ -41,7 +41,7 @@
 }
 
 // Pieces of the leader's extent that touch its operation join it; reads may also overlap it, writes must not.
-// Wanted are the members' IDs and the operation's units.
+// The field want lists the IDs of the pieces that join and the operation's units.
 func TestPropose_JoinsNeighboursOnly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/extent/scheduler_test.go
+++ b/extent/scheduler_test.go
@@ -321,7 +321,7 @@
 	scheduler.Overloaded,
 }
 
-// endOperation ends an operation that is due and not lost; of another one only the expired members.
+// endOperation ends an operation that is due and not lost; of any other, it ends only the expired members.
 func (d *jointDriver) endOperation(o *operation) {
 	hasEnded := o.end <= d.now && !o.lost
 	code := scheduler.OK
--- a/extent/split.go
+++ b/extent/split.go
@@ -19,7 +19,7 @@
 }
 
 // overlaps reports whether the ranges share a byte. If the end of other overflows, other extends to the
-// last byte: the ranges in a node's answer are not checked before.
+// last byte: the ranges in a node's answer are not validated.
 func (r Range) overlaps(other Range) bool {
 	overflows := other.End() < other.Offset
 	return other.Offset < r.End() && (r.Offset < other.End() || overflows)
