--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -11,9 +11,9 @@
 //
 // Streams, ConnectTimeout, IdleTimeout and SilenceTimeout apply to each connection from an instance to a
 // node, NodeConnections to an instance's connections to one node, ClientConnections and MaxOpenRequests to
-// one instance. ResponseMargin is the part of a client's timeout that is reserved for the return latency,
-// ClockSkew the largest difference between the clocks of a node and an instance. The fields that
-// scheduler.Settings has too are described there.
+// one instance. MaxPayload is the largest payload of one request or response. ResponseMargin is the part of a
+// client's timeout that is reserved for the return latency, ClockSkew the largest difference between the
+// clocks of a node and an instance. The fields that scheduler.Settings has too are described there.
 type Limits struct {
 	MaxAttempts       int           `s:"attempts" min:"1" max:"16"`
 	MaxOpenRequests   int           `s:"open" min:"1" max:"1000000"`
