--- a/internal/sexpr/include.go
+++ b/internal/sexpr/include.go
@@ -75,7 +75,7 @@
 		return nil, Errorf(node.Pos, `(include …) requires one path, such as (include "site.lisp")`)
 	}
 	path := resolvePath(node.List[1].Text, chain[len(chain)-1])
-	if err := r.checkBounds(node, path, chain); err != nil {
+	if err := r.checkInclude(node, path, chain); err != nil {
 		return nil, err
 	}
 	included, err := r.read(path, chain)
@@ -93,8 +93,8 @@
 	return filepath.Clean(path)
 }
 
-// checkBounds returns an error for an include that is part of a cycle or exceeds the limits.
-func (r *treeReader) checkBounds(node *Node, path string, chain []string) error {
+// checkInclude returns an error for an include that is part of a cycle or exceeds the limits.
+func (r *treeReader) checkInclude(node *Node, path string, chain []string) error {
 	switch first := slices.Index(chain, path); {
 	case first >= 0:
 		cycle := append(slices.Clone(chain[first:]), path)
