--- a/internal/daemon/attempt.go
+++ b/internal/daemon/attempt.go
@@ -88,7 +88,7 @@
 	code     scheduler.ResultCode
 	answer   proto.Answer // the node's answer to the whole operation
 	payload  []byte       // the attempt's part of the answer's data
-	isLeader bool         // the attempt led its operation: the answer's rate and units are its volume's
+	isLeader bool         // if so, the answer's MeteredRate and ElsewhereUnits are those of its volume
 }
 
 // attemptEnded records how an attempt ended and reports it to the scheduler. The first attempt that succeeds
--- a/internal/daemon/call.go
+++ b/internal/daemon/call.go
@@ -13,7 +13,7 @@
 // submits the call; from then on the loop owns it.
 type Call struct {
 	Responder  Responder
-	Request    scheduler.Request // all but ID and ExpiresAt
+	Request    scheduler.Request // the loop sets ID and ExpiresAt
 	ReceivedAt time.Duration     // when the request was read, by the scheduler's clock
 	Timeout    time.Duration     // how long the client waits, counted from ReceivedAt
 	Token      uint64            // identifies the call in logs
@@ -35,7 +35,7 @@
 // startCall passes a submitted call to the scheduler: as one request, or as one for each piece of its range.
 func (l *loop) startCall(call *Call) {
 	expiresAt := call.ReceivedAt + call.Timeout - l.shared.cfg.ResponseMargin
-	call.overdueTimer = l.timers.set(expiresAt+l.shared.cfg.AnswerSlack, func() { l.answerOverdue(call) })
+	call.overdueTimer = l.timers.set(expiresAt+l.shared.cfg.AnswerSlack, func() { l.failOverdue(call) })
 	event := call.Request
 	event.ExpiresAt = expiresAt
 	if call.Range != nil {
@@ -77,9 +77,9 @@
 	}
 }
 
-// answerOverdue fails a call that the scheduler has not answered when its time is up, and logs that as an
+// failOverdue fails a call that the scheduler has not answered when its time is up, and logs that as an
 // error: it is a bug of the scheduler or the loop.
-func (l *loop) answerOverdue(call *Call) {
+func (l *loop) failOverdue(call *Call) {
 	if !call.answered && l.eventsPending {
 		// If the loop's goroutine did not run for a long period, an attempt's end and this timer may be
 		// processed in one batch. The scheduler has received the end but not decided yet; it decides first.
@@ -147,8 +147,8 @@
 	call.Responder.Respond(answer, payload)
 }
 
-// logUnserved logs a rejection or failure, and the state and node of each piece of a partly done write, which
-// is recorded nowhere else.
+// logUnserved logs a rejection or failure and, for a partly done write, the state and node of each piece, as
+// these are recorded nowhere else.
 func (l *loop) logUnserved(call *Call, answer proto.Answer) {
 	l.shared.log.Debug(answerLogMessage(answer.Code), keyReason, answer.Reason, keyToken, call.Token,
 		keyRetryAfter, answer.RetryAfter)
--- a/internal/daemon/client_listener_test.go
+++ b/internal/daemon/client_listener_test.go
@@ -37,7 +37,7 @@
 	env.addNode(0, echo)
 	instance := env.start(func(cfg *Config) { cfg.Site.Limits.MaxOpenRequests = 2000 })
 	env.awaitLog("node listed")
-	// Each client allows 128 * 64 requests in flight.
+	// Each connection allows 128 * 64 requests in flight: the default stream limit times clientStreamFactor.
 	clients := []*testClient{env.connectClient(), env.connectClient()}
 	for range 5000 {
 		for _, client := range clients {
--- a/internal/daemon/client_request.go
+++ b/internal/daemon/client_request.go
@@ -13,7 +13,7 @@
 const (
 	// maxClientTimeout is the longest time-out that a client may state.
 	maxClientTimeout = time.Hour
-	maxCell          = 1<<16 - 1 // the endpoint list states cells in 16 bits
+	maxCell          = 1<<16 - 1 // cells have 16 bits in the endpoint list
 )
 
 // clientRequest is a client's request as received on its connection, and the Responder of its call.
--- a/internal/daemon/drivers.go
+++ b/internal/daemon/drivers.go
@@ -14,8 +14,9 @@
 	Decide(now time.Duration) []scheduler.Action
 }
 
-// Drivers execute the scheduler's actions. The native protocol and the platform have one implementation each.
-// The loop calls them from a single goroutine; none of them may block.
+// Drivers execute the scheduler's actions. There are two implementations: that of the native protocol, which
+// Instance uses, and that of package platform. The loop calls them from a single goroutine; none of them may
+// block.
 type Drivers struct {
 	Upstream  Upstream
 	Endpoints EndpointSource
--- a/internal/daemon/endpoint_list_test.go
+++ b/internal/daemon/endpoint_list_test.go
@@ -10,7 +10,7 @@
 )
 
 // A node sends a drain notice on its connection while requests are in flight. From 100 ms after the notice
-// was processed it receives no more requests, although the endpoint list still has it as ready.
+// was processed it receives no more requests, although it is still ready in the endpoint list.
 func TestEventLoop_SendsNothingAfterDrainNotice(t *testing.T) {
 	env := newTestEnvironment(t)
 	node := env.addNode(0, echo)
--- a/internal/daemon/event_loop.go
+++ b/internal/daemon/event_loop.go
@@ -14,8 +14,8 @@
 	"landingpaddle/scheduler"
 )
 
-// clockStart is the scheduler's clock at an instance's start. It keeps the times of recent starts of nodes
-// above 0, which would mean a start long ago.
+// clockStart is the time of the scheduler's clock when an instance starts. It keeps the start times of
+// recently started nodes above 0, as a start time of 0 means long ago.
 const clockStart = time.Hour
 
 // EventLoopConfig configures an event loop, independently of the protocols of its drivers.
@@ -42,7 +42,7 @@
 	// InitialList is the endpoint list at the start, used if Snapshot has no path.
 	InitialList endpoints.Snapshot
 	// TrustInitialList states that the registry's updates build on the initial list, so that changes can be
-	// applied to it before a full list was received.
+	// applied to it before a full list is received.
 	TrustInitialList bool
 
 	// StatisticsFile is the path of the checkpoint of statistics; "": none is kept.
--- a/internal/daemon/instance.go
+++ b/internal/daemon/instance.go
@@ -118,7 +118,7 @@
 // Addr returns the address for clients.
 func (i *Instance) Addr() net.Addr { return i.cfg.Listener.Addr() }
 
-// PeerAddr returns the address for messages from other instances; the zero value without peers.
+// PeerAddr returns the address for messages from other instances; the zero value if PeerListen is "".
 func (i *Instance) PeerAddr() netip.AddrPort {
 	if i.peers == nil {
 		return netip.AddrPort{}
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -9,9 +9,9 @@
 	keyCause            = "cause"
 	keyCell             = "cell"
 	keyClasses          = "classes" // number of classes with restored statistics
-	keyClient           = "client"  // number that the client states
+	keyClient           = "client"  // number in the client's Hello
 	keyCode             = "code"
-	keyCounters         = "all"
+	keyCounters         = "all" // group of the counters of Stats
 	keyDataVolume       = "data_volume"
 	keyError            = "error"
 	keyInFlight         = "in_flight" // number of operations
@@ -25,8 +25,8 @@
 	keyOffset           = "offset" // bytes
 	keyPath             = "path"
 	keyReason           = "reason"
-	keyRegistry         = "registry" // address
-	keyRequestsInFlight = "requests_in_flight"
+	keyRegistry         = "registry"           // address
+	keyRequestsInFlight = "requests_in_flight" // includes queued requests
 	keyRetryAfter       = "retry_after"
 	keyRole             = "role"
 	keySavedNodes       = "saved_nodes"
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -75,7 +75,7 @@
 		if stopRequested == nil && len(l.requests) == 0 && l.shared.openCalls.Load() == 0 {
 			return nil
 		}
-		l.schedule(wakeup)
+		l.resetWakeup(wakeup)
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
@@ -109,8 +109,8 @@
 	l.decide()
 }
 
-// schedule sets wakeup to fire when the next timer is due.
-func (l *loop) schedule(wakeup *time.Timer) {
+// resetWakeup sets wakeup to fire when the next timer is due, or after maxIdleWait if none is set.
+func (l *loop) resetWakeup(wakeup *time.Timer) {
 	if dueAt, ok := l.timers.next(); ok {
 		wakeup.Reset(max(0, dueAt-l.shared.Now()))
 	} else {
--- a/internal/daemon/operation.go
+++ b/internal/daemon/operation.go
@@ -61,7 +61,7 @@
 
 // sendableOperations returns the sealed operations to send in place of an operation: the operation itself
 // or, if some members have ended already or are withheld because their request has ended or their time is up,
-// a separate operation for each other member, as their ranges may not touch any more.
+// a separate operation for each other member, as their ranges may no longer be contiguous.
 func (l *loop) sendableOperations(operation *Operation) []*Operation {
 	var remaining []*attempt
 	for _, member := range operation.members {
@@ -82,8 +82,8 @@
 }
 
 // separateOperations returns a sealed operation for each attempt. Of several attempts of one ordered key only
-// the first is sent; the others are reported to the scheduler as not sent, because nodes may execute
-// operations in flight together in any order.
+// the first is sent; the others are reported to the scheduler as not sent, because a node may execute
+// concurrent operations in any order.
 func (l *loop) separateOperations(attempts []*attempt) []*Operation {
 	var operations []*Operation
 	sentKeys := map[uint64]bool{}
@@ -132,7 +132,7 @@
 	}
 }
 
-// unreadableRanges returns the ranges of an operation that its node could not serve.
+// unreadableRanges returns the ranges, relative to the operation's first byte, that the node could not serve.
 func unreadableRanges(answer proto.Answer) []extent.Range {
 	var ranges []extent.Range
 	for _, unreadable := range answer.Unreadable {
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -61,7 +61,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	// Closes the other instance's socket.
+	// As ctx has ended, Run only closes the other instance's socket.
 	_ = other.Run(ctx, func(scheduler.PeerMessage) {})
 }
 
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -13,8 +13,8 @@
 	submitPollInterval = time.Millisecond
 )
 
-// failOpenCalls answers all open calls as failed when the shutdown timeout is over. These include calls that
-// were admitted before the stop and are not submitted yet, which would otherwise wait for ever.
+// failOpenCalls answers all open calls as failed after the shutdown timeout has expired. These include calls
+// that were admitted before the stop and are not submitted yet, which would otherwise never be answered.
 func (l *loop) failOpenCalls() {
 	stopping := proto.Answer{Code: proto.Failed, Reason: ReasonStopping}
 	for _, r := range l.requests {
--- a/internal/daemon/upstream_pool.go
+++ b/internal/daemon/upstream_pool.go
@@ -70,8 +70,8 @@
 		return
 	}
 	limits := p.instance.cfg.Site.Limits
-	// The connections being established have no stream left for another operation.
 	if len(node.waiting) >= node.dialing*limits.Streams {
+		// The connections being established have no stream left for another operation.
 		if len(node.connections)+node.dialing >= limits.NodeConnections {
 			p.instance.inbox.put(operationResult{operation: operation, code: scheduler.ConnectFailed})
 			return
--- a/internal/daemon/upstream_request.go
+++ b/internal/daemon/upstream_request.go
@@ -13,8 +13,8 @@
 	copied  int    // bytes of the payload that were copied to merge writes
 }
 
-// encode builds the request of an operation. Its time-out is the time left of the most urgent member; the
-// loop ends each member at its own deadline.
+// encode builds the request of an operation. Its time-out is the time left until the earliest deadline of its
+// members; the loop ends each member at its own deadline.
 func (o *Operation) encode(now time.Duration) upstreamRequest {
 	leader := o.members[0]
 	header := clientRequestOf(leader).header
@@ -41,19 +41,19 @@
 		request.payload = make([]byte, o.extent.Range.Length)
 	}
 	for i, member := range o.members {
-		client, slice := &clientRequestOf(member).header, o.extent.Slice(o.extent.Members[i])
+		clientHeader, slice := &clientRequestOf(member).header, o.extent.Slice(o.extent.Members[i])
 		request.header.Timeout = min(request.header.Timeout, member.deadline-now)
 		request.header.Members = append(request.header.Members, proto.Member{
-			Token:     client.Token,
-			Volume:    client.Volume,
-			Key:       client.Key,
-			Plan:      client.Plan,
-			Units:     uint32(max(1, member.request.piece.Units)),
+			Token:     clientHeader.Token,
+			Volume:    clientHeader.Volume,
+			Key:       clientHeader.Key,
+			Plan:      clientHeader.Plan,
+			Units:     uint32(max(1, member.request.piece.Units)), // a short piece may have 0
 			Offset:    uint32(slice.Offset),
 			Length:    uint32(slice.Length),
 			Piece:     uint16(member.request.piece.Index),
-			ClientTry: client.ClientTry,
-			Client:    client.Client,
+			ClientTry: clientHeader.ClientTry,
+			Client:    clientHeader.Client,
 		})
 		if header.Write {
 			request.copied += copy(request.payload[slice.Offset:slice.End()], member.pieceData())
@@ -64,10 +64,10 @@
 
 // pieceData returns the part of a write's payload that an attempt's piece covers; nil for a read.
 func (a *attempt) pieceData() []byte {
-	client, piece := clientRequestOf(a), a.request.piece.Range
-	if client.payload == nil {
+	request, piece := clientRequestOf(a), a.request.piece.Range
+	if request.payload == nil {
 		return nil
 	}
-	from := piece.Offset - client.header.Offset
-	return client.payload[from : from+piece.Length]
+	from := piece.Offset - request.header.Offset
+	return request.payload[from : from+piece.Length]
 }
