--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -58,8 +58,8 @@
 
 // Streams of a connection.
 const (
-	streamWatch = 1
-	streamFetch = 2 // fetches are numbered from streamFetch+1
+	streamWatch     = 1
+	fetchStreamBase = 2 // fetches are numbered from fetchStreamBase+1
 )
 
 // Client calls a registry. Its methods never block and may be called by any goroutine.
@@ -205,7 +205,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &link{conn: conn, ended: make(chan error, 1), lastStream: streamFetch}
+	l := &link{conn: conn, ended: make(chan error, 1), lastStream: fetchStreamBase}
 	group.Go(func() error {
 		l.ended <- conn.Run(ctx, func(frame proto.Frame) error { return c.handleFrame(conn, frame) })
 		return nil
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -58,7 +58,7 @@
 type change struct {
 	due          time.Time
 	endpoint     endpoints.Endpoint
-	processEnded bool // the change is ignored if a later incarnation is listed when it is due
+	processEnded bool // removes the endpoint, unless a later incarnation is listed when due
 }
 
 // NewServer returns a registry with an empty list.
