--- a/internal/peer/datagram_test.go
+++ b/internal/peer/datagram_test.go
@@ -15,7 +15,7 @@
 		}
 		encoded, err := Encode(sender, body)
 		if err != nil || !bytes.Equal(encoded, datagram) {
-			t.Fatalf("%x is encoded again as %x, %v", datagram, encoded, err)
+			t.Fatalf("%x decoded and encoded: got %x, error %v; want the same bytes", datagram, encoded, err)
 		}
 	})
 }
