--- a/internal/platform/address_table.go
+++ b/internal/platform/address_table.go
@@ -56,9 +56,8 @@
 	return fmt.Sprint(server)
 }
 
-// applyList converts a list into the form of package endpoints and records its addresses. An invalid disk
-// server is an error for the whole list, which then changes nothing: servers missing from a partial list
-// would count as removed.
+// applyList converts a list into an update and records its addresses. An invalid disk server is an error for
+// the whole list, which then changes nothing: servers missing from a partial list would count as removed.
 func (t *addressTable) applyList(list List, baseVersion uint64, site *wire.Site) (endpoints.Update, error) {
 	update := endpoints.Update{Version: list.Generation, BaseVersion: baseVersion, Full: list.Reset}
 	t.mu.Lock()
@@ -69,8 +68,8 @@
 		if err != nil {
 			return update, fmt.Errorf("instances, item %d: %w", i, err)
 		}
-		if known, ok := t.entries[endpoint.Server]; ok && known.id != listed.ID {
-			return update, fmt.Errorf("%w: %q and %q", errHashCollision, known.id, listed.ID)
+		if existing, ok := t.entries[endpoint.Server]; ok && existing.id != listed.ID {
+			return update, fmt.Errorf("%w: %q and %q", errHashCollision, existing.id, listed.ID)
 		}
 		update.Endpoints = append(update.Endpoints, endpoint)
 	}
@@ -87,8 +86,8 @@
 	for i, endpoint := range parsed {
 		entry := addressEntry{id: instances[i].ID, address: instances[i].HostPort, cell: endpoint.Cell}
 		if endpoint.Status == scheduler.Removed {
-			if known, ok := t.entries[endpoint.Server]; ok {
-				entry = known // a removed disk server may be listed without its address
+			if existing, ok := t.entries[endpoint.Server]; ok {
+				entry = existing // a removed disk server may be listed without its address
 			}
 			entry.removedAt = now
 		}
--- a/internal/platform/address_table_test.go
+++ b/internal/platform/address_table_test.go
@@ -13,8 +13,8 @@
 	return &parseTestConfig(t, "127.0.0.1:1").Site
 }
 
-// A disk server that was removed from the list can be found for the retention time, for attempts in transit,
-// and is then evicted. Invalid servers are rejected.
+// A disk server that was removed from the list can be found for removedRetention, as attempts may not be
+// connected yet; its entry is then deleted. Invalid servers are rejected.
 func TestAddressTable_EvictsRemovedServers(t *testing.T) {
 	table, site := newAddressTable(), testSite(t)
 	listed := ListedServer{ID: "s-1", HostPort: "127.0.0.1:1", Zone: "a", MachineType: "m",
@@ -51,7 +51,7 @@
 	}
 }
 
-// A list with two ids of equal hash is rejected as a whole.
+// A list with an id that has the hash of another id in the table is rejected as a whole.
 func TestAddressTable_RejectsHashCollision(t *testing.T) {
 	table, site := newAddressTable(), testSite(t)
 	table.entries[serverOf("s-1")] = addressEntry{id: "other"}
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -39,8 +39,8 @@
 	isOver bool     // it was cancelled, or its result is about to be reported
 }
 
-// attemptResult is the result of an attempt by the protocol's table: a request whose last byte was not
-// written has not run; one whose last byte was written may have.
+// attemptResult is the result of an attempt. By the protocol, a request whose last byte was not written has
+// not run; one whose last byte was written may have.
 type attemptResult struct {
 	code   scheduler.ResultCode
 	answer proto.Answer // of the disk server; the zero value: none
@@ -146,7 +146,7 @@
 	}
 }
 
-// resultOf converts a response into a result by the protocol's table.
+// resultOf converts a response into a result as the protocol specifies.
 func resultOf(response *http1.Response) attemptResult {
 	result := attemptResult{code: scheduler.Error}
 	if value, ok := parseUsageField(response.Header, fieldMeter); ok {
--- a/internal/platform/config_file.go
+++ b/internal/platform/config_file.go
@@ -10,7 +10,8 @@
 	"landingpaddle/internal/wire"
 )
 
-// Defaults of limits that the configuration omits, and the least number of sockets that it may specify.
+// Defaults of limits that the configuration omits, and the least number of sockets that it may specify, which
+// leaves connections to clients and to disk servers besides reservedSockets.
 const (
 	defaultMemoryMB = 64
 	defaultSockets  = 256
--- a/internal/platform/endpoint_list.go
+++ b/internal/platform/endpoint_list.go
@@ -12,7 +12,7 @@
 	"landingpaddle/scheduler"
 )
 
-// List is a list of disk servers in discovery's form: the full list, or the changes to it.
+// List is a list of disk servers as the discovery service sends it: the full list, or the changes to it.
 type List struct {
 	Generation uint64         `json:"generation"` // grows with each change
 	Reset      bool           `json:"reset"`      // the list is full
@@ -31,7 +31,7 @@
 	StartedAtMS float64 `json:"startedAtMs"` // milliseconds since the Unix epoch
 }
 
-// maxStartedAtMS bounds the start times in lists to integers that a JSON number represents exactly.
+// maxStartedAtMS bounds the start times in lists to integers that a float64 represents exactly.
 const maxStartedAtMS = 1 << 53
 
 var statusByLifecycle = map[string]scheduler.Status{
@@ -59,7 +59,7 @@
 	return server
 }
 
-// parseEndpoint converts a disk server of a list into the form of package endpoints.
+// parseEndpoint validates a disk server of a list and converts it into an endpoint.
 func parseEndpoint(listed *ListedServer, site *wire.Site) (endpoints.Endpoint, error) {
 	status, known := statusByLifecycle[listed.Lifecycle]
 	if !known {
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -45,7 +45,7 @@
 type frontendCounters struct {
 	accepted     atomic.Uint64 // connections
 	refused      atomic.Uint64 // connections that could not be accepted, or were closed at once
-	evicted      atomic.Uint64 // connections closed to make room for others
+	evicted      atomic.Uint64 // connections closed by makeRoom so that another can be accepted
 	silent       atomic.Uint64 // connections that ended before a byte of a request arrived
 	invalid      atomic.Uint64 // invalid, late or duplicate requests, and those over the limit of body bytes
 	duplicateIDs atomic.Uint64 // requests with the id of one in flight
--- a/internal/platform/frontend_test.go
+++ b/internal/platform/frontend_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// expectedRequest is what a disk server should receive.
+// expectedRequest holds the expected values of a request that a disk server received.
 type expectedRequest struct{ method, body, id, key string }
 
 // expect checks a request that a disk server received.
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// answerSlackMargin is added to the answer slack of the settings, as sockets and processors may be late.
-	// The platform tolerates answers a little beyond every time limit.
+	// answerSlackMargin is added to the answer slack of the settings, as sockets and processors may delay an
+	// answer. The platform tolerates answers a little beyond every time limit.
 	answerSlackMargin = 30 * time.Millisecond
 	// responseMargin is the part of a client's wait that is reserved for the network delay of the response.
 	responseMargin = 5 * time.Millisecond
--- a/internal/platform/gateway_fixture_test.go
+++ b/internal/platform/gateway_fixture_test.go
@@ -70,7 +70,7 @@
 	gateway   *Gateway
 	address   string
 	discovery *fakeDiscovery // nil: the test runs its own discovery service
-	done      chan error     // receives what Run returns
+	done      chan error     // receives the result of Run
 	logBuffer *safeBuffer
 }
 
--- a/internal/platform/gateway_test.go
+++ b/internal/platform/gateway_test.go
@@ -31,7 +31,7 @@
 	fixture := startGateway(t, 256, diskServer)
 	frontend, upstream := fixture.gateway.frontend, fixture.gateway.upstream
 	fixture.discovery.awaitWatches(t, 1)
-	for i := range 50 { // until the connections to the disk server that are used in turn are open
+	for i := range 50 { // opens all connections to the disk server between which the pool alternates
 		fixture.serveOnce(-1 - i)
 	}
 	openBefore, _ := upstream.countConnections()
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -38,7 +38,7 @@
 
 // After a reload the new discovery service is called at once, whether a watch of the old one is open, is
 // being opened, or has failed and waits to be reopened, or a fetch is in flight. The old one is not called
-// any more, and what it still sends has no effect.
+// any more, and its later messages have no effect.
 func TestReload_MovesCallsInEveryState(t *testing.T) {
 	for _, test := range []struct {
 		name          string
--- a/internal/platform/upstream.go
+++ b/internal/platform/upstream.go
@@ -38,7 +38,7 @@
 	dialed      atomic.Uint64 // dials started
 	reused      atomic.Uint64 // idle connections used again
 	stale       atomic.Uint64 // idle connections found too old, closed or with unsolicited bytes
-	invalid     atomic.Uint64 // responses that could not be read
+	invalid     atomic.Uint64 // responses that violate the protocol
 	unsolicited atomic.Uint64 // responses followed by unsolicited bytes
 	exhausted   atomic.Uint64 // dials refused because the limit of connections was reached
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-// CancelMember does nothing: here every operation is one attempt.
+// CancelMember does nothing: requests over HTTP are not merged, so every operation has one member.
 func (p *upstreamPool) CancelMember(*daemon.Operation, int) {}
 
 // CloseIdle closes the idle connections to a disk server.
--- a/internal/platform/validation.go
+++ b/internal/platform/validation.go
@@ -64,7 +64,7 @@
 	return value, nil
 }
 
-// validate converts a request's head into the scheduler's form. Its errors are *http1.Error.
+// validate checks a request's head and sets the values of request and its call. Its errors are *http1.Error.
 func (f *frontend) validate(request *inFlightRequest, head *http1.Request) error {
 	fields, err := readRequiredFields(head.Header)
 	if err != nil {
