--- a/internal/testbed/bytes_test.go
+++ b/internal/testbed/bytes_test.go
@@ -39,7 +39,8 @@
 	scenario := fieldsScenario(t)
 	events := runKeepingRules(t, scenario)
 	if merged, split := countMergedAndSplit(events); merged == 0 || split == 0 {
-		t.Errorf("got %d merged operations and %d pieces beyond the first, want some of each", merged, split)
+		t.Errorf("got %d merged operations and %d attempts of pieces beyond the first, want some of each",
+			merged, split)
 	}
 	for name, change := range map[string]func(*Event) bool{
 		"a byte that a client received": func(event *Event) bool {
@@ -63,7 +64,7 @@
 	}
 }
 
-// countMergedAndSplit counts operations of several members and pieces beyond the first.
+// countMergedAndSplit counts operations of several members, and attempts of pieces beyond the first.
 func countMergedAndSplit(events []Event) (merged, split int) {
 	members := map[operationKey]int{}
 	for _, event := range events {
--- a/internal/testbed/checksum.go
+++ b/internal/testbed/checksum.go
@@ -1,7 +1,7 @@
 package testbed
 
 // patternByte returns the initial value of a byte of a volume, before its first write. This pattern is a hash
-// of the volume and the offset, so that bytes read from elsewhere are detected.
+// of the volume and the offset, so that bytes read from another volume or offset are detected.
 func patternByte(volume, offset uint64) byte {
 	return byte((volume*0x9e3779b97f4a7c15 ^ offset*0xff51afd7ed558ccd) >> 56)
 }
--- a/internal/testbed/client_load.go
+++ b/internal/testbed/client_load.go
@@ -15,7 +15,7 @@
 
 // Load specifies requests that one client sends to instances in turn, at a constant rate.
 type Load struct {
-	Instances int
+	Instances int // number of instances, from 0, that the requests use in turn
 	Requests  int
 	Rate      float64 // requests a second
 	Class     uint16
--- a/internal/testbed/fault_nodes.go
+++ b/internal/testbed/fault_nodes.go
@@ -108,7 +108,7 @@
 // nodesFault has the fields of faults that need only nodes and a duration.
 type nodesFault struct {
 	Nodes    []int         `s:"nodes,required"`
-	Duration time.Duration `s:"for" min:"1ms" max:"10m"`
+	Duration time.Duration `s:"for" min:"1ms" max:"10m"` // 0: the fault ends at once
 }
 
 // Hang makes nodes accept requests without answering them.
--- a/internal/testbed/fault_traffic.go
+++ b/internal/testbed/fault_traffic.go
@@ -8,7 +8,7 @@
 	"landingpaddle/internal/config"
 )
 
-// allPlans represents the traffic of all plans.
+// allPlans represents the traffic of all plans. Site.PlanNumber returns it for the plan name "".
 const allPlans = -1
 
 // Surge multiplies the traffic of one plan, or of its first volumes.
--- a/internal/testbed/invariant_nodes.go
+++ b/internal/testbed/invariant_nodes.go
@@ -45,11 +45,11 @@
 }
 
 // isOutdatedBy reports whether an incarnation started later than the one that sent a drain notice.
-func (k *notifiedState) isOutdatedBy(startedAt int64) bool {
-	return k.hasDrainNotice() && startedAt > k.noticeStartedAt
+func (s *notifiedState) isOutdatedBy(startedAt int64) bool {
+	return s.hasDrainNotice() && startedAt > s.noticeStartedAt
 }
 
-func (k *notifiedState) hasDrainNotice() bool { return k.noticeStartedAt >= 0 }
+func (s *notifiedState) hasDrainNotice() bool { return s.noticeStartedAt >= 0 }
 
 func (t *drainTracker) stateOf(instance, node int) *notifiedState {
 	key := endpointKey{instance, node}
--- a/internal/testbed/invariant_rates.go
+++ b/internal/testbed/invariant_rates.go
@@ -26,20 +26,20 @@
 		if byInstance[event.Instance] == nil || event.Kind == KindInstanceStarted {
 			byInstance[event.Instance] = &retryBudgetTimes{}
 		}
-		counts := byInstance[event.Instance]
+		times := byInstance[event.Instance]
 		switch {
 		case event.Kind == KindSent:
-			counts.requests = append(counts.requests, event.Time)
+			times.requests = append(times.requests, event.Time)
 		case event.Kind == KindArrive && event.Attempt > 0:
 			c.verdicts[RuleBudget].Checked++
-			counts.retries = append(counts.retries, event.Time)
+			times.retries = append(times.retries, event.Time)
 			windowStart := event.Time - int64(budget.Window)
 			// Logged times may be late by the allowance: it shortens the window for retries and extends that
 			// for requests.
 			allowance := int64(maxTransitTime +
 				c.outages.allowance(event.Instance, event.Node, windowStart, event.Time))
-			retries := countSince(counts.retries, windowStart+allowance)
-			requests := countSince(counts.requests, windowStart-allowance)
+			retries := countSince(times.retries, windowStart+allowance)
+			requests := countSince(times.requests, windowStart-allowance)
 			if allowed := budget.Floor + budget.Ratio*float64(requests); float64(retries) > allowed {
 				c.recordViolation(RuleBudget, event, "%d retries in %v, %.1f allowed", retries,
 					budget.Window, allowed)
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -42,8 +42,9 @@
 	}
 }
 
-// In each rule's scenario the scheduler keeps all rules, and a mutant, a scheduler with one fault, breaks the
-// rule. The checker must detect the mutant by that rule.
+// In each rule's scenario the scheduler keeps all rules, and a mutant breaks the rule: the greedy baseline,
+// with or without a fault, or an instance that answers twice. The checker must detect the mutant by that
+// rule.
 func TestInvariants_DetectAMutantOfEachRule(t *testing.T) {
 	for _, c := range ruleScenarios(t) {
 		t.Run(c.rule, func(t *testing.T) {
--- a/internal/testbed/log_test.go
+++ b/internal/testbed/log_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Events are read back as they were written; an error for a truncated, empty or invalid line names the file.
+// Events are read back as they were written; an error for a truncated or invalid line, or for an event
+// without a kind, names the file.
 func TestLog_ReadsWrittenEventsAndReportsBadLines(t *testing.T) {
 	dir := t.TempDir()
 	log := NewLog()
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -24,7 +24,7 @@
 	Registry    string         // TCP address of the registry
 	Addr        netip.AddrPort // to listen on; the zero value: any free loopback port
 	Seed        uint64
-	Log         *Log                                         // nil: nothing is logged; required when cold
+	Log         *Log                                         // nil: no logging; required by cold incarnations
 	DedupGroups func(scope scheduler.DedupScope) *DedupGroup // the node's group for a scope
 	Meter       *Meter
 	StartsCold  bool          // the first incarnation is cold; false: it started long ago
--- a/internal/testbed/node_answer.go
+++ b/internal/testbed/node_answer.go
@@ -59,8 +59,8 @@
 	return answer
 }
 
-// payloadOf returns the bytes that a ranged operation has read or, for other served reads, zero bytes of the
-// size that the node's model specifies.
+// payloadOf returns the bytes that a ranged operation has read or, for other served reads, a payload of zeros
+// whose size the node's model specifies.
 func (p *nodeProcess) payloadOf(op *operation, code proto.Code) []byte {
 	bytesPerUnit := p.node.cfg.Model.BytesPerUnit
 	switch {
--- a/internal/testbed/node_conn.go
+++ b/internal/testbed/node_conn.go
@@ -18,7 +18,7 @@
 		p.sendDrainNotice(conn)
 	}
 	p.mu.Unlock()
-	// The cause of the end concerns only the instance.
+	// The error is ignored: it ends only this instance's connection.
 	_ = conn.Run(ctx, func(frame proto.Frame) error { return p.handleFrame(ctx, conn, instance, frame) })
 	p.mu.Lock()
 	delete(p.conns, conn)
--- a/internal/testbed/node_faults.go
+++ b/internal/testbed/node_faults.go
@@ -69,7 +69,7 @@
 }
 
 // BlockConnections blocks reads and writes on the node's connections for d, but each of them for at most
-// maxStuckWait; the connections stay open.
+// maxStuckWait; the connections stay open. It replaces a block that has not ended.
 func (f *NodeFaults) BlockConnections(d time.Duration) {
 	f.set(func(f *NodeFaults) { f.stuckUntil = time.Now().Add(d) })
 }
--- a/internal/testbed/request_trace.go
+++ b/internal/testbed/request_trace.go
@@ -2,7 +2,7 @@
 
 import "landingpaddle/internal/proto"
 
-// requestKey identifies one request: a client's retry has the token of the first request, and another try.
+// requestKey identifies one request: a client's retry has the token of the first request and a different try.
 type requestKey struct {
 	token uint64
 	try   int
--- a/internal/testbed/runner.go
+++ b/internal/testbed/runner.go
@@ -37,7 +37,7 @@
 type Recording struct {
 	Events     []Event       // in order of time
 	Suppressed int64         // requests that were not sent because too many were open
-	CPU        time.Duration // time used by this process while traffic lasted; 0: unknown
+	CPU        time.Duration // time used by this process while traffic and its requests lasted; 0: unknown
 }
 
 // scenarioRunner runs one scenario. Its fleet is set up before traffic starts; after that it is only read, by
--- a/internal/testbed/runner_fleet.go
+++ b/internal/testbed/runner_fleet.go
@@ -38,7 +38,7 @@
 	until time.Time // end of the latest stall
 }
 
-// wait blocks until all stalls have ended, including those that start during the wait.
+// wait blocks while the process is stalled, including by a stall that starts during the wait.
 func (g *stallGate) wait() {
 	for {
 		g.mu.Lock()
@@ -51,6 +51,7 @@
 	}
 }
 
+// start stalls the process for d. It replaces a stall that has not ended.
 func (g *stallGate) start(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/traffic.go
+++ b/internal/testbed/traffic.go
@@ -18,14 +18,14 @@
 	Units           []int   `s:"units"`                      // minimum and maximum of a request
 	Keys            int     `s:"keys" min:"0" max:"1000000"` // of each volume; 0: requests have no key
 	NewObjects      bool    `s:"new-objects"`                // writes create objects, reads use some of them
-	HotShare        float64 `s:"hot" min:"0" max:"1"`        // share of requests for the first volume
+	HotShare        float64 `s:"hot" min:"0" max:"1"`        // share of requests fixed to the first volume
 	VolumeInstances int     `s:"writers" min:"1" max:"512"`  // instances that receive a volume's requests
 	Fields          *Fields `s:"fields"`
 }
 
-// Fields makes a stream request byte ranges of fields: one field a volume, one slice a request. The slices
-// are random and requested at the stream's rate or, if RunInterval is set, all requested at about the same
-// time.
+// Fields makes a stream request byte ranges of fields: one field per volume, one slice per request. The
+// slices are random and requested at the stream's rate or, if RunInterval is set, all requested at about the
+// same time.
 type Fields struct {
 	Size        sexpr.Size    `s:"size,required" min:"1B" max:"1GiB"`
 	Slice       sexpr.Size    `s:"slice,required" min:"1B" max:"64MiB"`
